--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -37,7 +37,7 @@
 
     /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
     /// not before. Only a witness whose disk is empty may be let.
-    pub fn may_found(&mut self, genesis: EpochRecord) -> Option<RowChange> {
+    pub fn may_bootstrap(&mut self, genesis: EpochRecord) -> Option<RowChange> {
         if self.genesis.is_some() || self.record.is_some() {
             return None;
         }
@@ -94,7 +94,7 @@
         }
         let epoch = base.epoch.next();
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote.0 = ballot;
@@ -114,7 +114,7 @@
         }
         let epoch = record.epoch;
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote = (ballot, Some((ballot, record)));
--- a/libraries/topazyard-replication/src/replica/mod.rs
+++ b/libraries/topazyard-replication/src/replica/mod.rs
@@ -10,7 +10,7 @@
 mod parts;
 mod progress;
 
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Sequence};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange, WriteToken};
@@ -115,22 +115,22 @@
     ///
     /// ```
     /// use topazyard_replication::{Copy, Replica};
-    /// use topazyard_types::Life;
-    /// let replica = Replica::new(topazyard_wire::Group::Control, true, Copy::default(), Life(1));
+    /// use topazyard_types::BootId;
+    /// let replica = Replica::new(topazyard_wire::Group::Control, true, Copy::default(), BootId(1));
     /// assert!(!replica.is_serving());
     /// ```
-    pub fn new(group: Group, durable: bool, copy: crate::Copy, life: Life) -> Self {
+    pub fn new(group: Group, durable: bool, copy: crate::Copy, boot_id: BootId) -> Self {
         Self {
             group,
             durable,
-            epoch: copy.place().epoch,
+            epoch: copy.position().epoch,
             copy,
             role: Role::Idle,
             doubt: Doubt::All,
             holds_learner: false,
             settled: false,
             last_write: 0,
-            last_round: life.first_number(),
+            last_round: boot_id.first_number(),
             writes: std::collections::BTreeMap::new(),
             synced_copies: 0,
             committed: Sequence::default(),
@@ -193,7 +193,7 @@
     /// Whether this node follows and its copy equalled the primary's at some time in this epoch.
     /// All it confirmed since is in the copy too, so nothing that was ever answered is missing.
     pub fn was_in_step(&self) -> bool {
-        matches!(self.role, Role::Follower(_)) && self.copy.place().epoch == self.epoch
+        matches!(self.role, Role::Follower(_)) && self.copy.position().epoch == self.epoch
     }
 
     /// Whether this node follows that primary.
--- a/programs/topazyard-control/src/machine/founding.rs
+++ b/programs/topazyard-control/src/machine/founding.rs
@@ -18,7 +18,7 @@
     /// settings say that the fleet is new.
     pub(super) fn keep_right_to_found(&mut self, is_new: bool, out: &mut Out) {
         let Some(genesis) = genesis::genesis(&self.seeds).filter(|_| is_new) else { return };
-        if let Some(row) = self.witness.may_found(genesis) {
+        if let Some(row) = self.witness.may_bootstrap(genesis) {
             self.write_own(Group::Witness, vec![row], Vec::new(), out);
         }
     }
@@ -32,7 +32,7 @@
         }
         let Some(wanted) = self.first_record(now) else { return };
         let Some(genesis) = self.witness.genesis().cloned() else { return };
-        let (proposal, message) = Proposal::begin(self.me.id, self.life, genesis, wanted, now);
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, genesis, wanted, now);
         self.founding = Some(proposal);
         self.ask_seeds(&message, out);
     }
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -4,8 +4,8 @@
 use crate::counter::Counter;
 use topazyard_replication::{Doubt, Replica, Ticket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
-use topazyard_wire::message::batch::{BatchReturn, Item};
-use topazyard_wire::message::control::ShardWish;
+use topazyard_wire::message::batch::{BatchResponse, Item};
+use topazyard_wire::message::control::ShardChangeRequest;
 use topazyard_wire::message::counter::CounterBody;
 
 /// After how long without its backup's confirmation a primary wants to know what control says.
@@ -30,7 +30,7 @@
     pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
     pub(crate) last_ticket: Ticket,
     /// A wish for another record, with when it was last sent; none while it is being synced.
-    pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
+    pub(crate) wish: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
     pub(crate) raising: Raising,
     /// Submissions of batches that were refused here: a late frame of one must not be taken.
     pub(crate) refused: std::collections::VecDeque<(NodeId, u64)>,
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum BatchAnswer {
     /// This.
-    Ready(BatchReturn),
+    Ready(BatchResponse),
     /// How the batch stands then; as accepted, or as read.
     Standing(BatchId, bool),
     /// Its returns after a position.
@@ -163,7 +163,7 @@
 
     /// Whether all of these nodes said that they have synced what this follower holds.
     pub(crate) fn all_have_synced(&self, mut nodes: impl Iterator<Item = NodeId>) -> bool {
-        let held = self.replica.copy().place().sequence;
+        let held = self.replica.copy().position().sequence;
         nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= held))
     }
 
@@ -174,7 +174,7 @@
         in_step
             && is_whole
             && self.replica.is_synced()
-            && self.replica.copy().place().sequence >= sequence
+            && self.replica.copy().position().sequence >= sequence
     }
 
     /// Whether this primary may work in its epoch.
