--- a/programs/topazyard-storage/src/batches/mod.rs
+++ b/programs/topazyard-storage/src/batches/mod.rs
@@ -10,12 +10,12 @@
 };
 use topazyard_wire::message::batch::Run;
 
-pub use read::{returns, standing, waiting_cost};
+pub use read::{results, status, waiting_cost};
 
 /// How long a leased item waits for its start.
-pub const LEASE: DurationMs = DurationMs(2_500);
+pub const ITEM_LEASE: DurationMs = DurationMs(2_500);
 /// After how long without a word of a run its outcome counts as unknown.
-const RUN_SILENT: DurationMs = DurationMs(5_000);
+const RUN_TIMEOUT: DurationMs = DurationMs(5_000);
 
 /// How an item stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -35,7 +35,7 @@
         may_have_run: bool,
     },
     /// It has its final return at a position.
-    Returned {
+    Finished {
         /// The position.
         position: u32,
     },
@@ -45,13 +45,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct BatchRow {
     pub(crate) items: u32,
-    pub(crate) returned: u32,
+    pub(crate) finished: u32,
     pub(crate) ended: bool,
 }
 
 /// What the primary keeps of an item beside its state.
 #[derive(Debug, Clone)]
-struct ItemFacts {
+struct ItemEntry {
     state: ItemState,
     model: topazyard_types::ModelName,
     repeatable: bool,
@@ -59,27 +59,27 @@
 }
 
 #[derive(Debug, Clone)]
-struct Batch {
+struct BatchEntry {
     row: BatchRow,
-    items: Vec<ItemFacts>,
+    items: Vec<ItemEntry>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     relay: NodeId,
-    until: MonotonicMs,
+    expires_at: MonotonicMs,
 }
 
 /// The batches of a shard.
 #[derive(Debug)]
 pub struct Batches {
     shard: ShardId,
-    batches: std::collections::BTreeMap<u64, Batch>,
+    batches: std::collections::BTreeMap<u64, BatchEntry>,
     /// Items that may be leased, oldest first.
     queue: std::collections::VecDeque<(u64, ItemNumber)>,
     leases: std::collections::BTreeMap<Run, Lease>,
-    heard: std::collections::BTreeMap<Run, MonotonicMs>,
-    waiting: Tokens,
+    last_heard: std::collections::BTreeMap<Run, MonotonicMs>,
+    waiting_cost: Tokens,
     /// Batches with all their returns, and since when that is known here.
     finished: std::collections::VecDeque<(MonotonicMs, u64)>,
     last_lease: u64,
@@ -89,7 +89,7 @@
 
 impl Batches {
     /// The batches that a copy holds.
-    pub fn taken_over(
+    pub fn from_copy(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
         life: Life,
@@ -100,16 +100,16 @@
             batches: std::collections::BTreeMap::new(),
             queue: std::collections::VecDeque::new(),
             leases: std::collections::BTreeMap::new(),
-            heard: std::collections::BTreeMap::new(),
-            waiting: Tokens(0),
+            last_heard: std::collections::BTreeMap::new(),
+            waiting_cost: Tokens(0),
             finished: std::collections::VecDeque::new(),
             last_lease: life.first_number(),
-            routed: routed::RoutedBatches::taken_over(shard, copy, life, now),
+            routed: routed::RoutedBatches::from_copy(shard, copy, life, now),
         };
         for (number, row) in rows::batches(copy) {
             let mut items = Vec::new();
             for item in (0..row.items).map(ItemNumber) {
-                let (Some(state), Some(facts)) =
+                let (Some(state), Some(stored_item)) =
                     (rows::state_of(copy, number, item), rows::item_of(copy, number, item))
                 else {
                     continue;
@@ -117,39 +117,39 @@
                 let run = |lease| Run { batch: BatchId { shard, number }, item, lease };
                 match state {
                     ItemState::Waiting { .. } => batches.queue.push_back((number, item)),
-                    // A run that is still going will be heard of; one that isn't times out.
+                    // A run that is still going will be last_heard of; one that isn't times out.
                     ItemState::Started { lease, .. } => {
-                        batches.heard.insert(run(lease), now);
+                        batches.last_heard.insert(run(lease), now);
                     }
-                    ItemState::Returned { .. } => {}
+                    ItemState::Finished { .. } => {}
                 }
-                if !matches!(state, ItemState::Returned { .. }) {
-                    batches.waiting = batches.waiting.plus(facts.cost);
+                if !matches!(state, ItemState::Finished { .. }) {
+                    batches.waiting_cost = batches.waiting_cost.plus(stored_item.cost);
                 }
-                items.push(ItemFacts {
+                items.push(ItemEntry {
                     state,
-                    model: facts.model,
-                    repeatable: facts.repeatable,
-                    cost: facts.cost,
+                    model: stored_item.model,
+                    repeatable: stored_item.repeatable,
+                    cost: stored_item.cost,
                 });
             }
             // A successor counts anew: a batch may be kept longer than it must, never shorter.
-            if row.returned == row.items {
+            if row.finished == row.items {
                 batches.finished.push_back((now, number));
             }
-            batches.batches.insert(number, Batch { row, items });
+            batches.batches.insert(number, BatchEntry { row, items });
         }
         batches
     }
 
     /// The cost of all items without a final return, those of routed batches left out.
-    pub fn waiting(&self) -> Tokens {
-        self.waiting
+    pub fn waiting_cost(&self) -> Tokens {
+        self.waiting_cost
     }
 
     /// The cost of all items without a final return or result.
-    pub fn waiting_with_routed(&self) -> Tokens {
-        self.waiting.plus(self.routed.waiting())
+    pub fn total_waiting_cost(&self) -> Tokens {
+        self.waiting_cost.plus(self.routed.waiting_cost())
     }
 
     /// Whether the batch is known.
@@ -157,11 +157,11 @@
         batch.shard == self.shard && self.batches.contains_key(&batch.number)
     }
 
-    fn id(&self, number: u64) -> BatchId {
+    fn batch_id(&self, number: u64) -> BatchId {
         BatchId { shard: self.shard, number }
     }
 
-    fn facts(&self, batch: BatchId, item: ItemNumber) -> Option<&ItemFacts> {
+    fn item_entry(&self, batch: BatchId, item: ItemNumber) -> Option<&ItemEntry> {
         self.batches.get(&batch.number)?.items.get(item.0 as usize)
     }
 }
--- a/programs/topazyard-storage/src/batches/read.rs
+++ b/programs/topazyard-storage/src/batches/read.rs
@@ -5,23 +5,23 @@
 use topazyard_wire::message::batch::{BatchStanding, ItemReturn};
 
 /// The most bytes of returns in one answer.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+const MAX_RESULT_BYTES: usize = 4 * 1024 * 1024;
 
 /// The cost of all items in a copy that have no final return.
 pub fn waiting_cost(copy: &topazyard_replication::Copy) -> topazyard_types::Tokens {
     let items = rows::batches(copy)
         .flat_map(|(number, row)| (0..row.items).map(move |item| (number, ItemNumber(item))));
-    let unreturned = items.filter(|(number, item)| {
+    let unfinished = items.filter(|(number, item)| {
         let state = rows::state_of(copy, *number, *item);
-        state.is_some_and(|state| !matches!(state, ItemState::Returned { .. }))
+        state.is_some_and(|state| !matches!(state, ItemState::Finished { .. }))
     });
-    unreturned.filter_map(|(number, item)| Some(rows::item_of(copy, number, item)?.cost)).sum()
+    unfinished.filter_map(|(number, item)| Some(rows::item_of(copy, number, item)?.cost)).sum()
 }
 
 /// How a batch stands.
-pub fn standing(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStanding> {
+pub fn status(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStanding> {
     let Some(row) = rows::batch_of(copy, batch.number) else {
-        return super::routed::standing(copy, batch);
+        return super::routed::status(copy, batch);
     };
     let states = (0..row.items).filter_map(|n| rows::state_of(copy, batch.number, ItemNumber(n)));
     let (mut waiting, mut running) = (0, 0);
@@ -29,13 +29,13 @@
         match state {
             ItemState::Waiting { .. } => waiting += 1,
             ItemState::Started { .. } => running += 1,
-            ItemState::Returned { .. } => {}
+            ItemState::Finished { .. } => {}
         }
     }
     Some(BatchStanding {
         batch,
         items: row.items,
-        returned: row.returned,
+        returned: row.finished,
         waiting,
         running,
         ended: row.ended,
@@ -43,7 +43,7 @@
 }
 
 /// A batch's returns after a position, in order; at least one if there is one.
-pub fn returns(
+pub fn results(
     copy: &topazyard_replication::Copy,
     batch: BatchId,
     after: u32,
@@ -52,15 +52,15 @@
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
-    for position in after.saturating_add(1)..=row.returned {
-        let Some(item_return) = rows::return_of(copy, batch.number, position) else { break };
-        if let ItemEnd::Whole { body, .. } = &item_return.end {
+    for position in after.saturating_add(1)..=row.finished {
+        let Some(item_result) = rows::result_of(copy, batch.number, position) else { break };
+        if let ItemEnd::Whole { body, .. } = &item_result.end {
             bytes += body.len();
         }
-        if bytes > MOST_BYTES && !found.is_empty() {
+        if bytes > MAX_RESULT_BYTES && !found.is_empty() {
             break;
         }
-        found.push(item_return);
+        found.push(item_result);
     }
     Some(found)
 }
--- a/programs/topazyard-storage/src/batches/routed/mod.rs
+++ b/programs/topazyard-storage/src/batches/routed/mod.rs
@@ -11,8 +11,8 @@
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::batch::{Progress, Run, Terms};
 
-pub use changes::Taken;
-pub use read::{body, results, standing};
+pub use changes::SubmitOutcome;
+pub use read::{body, results, status};
 
 /// A batch's own row.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -27,7 +27,7 @@
 
 /// What the primary keeps of an item without a result.
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenItem {
     id: String,
     cost: Tokens,
     bytes: u64,
@@ -36,48 +36,48 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct BatchEntry {
     row: RoutedBatchRow,
     /// When it became known here, and how old it was then.
-    since: MonotonicMs,
-    age_then: DurationMs,
-    open: std::collections::BTreeMap<ItemNumber, Open>,
+    known_since: MonotonicMs,
+    initial_age: DurationMs,
+    open: std::collections::BTreeMap<ItemNumber, OpenItem>,
     /// Bytes of its results.
     result_bytes: u64,
 }
 
-impl Held {
+impl BatchEntry {
     fn age(&self, now: MonotonicMs) -> DurationMs {
-        DurationMs(self.age_then.0 + now.since(self.since).0)
+        DurationMs(self.initial_age.0 + now.since(self.known_since).0)
     }
 
-    /// When it reaches an age; its beginning may lie before this process's clock does.
-    fn reaches(&self, age: DurationMs) -> MonotonicMs {
-        self.since.plus(DurationMs(age.0.saturating_sub(self.age_then.0)))
+    /// When it reaches_age_at an age; its beginning may lie before this process's clock does.
+    fn reaches_age_at(&self, age: DurationMs) -> MonotonicMs {
+        self.known_since.plus(DurationMs(age.0.saturating_sub(self.initial_age.0)))
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     relay: NodeId,
-    until: MonotonicMs,
+    expires_at: MonotonicMs,
 }
 
 /// An item's place in the queue: when it is due, its batch and its number.
-type Place = (MonotonicMs, u64, ItemNumber);
+type QueueKey = (MonotonicMs, u64, ItemNumber);
 
 /// Batches of a shard.
 #[derive(Debug)]
 pub struct RoutedBatches {
     shard: ShardId,
-    held: std::collections::BTreeMap<u64, Held>,
+    batches: std::collections::BTreeMap<u64, BatchEntry>,
     /// Items that may be leased, the first due first.
-    queue: std::collections::BTreeSet<Place>,
+    queue: std::collections::BTreeSet<QueueKey>,
     leases: std::collections::BTreeMap<Run, Lease>,
     /// The cost of open items by route.
-    waiting: std::collections::BTreeMap<RouteName, Tokens>,
+    waiting_cost: std::collections::BTreeMap<RouteName, Tokens>,
     /// Batches with open items, by when these are given up.
-    give_up: std::collections::BTreeSet<(MonotonicMs, u64)>,
+    abandon_deadlines: std::collections::BTreeSet<(MonotonicMs, u64)>,
     /// Batches that have ended or have all their results, in that order.
     finished: std::collections::VecDeque<u64>,
     /// Bytes of all bodies and results.
@@ -86,7 +86,7 @@
 }
 
 /// Checks that a batch that is taken over has each of its items, open or with a result.
-fn check_whole(number: u64, row: &RoutedBatchRow, open: usize, results: usize) {
+fn check_complete(number: u64, row: &RoutedBatchRow, open: usize, results: usize) {
     let listed = row.listed as usize;
     let has_items = row.ended || open + listed == row.items as usize;
     invariants::check(has_items && results == listed, Invariant::BatchIsWhole, || {
@@ -96,7 +96,7 @@
 
 impl RoutedBatches {
     /// The batches that a copy holds.
-    pub(super) fn taken_over(
+    pub(super) fn from_copy(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
         life: Life,
@@ -104,11 +104,11 @@
     ) -> Self {
         let mut batches = Self {
             shard,
-            held: std::collections::BTreeMap::new(),
+            batches: std::collections::BTreeMap::new(),
             queue: std::collections::BTreeSet::new(),
             leases: std::collections::BTreeMap::new(),
-            waiting: std::collections::BTreeMap::new(),
-            give_up: std::collections::BTreeSet::new(),
+            waiting_cost: std::collections::BTreeMap::new(),
+            abandon_deadlines: std::collections::BTreeSet::new(),
             finished: std::collections::VecDeque::new(),
             bytes: 0,
             last_lease: life.first_number(),
@@ -117,59 +117,64 @@
             let items = (0..row.items).map(ItemNumber);
             let open = items.filter_map(|item| {
                 let value = rows::item_of(copy, number, item)?;
-                Some((item, Open::new(&value)))
+                Some((item, OpenItem::new(&value)))
             });
-            let open: std::collections::BTreeMap<ItemNumber, Open> = open.collect();
+            let open: std::collections::BTreeMap<ItemNumber, OpenItem> = open.collect();
             let results = (1..=row.listed).filter_map(|at| rows::result_of(copy, number, at));
-            let bytes: Vec<u64> = results.map(|result| changes::bytes_of(&result.end)).collect();
-            check_whole(number, &row, open.len(), bytes.len());
-            let (result_bytes, age_then) = (bytes.into_iter().sum(), row.age);
-            batches.hold(number, Held { row, since: now, age_then, open, result_bytes });
+            let bytes: Vec<u64> =
+                results.map(|result| changes::stored_bytes(&result.end)).collect();
+            check_complete(number, &row, open.len(), bytes.len());
+            let (result_bytes, initial_age) = (bytes.into_iter().sum(), row.age);
+            batches.insert(
+                number,
+                BatchEntry { row, known_since: now, initial_age, open, result_bytes },
+            );
         }
         batches
     }
 
     /// Begins to hold a batch.
-    fn hold(&mut self, number: u64, held: Held) {
-        let due = held.reaches(held.row.terms.run_target);
-        let route = self.waiting.entry(held.row.terms.route.clone()).or_default();
-        for (item, open) in &held.open {
+    fn insert(&mut self, number: u64, entry: BatchEntry) {
+        let due = entry.reaches_age_at(entry.row.terms.run_target);
+        let route = self.waiting_cost.entry(entry.row.terms.route.clone()).or_default();
+        for (item, open) in &entry.open {
             *route = route.plus(open.cost);
             self.queue.insert((due, number, *item));
             self.bytes += open.bytes;
         }
-        self.bytes += held.result_bytes;
-        if held.open.is_empty() {
+        self.bytes += entry.result_bytes;
+        if entry.open.is_empty() {
             self.finished.push_back(number);
         } else {
-            self.give_up.insert((held.reaches(held.row.terms.retention), number));
+            self.abandon_deadlines
+                .insert((entry.reaches_age_at(entry.row.terms.retention), number));
         }
-        self.held.insert(number, held);
+        self.batches.insert(number, entry);
     }
 
     /// The cost of all items without a result.
-    pub fn waiting(&self) -> Tokens {
-        self.waiting.values().copied().sum()
+    pub fn waiting_cost(&self) -> Tokens {
+        self.waiting_cost.values().copied().sum()
     }
 
     /// The cost of a route's items without a result.
-    pub fn waiting_on(&self, route: &RouteName) -> Tokens {
-        self.waiting.get(route).copied().unwrap_or_default()
+    pub fn waiting_cost_of(&self, route: &RouteName) -> Tokens {
+        self.waiting_cost.get(route).copied().unwrap_or_default()
     }
 
     /// How many batches are kept, finished ones among them.
     pub fn count(&self) -> usize {
-        self.held.len()
+        self.batches.len()
     }
 
     /// Items without a result.
     pub fn open_items(&self) -> usize {
-        self.held.values().map(|held| held.open.len()).sum()
+        self.batches.values().map(|entry| entry.open.len()).sum()
     }
 
     /// Whether the batch is known.
     pub fn contains(&self, batch: BatchId) -> bool {
-        batch.shard == self.shard && self.held.contains_key(&batch.number)
+        batch.shard == self.shard && self.batches.contains_key(&batch.number)
     }
 
     /// Bytes of all bodies and results.
--- a/programs/topazyard-storage/src/batches/routed/read.rs
+++ b/programs/topazyard-storage/src/batches/routed/read.rs
@@ -6,12 +6,12 @@
 use topazyard_wire::message::batch::{BatchStanding, ItemEnd, ItemReturn};
 
 /// The most bytes of bodies in one page of results.
-const MOST_BYTES: usize = 900_000;
+const MAX_PAGE_BYTES: usize = 900_000;
 /// What a result weighs beside its body, in bytes.
-const BESIDE_BODY: usize = 128;
+const OVERHEAD_BYTES: usize = 128;
 
 /// How a batch stands.
-pub fn standing(copy: &Copy, batch: BatchId) -> Option<BatchStanding> {
+pub fn status(copy: &Copy, batch: BatchId) -> Option<BatchStanding> {
     let row = rows::batch_of(copy, batch.number)?;
     let waiting = if row.ended { 0 } else { row.items - row.listed };
     Some(BatchStanding {
@@ -32,12 +32,12 @@
     let mut found = Vec::new();
     for position in after.saturating_add(1)..=row.listed {
         let Some(result) = rows::result_of(copy, batch.number, position) else { break };
-        bytes += BESIDE_BODY;
+        bytes += OVERHEAD_BYTES;
         if let ItemEnd::Whole { body, .. } = &result.end {
             // Line feeds and the like take two bytes where they are shown.
             bytes += body.len() + body.iter().filter(|b| **b < b' ' || **b == b'"').count() * 5;
         }
-        if bytes > MOST_BYTES && !found.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !found.is_empty() {
             break;
         }
         found.push(result);
--- a/programs/topazyard-storage/src/batches/routed/rows.rs
+++ b/programs/topazyard-storage/src/batches/routed/rows.rs
@@ -28,7 +28,7 @@
     RowChange::put(item_key(number, item), value)
 }
 
-pub(super) fn item_gone(number: u64, item: ItemNumber) -> RowChange {
+pub(super) fn delete_item(number: u64, item: ItemNumber) -> RowChange {
     RowChange::gone(item_key(number, item))
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// Takes every row of a batch away that has all its results or has ended.
-pub(super) fn all_gone(number: u64, listed: u32) -> Vec<RowChange> {
+pub(super) fn delete_all(number: u64, listed: u32) -> Vec<RowChange> {
     let results = (1..=listed).map(|position| RowChange::gone(result_key(number, position)));
     results.chain([RowChange::gone(batch_key(number))]).collect()
 }
--- a/programs/topazyard-storage/src/batches/rows.rs
+++ b/programs/topazyard-storage/src/batches/rows.rs
@@ -16,7 +16,7 @@
     format!("state/{number:016x}/{:08}", item.0)
 }
 
-fn return_key(number: u64, position: u32) -> String {
+fn result_key(number: u64, position: u32) -> String {
     format!("return/{number:016x}/{position:08}")
 }
 
@@ -36,8 +36,8 @@
     RowChange::put(state_key(number, item), value)
 }
 
-pub(super) fn item_return(number: u64, value: &ItemReturn) -> RowChange {
-    RowChange::put(return_key(number, value.position), value)
+pub(super) fn item_result(number: u64, value: &ItemReturn) -> RowChange {
+    RowChange::put(result_key(number, value.position), value)
 }
 
 /// Whether a row is of that batch.
@@ -46,10 +46,10 @@
 }
 
 /// Takes every row of a batch away.
-pub(super) fn all_gone(number: u64, items: u32) -> Vec<RowChange> {
+pub(super) fn delete_all(number: u64, items: u32) -> Vec<RowChange> {
     let of_items = (0..items).map(ItemNumber).flat_map(|item| {
         let keys =
-            [item_key(number, item), state_key(number, item), return_key(number, item.0 + 1)];
+            [item_key(number, item), state_key(number, item), result_key(number, item.0 + 1)];
         keys.map(RowChange::gone)
     });
     of_items.chain([RowChange::gone(batch_key(number))]).collect()
@@ -82,10 +82,10 @@
     copy.get(&state_key(number, item))
 }
 
-pub(super) fn return_of(
+pub(super) fn result_of(
     copy: &topazyard_replication::Copy,
     number: u64,
     position: u32,
 ) -> Option<ItemReturn> {
-    copy.get(&return_key(number, position))
+    copy.get(&result_key(number, position))
 }
--- a/programs/topazyard-storage/src/counter/rows.rs
+++ b/programs/topazyard-storage/src/counter/rows.rs
@@ -16,7 +16,7 @@
     RowChange::put(hold_key(relay, hold.id), &(relay, hold))
 }
 
-pub(super) fn no_hold(relay: NodeId, id: HoldId) -> RowChange {
+pub(super) fn delete_hold(relay: NodeId, id: HoldId) -> RowChange {
     RowChange::gone(hold_key(relay, id))
 }
 
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -1,9 +1,9 @@
-//! Confirms this node's copies for reads asked aside, where the control primary does not.
+//! Confirms this node's copies for reads asked replica_reads, where the control primary does not.
 //!
 //! Control's backups are asked which records stand, and the other backups of a shard what they have
 //! synced. Either may be asked at any time and as often as wanted: nothing changes by it.
 
-use super::{Out, StorageMachine};
+use super::{Effects, StorageMachine};
 use std::net::SocketAddr;
 use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
@@ -12,71 +12,72 @@
 use topazyard_wire::message::membership::Duty;
 
 /// How often it is asked while reads wait.
-const ASK_EVERY: DurationMs = DurationMs(50);
+const QUERY_INTERVAL: DurationMs = DurationMs(50);
 /// How long a read waits for the control primary alone.
-const PRIMARY_FIRST: DurationMs = DurationMs(75);
+const PRIMARY_TIMEOUT: DurationMs = DurationMs(75);
 /// Questions whose answers are still taken.
-const MOST_ASKED: usize = 16;
+const MAX_PENDING_QUERIES: usize = 16;
 
 /// The questions to control that are under way.
 #[derive(Debug)]
-pub(super) struct Confirming {
-    asked: std::collections::VecDeque<(u64, MonotonicMs)>,
+pub(super) struct RecordQueries {
+    pending: std::collections::VecDeque<(u64, MonotonicMs)>,
     last_nonce: u64,
-    last_asked: Option<MonotonicMs>,
+    last_sent: Option<MonotonicMs>,
 }
 
-impl Confirming {
+impl RecordQueries {
     pub(super) fn new(life: Life) -> Self {
-        let asked = std::collections::VecDeque::new();
-        Self { asked, last_nonce: life.first_number(), last_asked: None }
+        let pending = std::collections::VecDeque::new();
+        Self { pending, last_nonce: life.first_number(), last_sent: None }
     }
 
-    fn ask(&mut self, now: MonotonicMs) -> u64 {
-        if self.asked.len() >= MOST_ASKED {
-            self.asked.pop_front();
+    fn start(&mut self, now: MonotonicMs) -> u64 {
+        if self.pending.len() >= MAX_PENDING_QUERIES {
+            self.pending.pop_front();
         }
         self.last_nonce += 1;
-        self.asked.push_back((self.last_nonce, now));
+        self.pending.push_back((self.last_nonce, now));
         self.last_nonce
     }
 }
 
 impl StorageMachine {
     /// Asks the control backups and the other backups of shards as long as reads wait.
-    pub(super) fn confirm_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        let is_due = self.confirming.last_asked.is_none_or(|at| now.since(at) >= ASK_EVERY);
-        if !is_due || self.hosted.values().all(|hosted| hosted.asides.is_empty()) {
+    pub(super) fn send_queries(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        let is_due = self.record_queries.last_sent.is_none_or(|at| now.since(at) >= QUERY_INTERVAL);
+        if !is_due || self.hosted.values().all(|hosted| hosted.replica_reads.is_empty()) {
             return;
         }
-        self.confirming.last_asked = Some(now);
+        self.record_queries.last_sent = Some(now);
         let by_feed = self.follower.confirmed_at();
-        let is_left = |since| now.since(since) >= PRIMARY_FIRST && by_feed <= Some(since);
-        let mut asides = self.hosted.values().flat_map(|hosted| &hosted.asides);
-        if asides.any(|aside| is_left(aside.since)) {
-            let nonce = self.confirming.ask(now);
+        let primary_timed_out =
+            |since| now.since(since) >= PRIMARY_TIMEOUT && by_feed <= Some(since);
+        let mut reads = self.hosted.values().flat_map(|hosted| &hosted.replica_reads);
+        if reads.any(|read| primary_timed_out(read.received_at)) {
+            let nonce = self.record_queries.start(now);
             for to in self.membership.addresses(Duty::Control) {
-                let ask = ConfirmMessage::AskRecords { nonce };
-                out.push(Effect::Send { to, message: Message::Confirm(ask) });
+                let query = ConfirmMessage::AskRecords { nonce };
+                effects.push(Effect::Send { to, message: Message::Confirm(query) });
             }
         }
-        self.ask_other_backups(out);
+        self.query_other_backups(effects);
     }
 
-    fn ask_other_backups(&self, out: &mut Out) {
+    fn query_other_backups(&self, effects: &mut Effects) {
         let me = self.member.id;
         for (shard, hosted) in &self.hosted {
             let Some(record) = self.view.shards.get(shard) else { continue };
             let epoch = hosted.replica.epoch();
-            let follows = hosted.replica.was_in_step() && record.epoch == epoch;
-            if hosted.asides.is_empty() || !follows || !record.is_backup(me) {
+            let is_following = hosted.replica.was_in_step() && record.epoch == epoch;
+            if hosted.replica_reads.is_empty() || !is_following || !record.is_backup(me) {
                 continue;
             }
             let sequence = hosted.replica.copy().place().sequence;
-            let ask = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
+            let query = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
             for other in record.backups.iter().filter(|node| node.id != me) {
-                let message = Message::Confirm(ask.clone());
-                out.push(Effect::Send { to: other.address, message });
+                let message = Message::Confirm(query.clone());
+                effects.push(Effect::Send { to: other.address, message });
             }
         }
     }
@@ -87,19 +88,19 @@
         from: SocketAddr,
         message: ConfirmMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         match message {
             ConfirmMessage::Records { nonce, epochs } => {
-                self.take_records(nonce, &epochs);
-                self.answer_asides(now, out);
+                self.receive_records(nonce, &epochs);
+                self.answer_replica_reads(now, effects);
             }
             ConfirmMessage::AskSynced { shard, epoch, sequence } => {
                 let Some(hosted) = self.hosted.get(&shard) else { return };
                 if hosted.has_synced(epoch, sequence) {
                     let sequence = hosted.replica.copy().place().sequence;
                     let synced = ConfirmMessage::Synced { shard, epoch, sequence };
-                    out.push(Effect::Send { to: from, message: Message::Confirm(synced) });
+                    effects.push(Effect::Send { to: from, message: Message::Confirm(synced) });
                 }
             }
             ConfirmMessage::Synced { shard, epoch, sequence } => {
@@ -108,7 +109,7 @@
                 let Some(hosted) = self.hosted.get_mut(&shard) else { return };
                 if hosted.replica.epoch() == epoch && is_backup {
                     hosted.synced_by.insert(sender, sequence);
-                    self.answer_asides(now, out);
+                    self.answer_replica_reads(now, effects);
                 }
             }
             ConfirmMessage::AskRecords { .. }
@@ -118,9 +119,10 @@
     }
 
     /// Takes what a control backup confirmed, as of when it was asked.
-    fn take_records(&mut self, nonce: u64, epochs: &[(ShardId, Epoch)]) {
-        let asked = self.confirming.asked.iter().find(|(asked, _)| *asked == nonce);
-        let Some((_, at)) = asked.copied() else { return };
+    fn receive_records(&mut self, nonce: u64, epochs: &[(ShardId, Epoch)]) {
+        let query =
+            self.record_queries.pending.iter().find(|(pending_nonce, _)| *pending_nonce == nonce);
+        let Some((_, at)) = query.copied() else { return };
         for (shard, epoch) in epochs {
             if let Some(hosted) = self.hosted.get_mut(shard) {
                 hosted.record_confirmed = hosted.record_confirmed.max(Some((*epoch, at)));
--- /dev/null
+++ b/programs/topazyard-storage/src/machine/counter_calls.rs
@@ -0,0 +1,197 @@
+//! The counter's calls, and the batch shards' reports to it.
+
+use super::hosted::{CommitWaiter, ServingState};
+use super::{Effects, StorageMachine};
+use crate::counter::AddOutcome;
+use topazyard_types::{DurationMs, Epoch, MonotonicMs, NodeId, ShardId, Tokens};
+use topazyard_wire::Effect;
+use topazyard_wire::message::Message;
+use topazyard_wire::message::counter::{CounterBody, CounterMessage};
+
+/// How often a batch shard reports its waiting cost.
+const REPORT_INTERVAL: DurationMs = DurationMs(250);
+/// How long a submission may wait for room below the ceiling.
+const SUBMISSION_TIMEOUT: DurationMs = DurationMs(2_000);
+/// How long it waits without a word of its relay: the ceiling it came with grows old.
+const RELAY_SILENCE_TIMEOUT: DurationMs = DurationMs(1_000);
+/// After how long a raise without a return is asked for again.
+const CAPACITY_RETRY_INTERVAL: DurationMs = DurationMs(300);
+
+/// How often the log tells what is taken of each pool's budget.
+const BUDGET_LOG_INTERVAL: DurationMs = DurationMs(5_000);
+
+impl StorageMachine {
+    /// Tells the log now and then what is taken of each budget, where this node counts it.
+    pub(super) fn log_budgets(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        if now.since(self.budgets_logged_at) < BUDGET_LOG_INTERVAL {
+            return;
+        }
+        self.budgets_logged_at = now;
+        let Some(hosted) = self.hosted.get(&ShardId::COUNTER) else { return };
+        let counter = hosted.counter().filter(|_| hosted.replica.is_serving());
+        let summaries = counter.into_iter().flat_map(crate::counter::Counter::usage_summaries);
+        effects.extend(summaries.map(|text| Effect::Note { grave: false, text }));
+    }
+
+    pub(super) fn receive_counter(
+        &mut self,
+        sender: NodeId,
+        from: std::net::SocketAddr,
+        message: CounterMessage,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
+        match message.body {
+            CounterBody::WaitingSettled { shard, number, granted } => {
+                return self.settle_capacity_request(shard, number, granted, effects);
+            }
+            // A return is never returned to: two nodes would go on for ever.
+            CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotHere => {
+                return;
+            }
+            _ => {}
+        }
+        let Some(hosted) = self.hosted.get_mut(&ShardId::COUNTER) else {
+            send(from, message.epoch, CounterBody::NotHere, effects);
+            return;
+        };
+        let serving = hosted.is_serving_in(message.epoch);
+        let ServingState::Counter(counter) = &mut hosted.serving_state else {
+            send(from, hosted.replica.epoch(), CounterBody::NotHere, effects);
+            return;
+        };
+        if !serving {
+            send(from, hosted.replica.epoch(), CounterBody::NotHere, effects);
+            return;
+        }
+        match message.body {
+            CounterBody::Add(hold) => {
+                let (granted, changes) = match counter.add(sender, &hold, now) {
+                    AddOutcome::Added(changes) => (true, changes),
+                    AddOutcome::Refused => (false, Vec::new()),
+                    AddOutcome::Gathering => {
+                        send(from, message.epoch, CounterBody::NotHere, effects);
+                        return;
+                    }
+                };
+                let engine = counter.engine_of(sender, hold.id);
+                let response = CounterBody::Added { id: hold.id, granted, engine };
+                hosted.submit(changes, CommitWaiter::Counter(from, response));
+            }
+            CounterBody::Release(id) => {
+                let changes = counter.release(sender, id);
+                if !changes.is_empty() {
+                    hosted.submit(changes, CommitWaiter::Nobody);
+                }
+            }
+            CounterBody::Renew { number, up_to, holds, asked, used } => {
+                let changes = counter.renew(sender, up_to, &holds, &asked, now);
+                counter.record_used(sender, &used);
+                // A counter that can't grant yet leaves the lease unanswered: its relays are not ready.
+                let waiter = if counter.is_gathering(now) {
+                    CommitWaiter::Nobody
+                } else {
+                    CommitWaiter::Counter(from, CounterBody::Renewed { number })
+                };
+                hosted.submit(changes, waiter);
+            }
+            CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling } => {
+                let report = crate::counter::Report { shard_epoch, life, number, total };
+                let settled = counter.report(shard, report, asked, ceiling, now);
+                if let Some((granted, changes)) = settled {
+                    let response = CounterBody::WaitingSettled { shard, number, granted };
+                    hosted.submit(changes, CommitWaiter::Counter(from, response));
+                }
+            }
+            CounterBody::Added { .. }
+            | CounterBody::Renewed { .. }
+            | CounterBody::WaitingSettled { .. }
+            | CounterBody::NotHere => {}
+        }
+    }
+
+    /// Reports a shard's waiting cost, or asks for room for the next submission.
+    pub(super) fn report_waiting(
+        &mut self,
+        shard: ShardId,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
+        let Some(counter) = self.view.shards.get(&ShardId::COUNTER) else { return };
+        let (to, epoch) = (counter.primary.address, counter.epoch);
+        let Some(hosted) = self.hosted.get_mut(&shard) else { return };
+        let ServingState::Batches(batches) = &hosted.serving_state else { return };
+        let pending_submissions = &mut hosted.pending_submissions;
+        let first = pending_submissions.queue.front();
+        let requested_cost = first.map(|s| s.items.iter().map(|item| item.cost).sum());
+        let ceiling = first.map_or(Tokens(0), |s| s.ceiling);
+        let due = match pending_submissions.requested {
+            Some((_, since)) => now.since(since) >= CAPACITY_RETRY_INTERVAL,
+            None => {
+                requested_cost.is_some()
+                    || now.since(pending_submissions.last_report) >= REPORT_INTERVAL
+            }
+        };
+        if !due || !hosted.replica.is_serving() || self.disk.is_full() {
+            return;
+        }
+        pending_submissions.last_number += 1;
+        pending_submissions.last_report = now;
+        pending_submissions.requested =
+            requested_cost.map(|_| (pending_submissions.last_number, now));
+        let (total, asked) = (batches.waiting_cost(), requested_cost.unwrap_or(Tokens(0)));
+        let (shard_epoch, number) = (hosted.replica.epoch(), pending_submissions.last_number);
+        let life = self.life;
+        let body = CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling };
+        send(to, epoch, body, effects);
+    }
+
+    fn settle_capacity_request(
+        &mut self,
+        shard: ShardId,
+        number: u64,
+        granted: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(hosted) = self.hosted.get_mut(&shard) else { return };
+        if hosted.pending_submissions.requested.is_none_or(|(requested, _)| requested != number) {
+            return;
+        }
+        hosted.pending_submissions.requested = None;
+        if let Some(submission) = hosted.pending_submissions.queue.pop_front() {
+            self.complete_submission(shard, &submission, granted, effects);
+        }
+    }
+
+    /// Gives up on submissions for which no room could be asked in time.
+    pub(super) fn drop_expired_submissions(
+        &mut self,
+        shard: ShardId,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
+        let Some(hosted) = self.hosted.get_mut(&shard) else { return };
+        let epoch = hosted.replica.epoch();
+        let is_expired = |s: &super::hosted::Submission| {
+            now.since(s.received_at) >= SUBMISSION_TIMEOUT
+                || now.since(s.last_heard) >= RELAY_SILENCE_TIMEOUT
+        };
+        while hosted.pending_submissions.queue.front().is_some_and(is_expired) {
+            hosted.pending_submissions.requested = None;
+            if let Some(expired) = hosted.pending_submissions.queue.pop_front() {
+                let response = topazyard_wire::message::batch::BatchReturn::NotHere;
+                super::serving::send(shard, epoch, expired.caller, response, effects);
+            }
+        }
+    }
+}
+
+pub(super) fn send(
+    to: std::net::SocketAddr,
+    epoch: Epoch,
+    body: CounterBody,
+    effects: &mut Effects,
+) {
+    let message = Message::Counter(CounterMessage { epoch, body });
+    effects.push(Effect::Send { to, message });
+}
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -9,11 +9,11 @@
 use topazyard_wire::message::counter::CounterBody;
 
 /// After how long without its backup's confirmation a primary wants to know what control says.
-const BACKUP_LATE: topazyard_types::DurationMs = topazyard_types::DurationMs(200);
+const CONTROL_POLL_DELAY: topazyard_types::DurationMs = topazyard_types::DurationMs(200);
 
 /// What a shard's primary works with.
 #[derive(Debug)]
-pub(crate) enum Work {
+pub(crate) enum ServingState {
     /// It is not serving.
     None,
     /// The counter.
@@ -26,39 +26,39 @@
 #[derive(Debug)]
 pub(crate) struct Hosted {
     pub(crate) replica: Replica,
-    pub(crate) work: Work,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
+    pub(crate) serving_state: ServingState,
+    pub(crate) waiters: std::collections::BTreeMap<Ticket, CommitWaiter>,
     pub(crate) last_ticket: Ticket,
     /// A wish for another record, with when it was last sent; none while it is being synced.
     pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
-    pub(crate) raising: Raising,
+    pub(crate) pending_submissions: PendingSubmissions,
     /// Submissions of batches that were refused here: a late frame of one must not be taken.
-    pub(crate) refused: std::collections::VecDeque<(NodeId, u64)>,
-    /// Reads asked aside, until control confirms that this copy still counts.
-    pub(crate) asides: Vec<Aside>,
+    pub(crate) refused_submissions: std::collections::VecDeque<(NodeId, u64)>,
+    /// Reads asked replica_reads, until control confirms that this copy still counts.
+    pub(crate) replica_reads: Vec<ReplicaRead>,
     /// The record that a quorum read of control confirmed last, with when it was asked for.
     pub(crate) record_confirmed: Option<(Epoch, MonotonicMs)>,
     /// What the other backups said they have synced in this epoch.
     pub(crate) synced_by: std::collections::BTreeMap<NodeId, Sequence>,
 }
 
-/// A read asked aside.
+/// A read asked replica_reads.
 #[derive(Debug)]
-pub(crate) struct Aside {
+pub(crate) struct ReplicaRead {
     pub(crate) caller: BatchCaller,
-    pub(crate) answer: BatchAnswer,
-    pub(crate) since: MonotonicMs,
+    pub(crate) response: PendingResponse,
+    pub(crate) received_at: MonotonicMs,
 }
 
 /// Who waits for a ticket.
 #[derive(Debug)]
-pub(crate) enum Waiting {
+pub(crate) enum CommitWaiter {
     /// Nobody.
     Nobody,
     /// A relay or a shard primary that asked the counter.
     Counter(std::net::SocketAddr, CounterBody),
     /// A relay that asked about batches.
-    Batch(BatchCaller, BatchAnswer),
+    Batch(BatchCaller, PendingResponse),
 }
 
 /// A relay's call on batches.
@@ -70,7 +70,7 @@
 
 /// What a relay's call returns once its ticket is committed.
 #[derive(Debug, Clone)]
-pub(crate) enum BatchAnswer {
+pub(crate) enum PendingResponse {
     /// This.
     Ready(BatchReturn),
     /// How the batch stands then; as accepted, or as read.
@@ -85,10 +85,10 @@
 
 /// Submissions that wait for room below the ceiling, one asked for at a time.
 #[derive(Debug, Default)]
-pub(crate) struct Raising {
+pub(crate) struct PendingSubmissions {
     pub(crate) queue: std::collections::VecDeque<Submission>,
     /// The report that asks for the first one's room, and since when.
-    pub(crate) asked: Option<(u64, MonotonicMs)>,
+    pub(crate) requested: Option<(u64, MonotonicMs)>,
     pub(crate) last_number: u64,
     pub(crate) last_report: MonotonicMs,
 }
@@ -99,22 +99,22 @@
     pub(crate) batch: BatchId,
     pub(crate) items: Vec<Item>,
     pub(crate) ceiling: Tokens,
-    pub(crate) since: MonotonicMs,
+    pub(crate) received_at: MonotonicMs,
     /// When its relay last spoke of it.
-    pub(crate) heard: MonotonicMs,
+    pub(crate) last_heard: MonotonicMs,
 }
 
 impl Hosted {
     pub(crate) fn new(replica: Replica) -> Self {
         Self {
             replica,
-            work: Work::None,
-            waiting: std::collections::BTreeMap::new(),
+            serving_state: ServingState::None,
+            waiters: std::collections::BTreeMap::new(),
             last_ticket: 0,
             wish: None,
-            raising: Raising::default(),
-            refused: std::collections::VecDeque::new(),
-            asides: Vec::new(),
+            pending_submissions: PendingSubmissions::default(),
+            refused_submissions: std::collections::VecDeque::new(),
+            replica_reads: Vec::new(),
             record_confirmed: None,
             synced_by: std::collections::BTreeMap::new(),
         }
@@ -122,37 +122,37 @@
 
     /// Calls that wait for a commit.
     pub(crate) fn calls_waiting(&self) -> usize {
-        self.waiting.values().filter(|waiting| !matches!(waiting, Waiting::Nobody)).count()
+        self.waiters.values().filter(|waiter| !matches!(waiter, CommitWaiter::Nobody)).count()
     }
 
     pub(crate) fn counter(&self) -> Option<&Counter> {
-        match &self.work {
-            Work::Counter(counter) => Some(counter),
+        match &self.serving_state {
+            ServingState::Counter(counter) => Some(counter),
             _ => None,
         }
     }
 
     pub(crate) fn batches(&self) -> Option<&Batches> {
-        match &self.work {
-            Work::Batches(batches) => Some(batches),
+        match &self.serving_state {
+            ServingState::Batches(batches) => Some(batches),
             _ => None,
         }
     }
 
     /// Submits changes on somebody's behalf.
-    pub(crate) fn submit(&mut self, changes: Vec<topazyard_wire::RowChange>, waiting: Waiting) {
+    pub(crate) fn submit(&mut self, changes: Vec<topazyard_wire::RowChange>, waiter: CommitWaiter) {
         self.last_ticket += 1;
         if self.replica.submit(self.last_ticket, changes) {
-            self.waiting.insert(self.last_ticket, waiting);
+            self.waiters.insert(self.last_ticket, waiter);
         }
     }
 
     /// Whether something here waits for the next word of control.
     pub(crate) fn waits_for_control(&self, now: MonotonicMs) -> bool {
-        let late = |since| now.since(since) >= BACKUP_LATE;
+        let late = |since| now.since(since) >= CONTROL_POLL_DELAY;
         let unsettled = self.replica.is_primary() && !self.replica.is_serving();
         let unsettled = unsettled || self.replica.backup_silent_since().is_some_and(late);
-        self.wish.is_some() || unsettled || !self.asides.is_empty()
+        self.wish.is_some() || unsettled || !self.replica_reads.is_empty()
     }
 
     /// When the asking was sent by which it was last confirmed that this copy's record stands.
@@ -163,16 +163,16 @@
 
     /// Whether all of these nodes said that they have synced what this follower holds.
     pub(crate) fn all_have_synced(&self, mut nodes: impl Iterator<Item = NodeId>) -> bool {
-        let held = self.replica.copy().place().sequence;
-        nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= held))
+        let sequence = self.replica.copy().place().sequence;
+        nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= sequence))
     }
 
     /// Whether this node follows in step in that epoch and has synced the copy up to there.
     pub(crate) fn has_synced(&self, epoch: Epoch, sequence: Sequence) -> bool {
-        let in_step = self.replica.epoch() == epoch && self.replica.was_in_step();
-        let is_whole = self.replica.doubt() != Doubt::All;
-        in_step
-            && is_whole
+        let in_sync = self.replica.epoch() == epoch && self.replica.was_in_step();
+        let is_complete = self.replica.doubt() != Doubt::All;
+        in_sync
+            && is_complete
             && self.replica.is_synced()
             && self.replica.copy().place().sequence >= sequence
     }
@@ -181,6 +181,6 @@
     pub(crate) fn is_serving_in(&self, epoch: Epoch) -> bool {
         self.replica.epoch() == epoch
             && self.replica.is_serving()
-            && !matches!(self.work, Work::None)
+            && !matches!(self.serving_state, ServingState::None)
     }
 }
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -1,10 +1,10 @@
 //! The storage node's machine: the shards it hosts, each with its part in a replica.
 
-mod aside;
 mod confirm;
-mod counting;
-mod displaced;
+mod counter_calls;
 mod hosted;
+mod replaced_backups;
+mod replica_reads;
 mod roles;
 mod serving;
 
@@ -23,18 +23,18 @@
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
 /// How old control's last word may be when a shard stops for a record with its learner.
-const HEARD_WITHIN: topazyard_types::DurationMs = topazyard_types::DurationMs(400);
+const MAX_CONTROL_AGE: topazyard_types::DurationMs = topazyard_types::DurationMs(400);
 /// How long a backup may owe its confirmation.
 const BACKUP_TIMEOUT: topazyard_types::DurationMs = topazyard_types::DurationMs(500);
 /// For how long after its start a node reckons with others that are only starting, in percent of the
 /// bound on contact.
-const STARTING_PERCENT: u64 = 100;
+const STARTUP_PERCENT: u64 = 100;
 /// How long it leaves a backup that may only be starting without a confirmation, likewise: as long as
 /// control waits before it counts a silent node as down.
-const STARTING_TIMEOUT_PERCENT: u64 = 40;
+const STARTUP_BACKUP_TIMEOUT_PERCENT: u64 = 40;
 
 /// The effects of a storage node.
-pub(crate) type Out = Vec<Effect<StorageHealth, topazyard_wire::machine::NoTask>>;
+pub(crate) type Effects = Vec<Effect<StorageHealth, topazyard_wire::machine::NoTask>>;
 
 /// What may be asked of a storage node from within its process.
 #[derive(Debug)]
@@ -85,30 +85,30 @@
     loaded: topazyard_wire::rows::Loaded,
     /// Shards in which this node answers nothing more, up to that epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
-    after_write: std::collections::BTreeMap<u64, ShardWish>,
+    requests_after_write: std::collections::BTreeMap<u64, ShardWish>,
     /// The number of the write that deleted this node's last copy of a shard.
-    deletions: std::collections::BTreeMap<ShardId, u64>,
+    deletion_writes: std::collections::BTreeMap<ShardId, u64>,
     last_write: u64,
     last_sweep: MonotonicMs,
-    pub(crate) budgets_told: MonotonicMs,
+    pub(crate) budgets_logged_at: MonotonicMs,
     /// When this process began.
-    started: Option<MonotonicMs>,
-    confirming: confirm::Confirming,
+    started_at: Option<MonotonicMs>,
+    record_queries: confirm::RecordQueries,
     /// When a frame told of an epoch that the feed has not told of yet.
     behind_since: Option<MonotonicMs>,
     remembered: topazyard_wire::driver::disked::Remembered,
     pub(crate) bounds: topazyard_spec::Bounds,
     /// What the batches of a shard may weigh, in bytes.
-    pub(crate) room_bytes: u64,
+    pub(crate) capacity_bytes: u64,
     pub(crate) disk: DiskWatch,
     pub(crate) batches_acknowledged: u64,
 }
 
 /// What the batches of a shard may weigh. Each byte lies in memory once as a row and for a moment
 /// in frames; on disk a file of pages takes it 2.2 times, as measured on the capacity page.
-fn room_bytes(resources: &topazyard_spec::Resources) -> u64 {
-    let part = |all: u64, parts| if all == 0 { u64::MAX } else { all / parts };
-    part(resources.memory_bytes, 4).min(part(resources.disk_bytes, 3))
+fn capacity_bytes(resources: &topazyard_spec::Resources) -> u64 {
+    let share = |all: u64, parts| if all == 0 { u64::MAX } else { all / parts };
+    share(resources.memory_bytes, 4).min(share(resources.disk_bytes, 3))
 }
 
 impl StorageMachine {
@@ -131,16 +131,16 @@
             hosted: std::collections::BTreeMap::new(),
             loaded: start.loaded,
             stopped,
-            after_write: std::collections::BTreeMap::new(),
-            deletions: std::collections::BTreeMap::new(),
+            requests_after_write: std::collections::BTreeMap::new(),
+            deletion_writes: std::collections::BTreeMap::new(),
             last_write: 0,
             last_sweep: MonotonicMs(0),
-            budgets_told: MonotonicMs(0),
-            started: None,
-            confirming: confirm::Confirming::new(life),
+            budgets_logged_at: MonotonicMs(0),
+            started_at: None,
+            record_queries: confirm::RecordQueries::new(life),
             behind_since: None,
             remembered,
-            room_bytes: room_bytes(&start.resources),
+            capacity_bytes: capacity_bytes(&start.resources),
             disk: DiskWatch::default(),
             batches_acknowledged: 0,
             bounds: start.bounds,
@@ -159,20 +159,20 @@
 
     /// Holds on the budget, if this node leads the counter.
     pub fn holds(&self) -> Option<usize> {
-        self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::holds))
+        self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::hold_count))
     }
 
-    fn write_own(&mut self, row: RowChange, then: Option<ShardWish>, out: &mut Out) {
+    fn write_node_row(&mut self, row: RowChange, then: Option<ShardWish>, effects: &mut Effects) {
         self.last_write += 1;
         if let Some(wish) = then {
-            self.after_write.insert(self.last_write, wish);
+            self.requests_after_write.insert(self.last_write, wish);
         }
         let token = WriteToken { group: Group::Node, number: self.last_write };
-        out.push(Effect::Write { token, changes: vec![row] });
+        effects.push(Effect::Write { token, changes: vec![row] });
     }
 
-    /// Answers nothing more in a shard's epoch, and once that is synced wishes for another record.
-    pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, out: &mut Out) {
+    /// Answers nothing more in a shard's epoch, and once that is synced requests_change for another record.
+    pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, effects: &mut Effects) {
         let shard = wish.shard;
         // The counter is lost with its process, and with it whatever it could answer: it need not
         // wait for a disk that may have stalled.
@@ -186,20 +186,20 @@
         }
         self.stopped.insert(shard, wish.epoch);
         let row = RowChange::put("stopped", &self.stopped);
-        self.write_own(row, Some(wish), out);
+        self.write_node_row(row, Some(wish), effects);
     }
 
-    /// Sends wishes until the record changes.
-    fn send_wishes(&mut self, now: MonotonicMs, out: &mut Out) {
-        let every = topazyard_types::DurationMs(100);
+    /// Sends requests_change until the record changes.
+    fn send_wishes(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        let interval = topazyard_types::DurationMs(100);
         let control: Vec<std::net::SocketAddr> = self.follower.leader().into_iter().collect();
         for hosted in self.hosted.values_mut() {
             if let Some((wish, Some(sent))) = &mut hosted.wish
-                && now.since(*sent) >= every
+                && now.since(*sent) >= interval
             {
                 *sent = now;
                 for to in &control {
-                    out.push(Effect::Send { to: *to, message: Message::Wish(wish.clone()) });
+                    effects.push(Effect::Send { to: *to, message: Message::Wish(wish.clone()) });
                 }
             }
         }
@@ -214,7 +214,7 @@
                 .hosted
                 .iter()
                 .filter_map(|(shard, hosted)| {
-                    Some((*shard, hosted.batches()?.waiting_with_routed().0))
+                    Some((*shard, hosted.batches()?.total_waiting_cost().0))
                 })
                 .collect(),
             live_tokens: self
@@ -224,7 +224,7 @@
         }
     }
 
-    fn own_health(&self, now: MonotonicMs) -> StorageHealth {
+    fn storage_health(&self, now: MonotonicMs) -> StorageHealth {
         let serving = || self.hosted.iter().filter(|(_, hosted)| hosted.replica.is_serving());
         let batches = || serving().filter_map(|(_, hosted)| Some(&hosted.batches()?.routed));
         StorageHealth {
@@ -236,7 +236,7 @@
             holds: self
                 .hosted
                 .values()
-                .find_map(|hosted| hosted.counter().map(crate::counter::Counter::holds)),
+                .find_map(|hosted| hosted.counter().map(crate::counter::Counter::hold_count)),
             epochs: self
                 .hosted
                 .iter()
@@ -251,44 +251,44 @@
     }
 
     /// Asks the feed, if it is time to.
-    fn ask_feed(&mut self, now: MonotonicMs, out: &mut Out) {
+    fn poll_feed(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let health = self.health(now);
         if let Some((to, message)) = self.follower.tick(now, || health) {
-            out.push(Effect::Send { to, message: Message::Feed(message) });
+            effects.push(Effect::Send { to, message: Message::Feed(message) });
         }
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.note_disk(now, out);
+    fn tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.log_disk_state(now, effects);
         let outgoing = self.membership.tick(now);
-        out.extend(topazyard_membership::effects(outgoing));
-        self.remember_addresses(out);
+        effects.extend(topazyard_membership::effects(outgoing));
+        self.remember_addresses(effects);
         self.follower.learn_sources(self.membership.addresses(Duty::Control));
         let behind = self.behind_since.is_some_and(|at| self.follower.confirmed_at() <= Some(at));
         let waits = self.hosted.values().any(|hosted| hosted.waits_for_control(now));
         self.follower.hurry(behind || waits || self.is_starting(now));
-        self.ask_feed(now, out);
+        self.poll_feed(now, effects);
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in &shards {
             let Some(hosted) = self.hosted.get_mut(shard) else { continue };
             let heard = self.follower.confirmed_at();
-            hosted.replica.hold_learner(heard.is_none_or(|at| now.since(at) >= HEARD_WITHIN));
+            hosted.replica.hold_learner(heard.is_none_or(|at| now.since(at) >= MAX_CONTROL_AGE));
             let outputs = hosted.replica.tick(now);
-            self.take_replica(*shard, outputs, now, out);
-            self.wish_if_backup_silent(*shard, now, out);
+            self.apply_replica_outputs(*shard, outputs, now, effects);
+            self.drop_silent_backups(*shard, now, effects);
         }
-        self.send_wishes(now, out);
-        self.confirm_tick(now, out);
-        self.tell_budgets(now, out);
+        self.send_wishes(now, effects);
+        self.send_queries(now, effects);
+        self.log_budgets(now, effects);
         if now.since(self.last_sweep) >= topazyard_types::DurationMs(100) {
             self.last_sweep = now;
-            shards.iter().for_each(|shard| self.sweep(*shard, now, out));
+            shards.iter().for_each(|shard| self.sweep(*shard, now, effects));
         }
     }
 
     /// Counts the writes that are handed to the disk.
-    fn watch_writes(&mut self, out: &Out, now: MonotonicMs) {
-        for effect in out {
+    fn watch_writes(&mut self, effects: &Effects, now: MonotonicMs) {
+        for effect in effects {
             if let Effect::Write { token, .. } = effect {
                 self.disk.begun(*token, now);
             }
@@ -296,18 +296,18 @@
     }
 
     /// Says in the log when the disk is full, stalls or is well again.
-    fn note_disk(&mut self, now: MonotonicMs, out: &mut Out) {
+    fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if let Some(state) = self.disk.news(now) {
-            out.push(Effect::Note { grave: false, text: state.to_string() });
+            effects.push(Effect::Note { grave: false, text: state.to_string() });
         }
     }
 
-    fn remember_addresses(&mut self, out: &mut Out) {
+    fn remember_addresses(&mut self, effects: &mut Effects) {
         if !self.disk.takes_more() {
             return;
         }
         if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
-            self.write_own(row, None, out);
+            self.write_node_row(row, None, effects);
         }
     }
 
@@ -317,52 +317,52 @@
         from: std::net::SocketAddr,
         message: ReplicaMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let Group::Shard(shard) = message.group else { return };
         if message.body == ReplicaBody::NotHeld {
-            return self.drop_displaced(shard, sender, from, message.epoch, out);
+            return self.drop_replaced_backups(shard, sender, from, message.epoch, effects);
         }
         let hosted = self.hosted.get_mut(&shard);
         if hosted.as_ref().is_none_or(|hosted| hosted.replica.epoch() < message.epoch) {
             self.behind_since.get_or_insert(now);
-            self.answer_for_copy_not_held(shard, from, &message, out);
+            self.report_not_held(shard, from, &message, effects);
         } else if let Some(hosted) = hosted {
             self.behind_since = None;
             let from = topazyard_replication::replica::From { id: sender, address: from };
             let outputs = hosted.replica.receive(from, message, now);
-            self.take_replica(shard, outputs, now, out);
+            self.apply_replica_outputs(shard, outputs, now, effects);
         }
     }
 
-    fn part_of_contact(&self, percent: u64) -> topazyard_types::DurationMs {
+    fn percent_of_contact(&self, percent: u64) -> topazyard_types::DurationMs {
         topazyard_types::DurationMs(self.bounds.contact.0 * percent / 100)
     }
 
     /// Whether this process began so lately that others may have begun with it and not be heard yet, as
     /// after a loss of power.
     fn is_starting(&self, now: MonotonicMs) -> bool {
-        let limit = self.part_of_contact(STARTING_PERCENT);
-        self.started.is_none_or(|at| now.since(at) < limit)
+        let limit = self.percent_of_contact(STARTUP_PERCENT);
+        self.started_at.is_none_or(|at| now.since(at) < limit)
     }
 
-    fn wish_if_backup_silent(&mut self, shard: ShardId, now: MonotonicMs, out: &mut Out) {
+    fn drop_silent_backups(&mut self, shard: ShardId, now: MonotonicMs, effects: &mut Effects) {
         let timeout = match self.is_starting(now) {
-            true => self.part_of_contact(STARTING_TIMEOUT_PERCENT),
+            true => self.percent_of_contact(STARTUP_BACKUP_TIMEOUT_PERCENT),
             false => BACKUP_TIMEOUT,
         };
         let Some(hosted) = self.hosted.get(&shard) else { return };
         let silent_since = hosted.replica.backup_silent_since();
         // Where control can't be heard either it may be this node that hears nobody.
         let heard = self.follower.confirmed_at();
-        let alone = silent_since.is_some_and(|since| heard <= Some(since));
+        let may_be_isolated = silent_since.is_some_and(|since| heard <= Some(since));
         let silent = hosted.replica.silent_backups(timeout, now);
         // With a full disk it can't sync that it stopped; control moves its duties away.
-        let may_wish = hosted.wish.is_none() && !self.disk.is_full();
-        if may_wish && !alone && !silent.is_empty() {
+        let may_request = hosted.wish.is_none() && !self.disk.is_full();
+        if may_request && !may_be_isolated && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
             let wish = Wish::DropBackups(silent);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, out);
+            self.stop_and_wish(ShardWish { shard, epoch, wish }, effects);
         }
     }
 }
@@ -372,26 +372,26 @@
     type Return = StorageHealth;
     type Task = topazyard_wire::machine::NoTask;
 
-    fn step(&mut self, input: Input<StorageCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<StorageCall>, now: MonotonicMs) -> Effects {
+        let mut effects = Vec::new();
         if let Input::Written(token) = &input {
             self.disk.synced(*token);
         }
-        self.started.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         match input {
             Input::Disk(state) => self.disk.take_state(state, now),
-            Input::Tick => self.tick(now, &mut out),
+            Input::Tick => self.tick(now, &mut effects),
             Input::Written(token) => match token.group {
                 Group::Shard(shard) => {
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
                         let outputs = hosted.replica.written(token.number);
-                        self.take_replica(shard, outputs, now, &mut out);
+                        self.apply_replica_outputs(shard, outputs, now, &mut effects);
                     }
                 }
                 _ => {
-                    if let Some(wish) = self.after_write.remove(&token.number) {
+                    if let Some(wish) = self.requests_after_write.remove(&token.number) {
                         self.begin_wishing(&wish);
-                        self.send_wishes(now, &mut out);
+                        self.send_wishes(now, &mut effects);
                     }
                 }
             },
@@ -400,41 +400,43 @@
                 self.membership.take_seeds(seeds);
             }
             Input::Call { call, request: StorageCall::Health } => {
-                out.push(Effect::Return { call, value: self.own_health(now) });
+                effects.push(Effect::Return { call, value: self.storage_health(now) });
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
                     let outgoing = self.membership.receive(from, message, now);
-                    out.extend(topazyard_membership::effects(outgoing));
+                    effects.extend(topazyard_membership::effects(outgoing));
                 }
                 Message::Feed(message) => {
                     if self.follower.receive(from, message) == Followed::Changed {
                         self.view = FleetView::read(self.follower.copy().rows());
-                        self.settle_roles(now, &mut out);
+                        self.update_roles(now, &mut effects);
                     }
                     if self.follower.is_fetching() {
-                        self.ask_feed(now, &mut out);
+                        self.poll_feed(now, &mut effects);
                     }
-                    self.answer_asides(now, &mut out);
+                    self.answer_replica_reads(now, &mut effects);
                 }
                 Message::Replica(message) => {
-                    self.receive_replica(sender, from, message, now, &mut out)
+                    self.receive_replica(sender, from, message, now, &mut effects)
                 }
                 Message::Counter(message) => {
-                    self.receive_counter(sender, from, message, now, &mut out);
+                    self.receive_counter(sender, from, message, now, &mut effects);
                 }
                 Message::Batch(message) => {
-                    self.receive_batch(sender, from, message, now, &mut out);
+                    self.receive_batch(sender, from, message, now, &mut effects);
+                }
+                Message::Told(shard, record) => {
+                    self.receive_record(shard, record, now, &mut effects)
                 }
-                Message::Told(shard, record) => self.told_record(shard, record, now, &mut out),
                 Message::Confirm(message) => {
-                    self.receive_confirm(sender, from, message, now, &mut out);
+                    self.receive_confirm(sender, from, message, now, &mut effects);
                 }
                 Message::Core(_) | Message::Wish(_) | Message::Operate(_) => {}
             },
         }
-        self.proceed(now, &mut out);
-        self.watch_writes(&out, now);
-        out
+        self.proceed(now, &mut effects);
+        self.watch_writes(&effects, now);
+        effects
     }
 }
--- a/programs/topazyard-storage/src/machine/aside.rs
+++ b/programs/topazyard-storage/src/machine/replica_reads.rs
@@ -1,25 +1,25 @@
-//! Reads asked aside, when a shard's primary leaves them unanswered.
+//! Reads asked replica_reads, when a shard's primary leaves them unanswered.
 //!
 //! Whoever a shard's record names primary or backup holds all that was ever answered under it. So
 //! either may answer a read once control has confirmed, after the read came, that the record still
 //! stands. Left out is what the last changes touched as long as nobody knows whether they were
 //! committed: they might go again. A batch that isn't held is never said not to exist.
 
-use super::hosted::{Aside, BatchAnswer, BatchCaller, Hosted};
-use super::{Out, StorageMachine};
+use super::hosted::{BatchCaller, Hosted, PendingResponse, ReplicaRead};
+use super::{Effects, StorageMachine};
 use topazyard_replication::{Copy, Doubt};
 use topazyard_types::{BatchId, DurationMs, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::message::batch::{BatchCall, BatchReturn};
 use topazyard_wire::message::control::ShardRecord;
 
-/// Reads asked aside that may wait at a shard.
-const MOST_ASIDES: usize = 256;
+/// Reads asked replica_reads that may wait at a shard.
+const MAX_REPLICA_READS: usize = 256;
 /// How long one waits; its relay asks again.
-const WAITS: DurationMs = DurationMs(600);
+const REPLICA_READ_TIMEOUT: DurationMs = DurationMs(600);
 
-impl BatchAnswer {
+impl PendingResponse {
     /// What a read is answered with, if it is one.
-    pub(super) fn of_read(call: &BatchCall) -> Option<Self> {
+    pub(super) fn for_read(call: &BatchCall) -> Option<Self> {
         match call {
             BatchCall::Read(batch) => Some(Self::Standing(*batch, false)),
             BatchCall::Returns { batch, after } => Some(Self::Returns(*batch, *after)),
@@ -40,18 +40,18 @@
     }
 
     /// The return, as a copy has it.
-    pub(super) fn answered_by(self, copy: &Copy) -> Option<BatchReturn> {
+    pub(super) fn resolve(self, copy: &Copy) -> Option<BatchReturn> {
         match self {
             Self::Ready(value) => Some(value),
             Self::Standing(batch, accepted) => {
-                let standing = crate::batches::standing(copy, batch);
+                let standing = crate::batches::status(copy, batch);
                 standing.map(|standing| match accepted {
                     true => BatchReturn::Accepted(standing),
                     false => BatchReturn::Standing(standing),
                 })
             }
             Self::Returns(batch, after) => {
-                crate::batches::returns(copy, batch, after).map(BatchReturn::Returns)
+                crate::batches::results(copy, batch, after).map(BatchReturn::Returns)
             }
             Self::Results(batch, after) => {
                 let found = crate::batches::routed::results(copy, batch, after);
@@ -65,10 +65,10 @@
 }
 
 /// Whether all that this node's copy has of a batch surely stays.
-fn is_sure(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
+fn is_known_committed(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
     let replica = &hosted.replica;
     let is_of_batch = |key| crate::batches::rows::is_of(key, batch.number);
-    let touched = || replica.copy().last_changed().any(is_of_batch);
+    let changed_last = || replica.copy().last_changed().any(is_of_batch);
     let synced_by_all = || {
         let others_have = hosted.all_have_synced(other_backups(record, me));
         let primary_has = replica.is_last_synced_by_primary();
@@ -79,7 +79,7 @@
         // It is on as many disks as the record bears losses, and one more. That the primary holds it in
         // memory is not enough: it may lose its power while the others lose their disks.
         (Doubt::LastChanges, false) if synced_by_all() => true,
-        (Doubt::LastChanges, _) => !touched(),
+        (Doubt::LastChanges, _) => !changed_last(),
         (Doubt::SomeChanges | Doubt::All, _) => false,
     }
 }
@@ -90,7 +90,7 @@
 }
 
 impl StorageMachine {
-    pub(super) fn take_aside(
+    pub(super) fn queue_replica_read(
         &mut self,
         shard: ShardId,
         caller: BatchCaller,
@@ -98,36 +98,36 @@
         now: MonotonicMs,
     ) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
-        hosted.asides.retain(|aside| now.since(aside.since) < WAITS);
-        if let Some(answer) = BatchAnswer::of_read(call)
-            && hosted.asides.len() < MOST_ASIDES
+        hosted.replica_reads.retain(|read| now.since(read.received_at) < REPLICA_READ_TIMEOUT);
+        if let Some(response) = PendingResponse::for_read(call)
+            && hosted.replica_reads.len() < MAX_REPLICA_READS
         {
-            hosted.asides.push(Aside { caller, answer, since: now });
+            hosted.replica_reads.push(ReplicaRead { caller, response, received_at: now });
         }
     }
 
     /// Answers reads that came before the asking that was confirmed last.
-    pub(super) fn answer_asides(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn answer_replica_reads(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let by_feed = self.follower.confirmed_at();
         let me = self.member.id;
         for (shard, hosted) in &mut self.hosted {
             let Some(record) = self.view.shards.get(shard) else { continue };
             let is_named = record.members().any(|node| node.id == me);
-            hosted.asides.retain(|aside| now.since(aside.since) < WAITS);
+            hosted.replica_reads.retain(|read| now.since(read.received_at) < REPLICA_READ_TIMEOUT);
             if !is_named || record.epoch != hosted.replica.epoch() {
                 continue;
             }
             let epoch = record.epoch;
             let Some(confirmed) = hosted.confirmed_at(by_feed) else { continue };
-            let waiting = std::mem::take(&mut hosted.asides);
-            let (now_sure, waiting) = waiting.into_iter().partition::<Vec<_>, _>(|aside| {
-                let sure = |batch| is_sure(hosted, record, me, batch);
-                aside.since < confirmed && aside.answer.batch().is_some_and(sure)
+            let waiting = std::mem::take(&mut hosted.replica_reads);
+            let (answerable, waiting) = waiting.into_iter().partition::<Vec<_>, _>(|read| {
+                let is_committed = |batch| is_known_committed(hosted, record, me, batch);
+                read.received_at < confirmed && read.response.batch().is_some_and(is_committed)
             });
-            hosted.asides = waiting;
-            for aside in now_sure {
-                if let Some(value) = aside.answer.answered_by(hosted.replica.copy()) {
-                    super::serving::send(*shard, epoch, aside.caller, value, out);
+            hosted.replica_reads = waiting;
+            for read in answerable {
+                if let Some(value) = read.response.resolve(hosted.replica.copy()) {
+                    super::serving::send(*shard, epoch, read.caller, value, effects);
                 }
             }
         }
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -1,7 +1,7 @@
 //! The role this node has in each shard, as the feed says it.
 
-use super::hosted::{Hosted, Work};
-use super::{Out, StorageMachine};
+use super::hosted::{Hosted, ServingState};
+use super::{Effects, StorageMachine};
 use topazyard_replication::invariants::{check_acknowledged_on_enough, report};
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
 use topazyard_types::{MonotonicMs, ShardId};
@@ -12,37 +12,37 @@
 
 impl StorageMachine {
     /// Takes the roles that the view gives this node.
-    pub(super) fn settle_roles(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn update_roles(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let records: Vec<(ShardId, ShardRecord)> =
             self.view.shards.iter().map(|(shard, record)| (*shard, record.clone())).collect();
         for (shard, record) in records {
             let known = self.hosted.get(&shard).is_some_and(|h| h.replica.epoch() >= record.epoch);
             let settled = known && self.hosted.get(&shard).is_some_and(|h| h.replica.has_role());
             if !settled {
-                self.settle_role(shard, &record, now, out);
+                self.update_role(shard, &record, now, effects);
             }
         }
     }
 
     /// Takes a record that somebody passed on. It was decided once and for all, whoever tells it.
-    pub(super) fn told_record(
+    pub(super) fn receive_record(
         &mut self,
         shard: ShardId,
         record: ShardRecord,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let known = self.view.shards.get(&shard).map(|record| record.epoch);
         if known.is_some_and(|known| known < record.epoch) {
             self.view.shards.insert(shard, record);
-            self.settle_roles(now, out);
+            self.update_roles(now, effects);
         }
     }
 
     fn host(&mut self, shard: ShardId) -> &mut Hosted {
         let life = self.life;
         let loaded = self.loaded.remove(&Group::Shard(shard)).unwrap_or_default();
-        let last_write = self.deletions.get(&shard).copied().unwrap_or_default();
+        let last_write = self.deletion_writes.get(&shard).copied().unwrap_or_default();
         self.hosted.entry(shard).or_insert_with(|| {
             let mut copy = Copy::loaded(loaded);
             copy.remember_only_last();
@@ -52,19 +52,19 @@
     }
 
     /// The one place where this node's role in a shard changes.
-    fn settle_role(
+    fn update_role(
         &mut self,
         shard: ShardId,
         record: &ShardRecord,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let me = self.member.id;
         if !record.holders().any(|node| node.id == me) {
-            self.let_go(shard, out);
+            self.delete_copy(shard, effects);
             return;
         }
-        let at = |nodes: &[CoreNode]| {
+        let addresses_of = |nodes: &[CoreNode]| {
             let addresses: Vec<String> = nodes.iter().map(|n| n.address.to_string()).collect();
             addresses.join(" ")
         };
@@ -72,25 +72,25 @@
             "shard {shard} epoch {}: primary {} backups [{}] of {} fallbacks [{}] learners [{}]",
             record.epoch,
             record.primary.address,
-            at(&record.backups),
+            addresses_of(&record.backups),
             record.copies.saturating_sub(1),
-            at(&record.fallbacks),
-            at(&record.learners)
+            addresses_of(&record.fallbacks),
+            addresses_of(&record.learners)
         );
-        out.push(Effect::Note { grave: false, text });
+        effects.push(Effect::Note { grave: false, text });
         let stopped = self.stopped.get(&shard).is_some_and(|epoch| *epoch >= record.epoch);
         let hosted = self.host(shard);
         hosted.wish = None;
         hosted.synced_by.clear();
         let has_restarted = !hosted.replica.has_role()
             && hosted.replica.copy().place() != topazyard_types::Place::default();
-        let hands_over = has_restarted && record.primary.id == me && !record.backups.is_empty();
-        let outputs = if hands_over {
+        let needs_handover = has_restarted && record.primary.id == me && !record.backups.is_empty();
+        let outputs = if needs_handover {
             // It must not bring its backups in step with a copy that may lack what they have shown.
             hosted.replica.become_idle(record.epoch)
         } else if record.primary.id == me {
             // One that stopped in this epoch before it restarted serves no more in it: it fills
-            // the learners, or wishes for some.
+            // the learners, or requests_change for some.
             let followers = Followers {
                 backups: record.backups.clone(),
                 learners: record.learners.clone(),
@@ -98,35 +98,35 @@
             };
             hosted.replica.become_primary(record.epoch, followers, now)
         } else {
-            hosted.work = Work::None;
+            hosted.serving_state = ServingState::None;
             if record.is_backup(me) || record.learners.iter().any(|node| node.id == me) {
                 hosted.replica.become_follower(record.epoch, record.primary.id, now)
             } else {
                 hosted.replica.become_idle(record.epoch)
             }
         };
-        self.take_replica(shard, outputs, now, out);
-        if hands_over {
+        self.apply_replica_outputs(shard, outputs, now, effects);
+        if needs_handover {
             // A backup may have answered reads meanwhile from a batch that was lost here.
             let wish = ShardWish { shard, epoch: record.epoch, wish: Wish::HandOver };
-            self.stop_and_wish(wish, out);
+            self.stop_and_wish(wish, effects);
             return;
         }
-        let wishes = stopped && record.primary.id == me && record.learners.is_empty();
-        if wishes && !record.backups.is_empty() && !shard.is_counter() {
+        let requests_change = stopped && record.primary.id == me && record.learners.is_empty();
+        if requests_change && !record.backups.is_empty() && !shard.is_counter() {
             let all = record.backups.iter().map(|node| node.id).collect();
             let wish = ShardWish { shard, epoch: record.epoch, wish: Wish::DropBackups(all) };
-            self.stop_and_wish(wish, out);
+            self.stop_and_wish(wish, effects);
         }
     }
 
     /// Deletes a copy that no record names any more.
-    fn let_go(&mut self, shard: ShardId, out: &mut Out) {
+    fn delete_copy(&mut self, shard: ShardId, effects: &mut Effects) {
         let loaded = self.loaded.remove(&Group::Shard(shard));
         let hosted = self.hosted.remove(&shard);
         let mut keys: Vec<String> =
             loaded.map(|rows| rows.into_keys().collect()).unwrap_or_default();
-        let mut last_write = self.deletions.get(&shard).copied().unwrap_or_default();
+        let mut last_write = self.deletion_writes.get(&shard).copied().unwrap_or_default();
         if let Some(hosted) = hosted {
             keys = hosted.replica.copy().keys_on_disk();
             last_write = hosted.replica.last_write();
@@ -136,10 +136,10 @@
         }
         // No one waits for this write. A copy that is taken up later numbers its writes after it.
         let number = last_write + 1;
-        self.deletions.insert(shard, number);
+        self.deletion_writes.insert(shard, number);
         let token = WriteToken { group: Group::Shard(shard), number };
         let changes = keys.into_iter().map(RowChange::gone).collect();
-        out.push(Effect::Write { token, changes });
+        effects.push(Effect::Write { token, changes });
     }
 
     pub(super) fn begin_wishing(&mut self, wish: &ShardWish) {
@@ -151,34 +151,36 @@
         }
     }
 
-    pub(super) fn take_replica(
+    pub(super) fn apply_replica_outputs(
         &mut self,
         shard: ShardId,
         outputs: Vec<ReplicaOutput>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         for output in outputs {
             match output {
                 ReplicaOutput::Send(to, message) => {
-                    out.push(Effect::Send { to, message: Message::Replica(message) });
+                    effects.push(Effect::Send { to, message: Message::Replica(message) });
+                }
+                ReplicaOutput::Write(token, changes) => {
+                    effects.push(Effect::Write { token, changes })
                 }
-                ReplicaOutput::Write(token, changes) => out.push(Effect::Write { token, changes }),
                 ReplicaOutput::Committed(tickets) => {
-                    self.check_acknowledges(shard);
+                    self.check_acknowledgment(shard);
                     for ticket in tickets {
-                        self.settle(shard, ticket, out);
+                        self.complete_ticket(shard, ticket, effects);
                     }
                 }
                 ReplicaOutput::Lost(tickets) => {
                     // Whoever asked asks again; what came of it is in the copies or nowhere.
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
-                        tickets.iter().for_each(|ticket| drop(hosted.waiting.remove(ticket)));
-                        hosted.work = Work::None;
-                        hosted.raising = Default::default();
+                        tickets.iter().for_each(|ticket| drop(hosted.waiters.remove(ticket)));
+                        hosted.serving_state = ServingState::None;
+                        hosted.pending_submissions = Default::default();
                     }
                 }
-                ReplicaOutput::Serving => self.begin_work(shard, now, out),
+                ReplicaOutput::Serving => self.start_serving(shard, now, effects),
                 ReplicaOutput::LearnersReady => {
                     // One that wished for backups to go would have them counted again.
                     if let Some(hosted) = self.hosted.get(&shard)
@@ -186,7 +188,7 @@
                     {
                         let epoch = hosted.replica.epoch();
                         let wish = ShardWish { shard, epoch, wish: Wish::PromoteLearners };
-                        self.stop_and_wish(wish, out);
+                        self.stop_and_wish(wish, effects);
                     }
                 }
             }
@@ -194,7 +196,7 @@
     }
 
     /// Checks, before anything is acknowledged, that enough copies have synced it.
-    fn check_acknowledges(&self, shard: ShardId) {
+    fn check_acknowledgment(&self, shard: ShardId) {
         let (Some(hosted), Some(record)) = (self.hosted.get(&shard), self.view.shards.get(&shard))
         else {
             return;
@@ -208,17 +210,19 @@
     }
 
     /// The primary may commit: it takes up its work from the copy, unless it had it already.
-    fn begin_work(&mut self, shard: ShardId, now: MonotonicMs, out: &mut Out) {
+    fn start_serving(&mut self, shard: ShardId, now: MonotonicMs, effects: &mut Effects) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
-        if matches!(hosted.work, Work::None) {
+        if matches!(hosted.serving_state, ServingState::None) {
             let copy = hosted.replica.copy();
-            hosted.work = if shard.is_counter() {
-                Work::Counter(crate::counter::Counter::taken_over(copy, now))
+            hosted.serving_state = if shard.is_counter() {
+                ServingState::Counter(crate::counter::Counter::from_copy(copy, now))
             } else {
-                Work::Batches(crate::batches::Batches::taken_over(shard, copy, self.life, now))
+                ServingState::Batches(crate::batches::Batches::from_copy(
+                    shard, copy, self.life, now,
+                ))
             };
         }
         let text = format!("shard {shard} serves in epoch {}", hosted.replica.epoch());
-        out.push(Effect::Note { grave: false, text });
+        effects.push(Effect::Note { grave: false, text });
     }
 }
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -1,8 +1,8 @@
 //! The calls of a batch shard's primary, and answers once tickets are committed.
 
-use super::hosted::{BatchAnswer, BatchCaller, Submission, Waiting, Work};
-use super::{Out, StorageMachine};
-use crate::batches::routed::Taken;
+use super::hosted::{BatchCaller, CommitWaiter, PendingResponse, ServingState, Submission};
+use super::{Effects, StorageMachine};
+use crate::batches::routed::SubmitOutcome;
 use topazyard_replication::Ticket;
 use topazyard_types::{Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
@@ -10,9 +10,9 @@
 use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
 
 /// Refused submissions of batches that a shard remembers.
-const REFUSED: usize = 256;
+const MAX_REFUSED_SUBMISSIONS: usize = 256;
 /// Submissions that may wait for room below the ceiling.
-const SUBMISSIONS: usize = 256;
+const MAX_PENDING_SUBMISSIONS: usize = 256;
 
 impl StorageMachine {
     pub(super) fn receive_batch(
@@ -21,135 +21,137 @@
         from: std::net::SocketAddr,
         message: BatchMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let (shard, caller) = (message.shard, BatchCaller { to: from, call: message.call });
         let call = match message.body {
             BatchBody::Call(call) => call,
-            BatchBody::Aside(call) => return self.take_aside(shard, caller, &call, now),
+            BatchBody::Aside(call) => return self.queue_replica_read(shard, caller, &call, now),
             BatchBody::Return(_) => return,
         };
         let epoch = self.hosted.get(&shard).map_or(message.epoch, |hosted| hosted.replica.epoch());
         let is_full = self.disk.is_full();
         let served = match self.hosted.get_mut(&shard) {
             Some(hosted) if hosted.is_serving_in(message.epoch) && !is_full => {
-                Self::work(hosted, sender, caller, call, self.room_bytes, now)
+                Self::execute_call(hosted, sender, caller, call, self.capacity_bytes, now)
             }
             _ => false,
         };
         if served {
-            self.report_waiting(shard, now, out);
+            self.report_waiting(shard, now, effects);
         } else {
-            send(shard, epoch, caller, BatchReturn::NotHere, out);
+            send(shard, epoch, caller, BatchReturn::NotHere, effects);
         }
     }
 
     /// Works on a call; gives false where it can't.
-    fn work(
+    fn execute_call(
         hosted: &mut super::Hosted,
         relay: NodeId,
         caller: BatchCaller,
         call: BatchCall,
-        room_bytes: u64,
+        capacity_bytes: u64,
         now: MonotonicMs,
     ) -> bool {
-        let Work::Batches(batches) = &mut hosted.work else { return false };
-        let (changes, answer) = match call {
+        let ServingState::Batches(batches) = &mut hosted.serving_state else { return false };
+        let (changes, response) = match call {
             BatchCall::Submit { batch, items, ceiling } if !batches.contains(batch) => {
-                let queue = &mut hosted.raising.queue;
-                if queue.len() >= SUBMISSIONS {
+                let queue = &mut hosted.pending_submissions.queue;
+                if queue.len() >= MAX_PENDING_SUBMISSIONS {
                     return false;
                 }
                 // Sent again while it waits: the later call gets the return.
                 match queue.iter_mut().find(|waiting| waiting.batch == batch) {
                     Some(waiting) => {
-                        (waiting.caller, waiting.ceiling, waiting.heard) = (caller, ceiling, now);
+                        (waiting.caller, waiting.ceiling, waiting.last_heard) =
+                            (caller, ceiling, now);
                     }
                     None => {
-                        let (since, heard) = (now, now);
-                        let new = Submission { caller, batch, items, ceiling, since, heard };
+                        let (received_at, last_heard) = (now, now);
+                        let new =
+                            Submission { caller, batch, items, ceiling, received_at, last_heard };
                         queue.push_back(new);
                     }
                 }
                 return true;
             }
-            BatchCall::Submit { batch, .. } => (Vec::new(), BatchAnswer::Standing(batch, true)),
+            BatchCall::Submit { batch, .. } => (Vec::new(), PendingResponse::Standing(batch, true)),
             BatchCall::SubmitRouted(routed) => {
-                let me = (relay, caller.call);
-                let taken = match hosted.refused.contains(&me) {
-                    true => Taken::CeilingReached,
-                    false => batches.routed.submit(&routed, room_bytes, now),
+                let submission = (relay, caller.call);
+                let outcome = match hosted.refused_submissions.contains(&submission) {
+                    true => SubmitOutcome::CeilingReached,
+                    false => batches.routed.submit(&routed, capacity_bytes, now),
                 };
-                match taken {
-                    Taken::Accepted(changes) => {
-                        (changes, BatchAnswer::Standing(routed.batch, true))
+                match outcome {
+                    SubmitOutcome::Accepted(changes) => {
+                        (changes, PendingResponse::Standing(routed.batch, true))
                     }
-                    Taken::CeilingReached | Taken::NoRoom => {
-                        if hosted.refused.len() >= REFUSED {
-                            hosted.refused.pop_front();
+                    SubmitOutcome::CeilingReached | SubmitOutcome::OverCapacity => {
+                        if hosted.refused_submissions.len() >= MAX_REFUSED_SUBMISSIONS {
+                            hosted.refused_submissions.pop_front();
                         }
-                        hosted.refused.push_back(me);
-                        (Vec::new(), BatchAnswer::Ready(BatchReturn::CeilingReached))
+                        hosted.refused_submissions.push_back(submission);
+                        (Vec::new(), PendingResponse::Ready(BatchReturn::CeilingReached))
                     }
                 }
             }
             BatchCall::Read(_)
             | BatchCall::Returns { .. }
             | BatchCall::Results { .. }
-            | BatchCall::Body { .. } => match BatchAnswer::of_read(&call) {
-                Some(answer) => (Vec::new(), answer),
+            | BatchCall::Body { .. } => match PendingResponse::for_read(&call) {
+                Some(response) => (Vec::new(), response),
                 None => return false,
             },
             BatchCall::Recall(batch, item) => {
-                let (answer, changes) = batches.recall(batch, item, now);
-                (changes, BatchAnswer::Ready(answer))
+                let (value, changes) = batches.recall(batch, item, now);
+                (changes, PendingResponse::Ready(value))
             }
-            BatchCall::End(batch) => match batches.end_either(batch, now) {
-                Some(changes) => (changes, BatchAnswer::Standing(batch, false)),
-                None => (Vec::new(), BatchAnswer::Ready(BatchReturn::Unknown)),
+            BatchCall::End(batch) => match batches.end_any(batch, now) {
+                Some(changes) => (changes, PendingResponse::Standing(batch, false)),
+                None => (Vec::new(), PendingResponse::Ready(BatchReturn::Unknown)),
             },
             BatchCall::Lease { most, models, routes } => {
                 let copy = hosted.replica.copy();
                 let mut leased = batches.routed.lease(relay, most, &routes, copy, now);
-                let left = most - leased.len() as u32;
-                leased.extend(batches.lease(relay, left, &models, copy, now));
-                (Vec::new(), BatchAnswer::Ready(BatchReturn::Leased(leased)))
+                let remaining = most - leased.len() as u32;
+                leased.extend(batches.lease(relay, remaining, &models, copy, now));
+                (Vec::new(), PendingResponse::Ready(BatchReturn::Leased(leased)))
             }
             BatchCall::Start(run) => {
                 let (may_start, changes) = batches.start(relay, run, now);
-                (changes, BatchAnswer::Ready(BatchReturn::MayStart(may_start)))
+                (changes, PendingResponse::Ready(BatchReturn::MayStart(may_start)))
             }
             BatchCall::Finish(run, end) => {
                 let changes = match batches.routed.contains(run.batch) {
                     true => batches.routed.finish(relay, run, end, now),
                     false => batches.finish(relay, run, end, now),
                 };
-                (changes, BatchAnswer::Ready(BatchReturn::Noted))
+                (changes, PendingResponse::Ready(BatchReturn::Noted))
             }
             BatchCall::Running(runs) => {
                 batches.running(&runs, now);
                 batches.routed.running(relay, &runs, now);
-                (Vec::new(), BatchAnswer::Ready(BatchReturn::Noted))
+                (Vec::new(), PendingResponse::Ready(BatchReturn::Noted))
             }
         };
-        hosted.submit(changes, Waiting::Batch(caller, answer));
+        hosted.submit(changes, CommitWaiter::Batch(caller, response));
         true
     }
 
     /// Accepts a submission for which there is room, or refuses it.
-    pub(super) fn settle_submission(
+    pub(super) fn complete_submission(
         &mut self,
         shard: ShardId,
         submission: &Submission,
         granted: bool,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
-        let Work::Batches(batches) = &mut hosted.work else { return };
+        let ServingState::Batches(batches) = &mut hosted.serving_state else { return };
         let (batch, caller) = (submission.batch, submission.caller);
         if !granted && !batches.contains(batch) {
             let epoch = hosted.replica.epoch();
-            send(shard, epoch, caller, BatchReturn::CeilingReached, out);
+            send(shard, epoch, caller, BatchReturn::CeilingReached, effects);
             return;
         }
         let changes = if batches.contains(batch) {
@@ -157,65 +159,70 @@
         } else {
             batches.submit(batch, &submission.items)
         };
-        hosted.submit(changes, Waiting::Batch(caller, BatchAnswer::Standing(batch, true)));
+        hosted.submit(changes, CommitWaiter::Batch(caller, PendingResponse::Standing(batch, true)));
     }
 
     /// Answers one whose ticket is committed; the copy holds just what is committed.
-    pub(super) fn settle(&mut self, shard: ShardId, ticket: Ticket, out: &mut Out) {
+    pub(super) fn complete_ticket(
+        &mut self,
+        shard: ShardId,
+        ticket: Ticket,
+        effects: &mut Effects,
+    ) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
-        let Some(waiting) = hosted.waiting.remove(&ticket) else { return };
+        let Some(waiter) = hosted.waiters.remove(&ticket) else { return };
         let epoch = hosted.replica.epoch();
-        match waiting {
-            Waiting::Nobody => {}
-            Waiting::Counter(to, body) => super::counting::send(to, epoch, body, out),
-            Waiting::Batch(caller, answer) => {
-                let value = answer.answered_by(hosted.replica.copy());
+        match waiter {
+            CommitWaiter::Nobody => {}
+            CommitWaiter::Counter(to, body) => super::counter_calls::send(to, epoch, body, effects),
+            CommitWaiter::Batch(caller, response) => {
+                let value = response.resolve(hosted.replica.copy());
                 if matches!(value, Some(BatchReturn::Accepted(_))) {
                     self.batches_acknowledged += 1;
                 }
-                send(shard, epoch, caller, value.unwrap_or(BatchReturn::Unknown), out);
+                send(shard, epoch, caller, value.unwrap_or(BatchReturn::Unknown), effects);
             }
         }
     }
 
     /// What time alone changes in a shard.
-    pub(super) fn sweep(&mut self, shard: ShardId, now: MonotonicMs, out: &mut Out) {
-        self.drop_late_submissions(shard, now, out);
-        self.report_waiting(shard, now, out);
+    pub(super) fn sweep(&mut self, shard: ShardId, now: MonotonicMs, effects: &mut Effects) {
+        self.drop_expired_submissions(shard, now, effects);
+        self.report_waiting(shard, now, effects);
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
         // Nothing piles up behind a write that finds no room; the counter needs none.
-        let waits_for_room = self.disk.is_full() && !shard.is_counter();
-        if !hosted.replica.is_serving() || waits_for_room {
+        let disk_blocks_writes = self.disk.is_full() && !shard.is_counter();
+        if !hosted.replica.is_serving() || disk_blocks_writes {
             return;
         }
-        let changes = match &mut hosted.work {
-            Work::None => Vec::new(),
-            Work::Counter(counter) => counter.tick(now),
-            Work::Batches(batches) => {
+        let changes = match &mut hosted.serving_state {
+            ServingState::None => Vec::new(),
+            ServingState::Counter(counter) => counter.tick(now),
+            ServingState::Batches(batches) => {
                 let limits = self.view.spec.as_ref().map(|(_, bundle)| &bundle.batches);
                 let keep_s = limits.map(|limits| u64::from(limits.keep_finished_s));
                 let mut changes = batches.tick(now);
                 changes.extend(batches.routed.tick(now));
-                changes.extend(batches.routed.let_go(self.bounds.keep_batches, now));
+                changes.extend(batches.routed.remove_expired(self.bounds.keep_batches, now));
                 if let Some(keep_s) = keep_s {
                     let keep = topazyard_types::DurationMs(keep_s * 1_000);
-                    changes.extend(batches.let_go(keep, now));
+                    changes.extend(batches.remove_expired(keep, now));
                 }
                 changes
             }
         };
         if !changes.is_empty() {
-            hosted.submit(changes, Waiting::Nobody);
+            hosted.submit(changes, CommitWaiter::Nobody);
         }
     }
 
     /// Begins the next batch of every shard.
-    pub(super) fn proceed(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn proceed(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in shards {
             if let Some(hosted) = self.hosted.get_mut(&shard) {
                 let outputs = hosted.replica.proceed(now);
-                self.take_replica(shard, outputs, now, out);
+                self.apply_replica_outputs(shard, outputs, now, effects);
             }
         }
     }
@@ -226,9 +233,9 @@
     epoch: Epoch,
     caller: BatchCaller,
     value: BatchReturn,
-    out: &mut Out,
+    effects: &mut Effects,
 ) {
     let body = BatchBody::Return(value);
     let message = Message::Batch(BatchMessage { shard, epoch, call: caller.call, body });
-    out.push(Effect::Send { to: caller.to, message });
+    effects.push(Effect::Send { to: caller.to, message });
 }
--- a/programs/topazyard-storage/tests/batches.rs
+++ b/programs/topazyard-storage/tests/batches.rs
@@ -1,7 +1,7 @@
 //! Batch shards: a word on an old lease touches nothing, and returns stay where they are.
 
 use topazyard_replication::Copy;
-use topazyard_storage::batches::{Batches, LEASE, returns};
+use topazyard_storage::batches::{Batches, ITEM_LEASE, results};
 use topazyard_types::{
     BatchId, Epoch, ItemNumber, Life, ModelName, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
 };
@@ -21,7 +21,7 @@
     fn with_items(count: u32) -> Self {
         let batch = BatchId { shard: ShardId(1), number: 5 };
         let copy = Copy::default();
-        let batches = Batches::taken_over(ShardId(1), &copy, Life(3), MonotonicMs(0));
+        let batches = Batches::from_copy(ShardId(1), &copy, Life(3), MonotonicMs(0));
         let mut shard = Self { copy, batches, batch };
         let item = Item {
             model: "m".into(),
@@ -81,7 +81,7 @@
 fn a_lapsed_lease_may_not_start() {
     let mut shard = Shard::with_items(1);
     let run = shard.lease(A, MonotonicMs(0));
-    assert!(!shard.start(A, run, MonotonicMs(LEASE.0)));
+    assert!(!shard.start(A, run, MonotonicMs(ITEM_LEASE.0)));
 }
 
 #[test]
@@ -101,9 +101,9 @@
     let changes = shard.batches.tick(MonotonicMs(20_000));
     shard.keep(changes);
     // Its relay comes back and tells the end: too late to change what was listed.
-    let before = returns(&shard.copy, shard.batch, 0);
+    let before = results(&shard.copy, shard.batch, 0);
     shard.finish(A, run, whole("late"));
-    assert_eq!(returns(&shard.copy, shard.batch, 0), before);
+    assert_eq!(results(&shard.copy, shard.batch, 0), before);
     assert_eq!(before.map(|listed| listed.len()), Some(1));
 }
 
@@ -114,7 +114,7 @@
     let changes = shard.batches.end(shard.batch, MonotonicMs(1)).expect("it is known");
     shard.keep(changes);
     assert!(!shard.start(A, leased, MonotonicMs(1)));
-    let listed = returns(&shard.copy, shard.batch, 0).expect("it is known");
+    let listed = results(&shard.copy, shard.batch, 0).expect("it is known");
     assert_eq!(listed.len(), 3);
 }
 
@@ -141,9 +141,9 @@
     shard.finish(A, run, whole("one"));
     let rows = shard.copy.rows().clone();
     let copy = Copy::loaded(rows);
-    let successor = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(5));
-    assert_eq!(successor.waiting(), Tokens(20));
-    assert_eq!(returns(&copy, shard.batch, 0), returns(&shard.copy, shard.batch, 0));
+    let successor = Batches::from_copy(ShardId(1), &copy, Life(9), MonotonicMs(5));
+    assert_eq!(successor.waiting_cost(), Tokens(20));
+    assert_eq!(results(&copy, shard.batch, 0), results(&shard.copy, shard.batch, 0));
 }
 
 #[test]
@@ -155,8 +155,8 @@
         shard.finish(A, run, whole("done"));
     }
     let keep = topazyard_types::DurationMs(1_000);
-    assert!(shard.batches.let_go(keep, MonotonicMs(1_049)).is_empty());
-    let changes = shard.batches.let_go(keep, MonotonicMs(1_050));
+    assert!(shard.batches.remove_expired(keep, MonotonicMs(1_049)).is_empty());
+    let changes = shard.batches.remove_expired(keep, MonotonicMs(1_050));
     shard.keep(changes);
     assert!(shard.copy.rows().is_empty());
     assert!(!shard.batches.contains(shard.batch));
@@ -169,7 +169,7 @@
     assert!(shard.start(A, run, MonotonicMs(1)));
     shard.finish(A, run, whole("one of two"));
     let keep = topazyard_types::DurationMs(0);
-    assert!(shard.batches.let_go(keep, MonotonicMs(9_000_000)).is_empty());
+    assert!(shard.batches.remove_expired(keep, MonotonicMs(9_000_000)).is_empty());
 }
 
 #[test]
@@ -198,7 +198,7 @@
     shard.keep(changes);
     // A successor knows it too.
     let copy = Copy::loaded(shard.copy.rows().clone());
-    shard.batches = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(20_000));
+    shard.batches = Batches::from_copy(ShardId(1), &copy, Life(9), MonotonicMs(20_000));
     // Its next run is handed back before it was sent.
     let run = shard.lease(B, MonotonicMs(20_001));
     assert!(shard.start(B, run, MonotonicMs(20_002)));
@@ -210,7 +210,7 @@
     let changes = shard.batches.end(other, now).expect("it is known");
     shard.keep(changes);
     for id in [batch, other] {
-        let listed = returns(&shard.copy, id, 0).expect("it is known");
+        let listed = results(&shard.copy, id, 0).expect("it is known");
         assert_eq!(listed[0].end, topazyard_wire::message::batch::ItemEnd::OutcomeUnknown);
     }
 }
--- a/programs/topazyard-storage/tests/counter.rs
+++ b/programs/topazyard-storage/tests/counter.rs
@@ -1,7 +1,7 @@
 //! The counter: never above its limit, and nothing leaks.
 
 use topazyard_replication::Copy;
-use topazyard_storage::counter::{Checked, Counter, LEASE, Report};
+use topazyard_storage::counter::{AddOutcome, Counter, RELAY_LEASE, Report};
 use topazyard_types::{
     DurationMs, Epoch, HoldId, Life, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
 };
@@ -15,7 +15,7 @@
 fn counter() -> Counter {
     let mut copy = Copy::default();
     copy.apply(Epoch(1), Sequence(1), vec![RowChange::gone("none")]);
-    Counter::taken_over(&copy, NOW)
+    Counter::from_copy(&copy, NOW)
 }
 
 fn hold(id: u64, cost: u64, kind: HoldKind) -> Hold {
@@ -31,8 +31,8 @@
     }
 }
 
-fn is_added(checked: &Checked) -> bool {
-    matches!(checked, Checked::Added(_))
+fn is_added(checked: &AddOutcome) -> bool {
+    matches!(checked, AddOutcome::Added(_))
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let mut counter = counter();
     assert!(is_added(&counter.add(RELAY, &hold(1, 600, HoldKind::Live), NOW)));
     assert!(is_added(&counter.add(RELAY, &hold(1, 600, HoldKind::Live), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(2, 401, HoldKind::Live), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(2, 401, HoldKind::Live), NOW), AddOutcome::Refused);
     assert!(is_added(&counter.add(RELAY, &hold(3, 400, HoldKind::Live), NOW)));
     assert_eq!(counter.held(&"main".into()), Tokens(1_000));
 }
@@ -49,14 +49,14 @@
 fn a_cost_above_the_limit_runs_alone() {
     let mut counter = counter();
     assert!(is_added(&counter.add(RELAY, &hold(1, 5_000, HoldKind::Live), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Live), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Live), NOW), AddOutcome::Refused);
 }
 
 #[test]
 fn items_keep_to_what_the_weights_leave_them() {
     let mut counter = counter();
     assert!(is_added(&counter.add(RELAY, &hold(1, 300, HoldKind::Item), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Item), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Item), NOW), AddOutcome::Refused);
     assert!(is_added(&counter.add(RELAY, &hold(3, 700, HoldKind::Live), NOW)));
 }
 
@@ -64,10 +64,10 @@
 fn a_dead_relays_holds_are_freed_when_its_lease_lapses() {
     let mut counter = counter();
     counter.add(RELAY, &hold(1, 900, HoldKind::Live), NOW);
-    let later = NOW.plus(LEASE);
+    let later = NOW.plus(RELAY_LEASE);
     assert_eq!(counter.tick(MonotonicMs(later.0 - 1)).len(), 0);
     assert_eq!(counter.tick(later).len(), 1);
-    assert_eq!(counter.holds(), 0);
+    assert_eq!(counter.hold_count(), 0);
 }
 
 #[test]
@@ -77,18 +77,18 @@
         counter.add(RELAY, &hold(id, 10, HoldKind::Live), NOW);
     }
     counter.renew(RELAY, HoldId(2), &[], &[HoldId(2)], NOW);
-    assert_eq!(counter.holds(), 2, "2 is asked for and 3 is newer than the list");
+    assert_eq!(counter.hold_count(), 2, "2 is asked for and 3 is newer than the list");
 }
 
 #[test]
 fn a_counter_that_lost_both_copies_gathers_before_it_grants() {
-    let mut counter = Counter::taken_over(&Copy::default(), NOW);
+    let mut counter = Counter::from_copy(&Copy::default(), NOW);
     let asked = hold(9, 10, HoldKind::Live);
-    assert_eq!(counter.add(RELAY, &asked, NOW), Checked::Gathering);
+    assert_eq!(counter.add(RELAY, &asked, NOW), AddOutcome::Gathering);
     counter.renew(RELAY, HoldId(1), &[hold(1, 995, HoldKind::Live)], &[], NOW);
     let later = MonotonicMs(NOW.0 + 3_600);
     counter.renew(RELAY, HoldId(1), &[hold(1, 995, HoldKind::Live)], &[], later);
-    assert_eq!(counter.add(RELAY, &asked, later), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &asked, later), AddOutcome::Refused);
 }
 
 #[test]
@@ -147,11 +147,11 @@
     block.terms.expiry = DurationMs(12_000);
     assert!(is_added(&counter.add(RELAY, &block, NOW)));
     assert!(is_added(&counter.add(RELAY, &hold(2, 100, HoldKind::Live), NOW)));
-    assert_eq!(counter.tick(NOW.plus(LEASE)).len(), 1, "only the live hold lapses");
+    assert_eq!(counter.tick(NOW.plus(RELAY_LEASE)).len(), 1, "only the live hold lapses");
     assert_eq!(counter.held(&"main".into()), Tokens(500));
     assert_eq!(counter.tick(MonotonicMs(NOW.0 + 11_999)).len(), 0);
     assert_eq!(counter.tick(MonotonicMs(NOW.0 + 12_000)).len(), 1);
-    assert_eq!(counter.holds(), 0);
+    assert_eq!(counter.hold_count(), 0);
 }
 
 // Else a block that its relay renews in time would be taken back all the same.
@@ -171,34 +171,34 @@
 // served until all have told it.
 #[test]
 fn while_it_gathers_blocks_and_items_are_granted_only_within_half() {
-    let gathering = || Counter::taken_over(&Copy::default(), NOW);
+    let gathering = || Counter::from_copy(&Copy::default(), NOW);
     let mut counter = gathering();
     assert!(is_added(&counter.add(RELAY, &hold(1, 500, HoldKind::Block), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Block), NOW), Checked::Refused);
-    assert_eq!(counter.add(RELAY, &hold(3, 1, HoldKind::Item), NOW), Checked::Refused);
-    assert_eq!(counter.add(RELAY, &hold(4, 1, HoldKind::Live), NOW), Checked::Gathering);
+    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Block), NOW), AddOutcome::Refused);
+    assert_eq!(counter.add(RELAY, &hold(3, 1, HoldKind::Item), NOW), AddOutcome::Refused);
+    assert_eq!(counter.add(RELAY, &hold(4, 1, HoldKind::Live), NOW), AddOutcome::Gathering);
 
     let mut counter = gathering();
     assert!(is_added(&counter.add(RELAY, &hold(1, 150, HoldKind::Item), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Item), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(2, 1, HoldKind::Item), NOW), AddOutcome::Refused);
     assert!(is_added(&counter.add(RELAY, &hold(3, 350, HoldKind::Block), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(4, 1, HoldKind::Block), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(4, 1, HoldKind::Block), NOW), AddOutcome::Refused);
     // What was held from before counts too, as soon as it is told.
     let mut counter = gathering();
     counter.renew(NodeId(8), HoldId(9), &[hold(9, 400, HoldKind::Block)], &[], NOW);
-    assert_eq!(counter.add(RELAY, &hold(1, 101, HoldKind::Block), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(1, 101, HoldKind::Block), NOW), AddOutcome::Refused);
     assert!(is_added(&counter.add(RELAY, &hold(2, 100, HoldKind::Block), NOW)));
     // Once it has gathered the whole limit is there.
     let later = MonotonicMs(NOW.0 + 3_500);
     assert!(is_added(&counter.add(RELAY, &hold(3, 500, HoldKind::Block), later)));
 }
 
-fn ask_for_block(counter: &mut Counter, relay: u64, id: u64, cost: u64) -> Checked {
+fn ask_for_block(counter: &mut Counter, relay: u64, id: u64, cost: u64) -> AddOutcome {
     counter.add(NodeId(relay), &hold(id, cost, HoldKind::Block), NOW)
 }
 
 fn tell(counter: &mut Counter, relay: u64, used: u64) {
-    counter.tell_used(NodeId(relay), &[("main".into(), Tokens(used))]);
+    counter.record_used(NodeId(relay), &[("main".into(), Tokens(used))]);
 }
 
 // Else the peaks of many relays, which they seldom reach together, take the room of items.
@@ -218,10 +218,10 @@
         Hold { terms, ..hold(id, cost, HoldKind::Item) }
     };
     assert!(is_added(&counter.add(RELAY, &item(8, 680), NOW)));
-    assert_eq!(counter.add(RELAY, &item(9, 1), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &item(9, 1), NOW), AddOutcome::Refused);
     // Blocks have a reserve of 2.5 times that root, up to 115 % of the limit: 1,150 - 400 - 680.
     assert!(is_added(&ask_for_block(&mut counter, 1, 2, 70)));
-    assert_eq!(ask_for_block(&mut counter, 1, 3, 2), Checked::Refused);
+    assert_eq!(ask_for_block(&mut counter, 1, 3, 2), AddOutcome::Refused);
 }
 
 // Else a fleet of few relays lets items into room that its live requests need in a moment.
@@ -233,7 +233,7 @@
         tell(&mut counter, relay, 0);
     }
     assert!(is_added(&counter.add(RELAY, &hold(8, 200, HoldKind::Item), NOW)));
-    assert_eq!(counter.add(RELAY, &hold(9, 1, HoldKind::Item), NOW), Checked::Refused);
+    assert_eq!(counter.add(RELAY, &hold(9, 1, HoldKind::Item), NOW), AddOutcome::Refused);
 }
 
 // Else live requests are refused while items hold the room above the knee.
@@ -242,10 +242,10 @@
     let mut counter = counter();
     assert!(is_added(&counter.add(RELAY, &hold(1, 300, HoldKind::Item), NOW)));
     assert!(is_added(&ask_for_block(&mut counter, 1, 1, 850)));
-    assert_eq!(ask_for_block(&mut counter, 1, 2, 1), Checked::Refused);
+    assert_eq!(ask_for_block(&mut counter, 1, 2, 1), AddOutcome::Refused);
     counter.release(RELAY, HoldId(1));
     assert!(is_added(&ask_for_block(&mut counter, 1, 3, 150)));
-    assert_eq!(ask_for_block(&mut counter, 1, 4, 1), Checked::Refused);
+    assert_eq!(ask_for_block(&mut counter, 1, 4, 1), AddOutcome::Refused);
 }
 
 #[test]
--- a/programs/topazyard-storage/tests/confirming.rs
+++ b/programs/topazyard-storage/tests/replica_reads.rs
@@ -150,7 +150,7 @@
             digests,
             of: topazyard_wire::message::replica::Follows::AsBackup,
         });
-        let mut batches = topazyard_storage::batches::Batches::taken_over(
+        let mut batches = topazyard_storage::batches::Batches::from_copy(
             SHARD,
             &empty,
             topazyard_types::Life(3),
--- a/programs/topazyard-storage/tests/routed_batches.rs
+++ b/programs/topazyard-storage/tests/routed_batches.rs
@@ -2,7 +2,7 @@
 //! is given up only for a reason.
 
 use topazyard_replication::Copy;
-use topazyard_storage::batches::{Batches, LEASE, routed};
+use topazyard_storage::batches::{Batches, ITEM_LEASE, routed};
 use topazyard_types::{
     BatchId, DurationMs, Epoch, ItemNumber, Life, MonotonicMs, NodeId, RouteName, Sequence, Tokens,
 };
@@ -65,7 +65,7 @@
 
     fn of(copy: &Copy, life: u64, now_ms: u64) -> Batches {
         let shard = BatchId::of_host(HOST, "").shard;
-        Batches::taken_over(shard, copy, Life(life << 40), at(now_ms))
+        Batches::from_copy(shard, copy, Life(life << 40), at(now_ms))
     }
 
     /// Another node goes on from what was committed; its clock has a beginning of its own.
@@ -81,11 +81,11 @@
 
     fn submit(&mut self, routed: &RoutedBatch, now_ms: u64) -> bool {
         match self.batches.routed.submit(routed, ROOM, at(now_ms)) {
-            routed::Taken::Accepted(changes) => {
+            routed::SubmitOutcome::Accepted(changes) => {
                 self.keep(changes);
                 true
             }
-            routed::Taken::CeilingReached | routed::Taken::NoRoom => false,
+            routed::SubmitOutcome::CeilingReached | routed::SubmitOutcome::OverCapacity => false,
         }
     }
 
@@ -124,7 +124,7 @@
     assert!(shard.submit(&routed_batch("1", 6), 0));
     assert!(!shard.submit(&routed_batch("2", 5), 0), "110 of 100 tokens");
     assert!(shard.submit(&routed_batch("3", 4), 0));
-    assert_eq!(shard.batches.routed.waiting_on(&"r".into()), Tokens(100));
+    assert_eq!(shard.batches.routed.waiting_cost_of(&"r".into()), Tokens(100));
     let run = shard.lease_one(A, 1);
     shard.finish(A, run, done("x"), 2);
     assert!(!shard.submit(&routed_batch("2", 2), 3));
@@ -135,7 +135,7 @@
 fn a_submission_not_committed_yet_counts_already() {
     let mut shard = Shard::new();
     let taken = shard.batches.routed.submit(&routed_batch("1", 10), ROOM, at(0));
-    assert!(matches!(taken, routed::Taken::Accepted(_)));
+    assert!(matches!(taken, routed::SubmitOutcome::Accepted(_)));
     assert!(!shard.submit(&routed_batch("2", 1), 0));
     assert!(shard.lease(A, 9, 1).is_empty(), "it could still be lost");
 }
@@ -147,7 +147,7 @@
     let run = shard.lease_one(A, 1);
     shard.finish(A, run, done("x"), 2);
     shard.hand_over(7, 500_000);
-    assert_eq!(shard.batches.routed.waiting_on(&"r".into()), Tokens(80));
+    assert_eq!(shard.batches.routed.waiting_cost_of(&"r".into()), Tokens(80));
     assert!(!shard.submit(&routed_batch("2", 3), 500_001));
     assert!(shard.submit(&routed_batch("2", 2), 500_001));
 }
@@ -160,7 +160,7 @@
         shard.submit(&routed_batch("1", 6), 1),
         "it is accepted again, above the ceiling or not"
     );
-    assert_eq!(shard.batches.routed.waiting_on(&"r".into()), Tokens(60));
+    assert_eq!(shard.batches.routed.waiting_cost_of(&"r".into()), Tokens(60));
     shard.hand_over(7, 10);
     assert!(shard.submit(&routed_batch("1", 6), 11));
     assert_eq!(shard.lease(A, 50, 12).len(), 6);
@@ -177,7 +177,7 @@
 fn what_has_no_room_is_refused() {
     let mut shard = Shard::new();
     let taken = shard.batches.routed.submit(&routed_batch("1", 6), 1_000, at(0));
-    assert_eq!(taken, routed::Taken::NoRoom);
+    assert_eq!(taken, routed::SubmitOutcome::OverCapacity);
     assert!(!shard.batches.routed.contains(BatchId::of_host(HOST, "1")));
 }
 
@@ -204,12 +204,12 @@
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let old = shard.lease_one(A, 0);
-    shard.tick(LEASE.0);
-    let new = shard.lease_one(B, LEASE.0);
-    shard.finish(A, old, RunEnd::Failed, LEASE.0 + 1);
-    assert!(shard.lease(A, 1, LEASE.0 + 1).is_empty(), "it runs at the other");
-    shard.finish(A, old, done("a"), LEASE.0 + 2);
-    shard.finish(B, new, done("b"), LEASE.0 + 3);
+    shard.tick(ITEM_LEASE.0);
+    let new = shard.lease_one(B, ITEM_LEASE.0);
+    shard.finish(A, old, RunEnd::Failed, ITEM_LEASE.0 + 1);
+    assert!(shard.lease(A, 1, ITEM_LEASE.0 + 1).is_empty(), "it runs at the other");
+    shard.finish(A, old, done("a"), ITEM_LEASE.0 + 2);
+    shard.finish(B, new, done("b"), ITEM_LEASE.0 + 3);
     assert_eq!(shard.results("1").len(), 1);
     assert_eq!(shard.results("1")[0].end, ItemEnd::Whole { status: 200, body: "a".into() });
 }
@@ -219,9 +219,9 @@
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let run = shard.lease_one(A, 0);
-    shard.batches.routed.running(A, &[run], at(LEASE.0 - 1));
-    shard.tick(LEASE.0);
-    assert!(shard.lease(B, 1, LEASE.0).is_empty());
+    shard.batches.routed.running(A, &[run], at(ITEM_LEASE.0 - 1));
+    shard.tick(ITEM_LEASE.0);
+    assert!(shard.lease(B, 1, ITEM_LEASE.0).is_empty());
 }
 
 #[test]
@@ -264,7 +264,7 @@
     assert!(shard.results("1").is_empty());
     shard.tick(40_100);
     assert_eq!(shard.results("1").len(), 2);
-    assert_eq!(shard.batches.routed.waiting(), Tokens(0));
+    assert_eq!(shard.batches.routed.waiting_cost(), Tokens(0));
 }
 
 #[test]
@@ -275,15 +275,15 @@
     shard.finish(A, runs[0], done("x"), 2);
     let batch = BatchId::of_host(HOST, "1");
     for now_ms in [3, 4] {
-        let changes = shard.batches.end_either(batch, at(now_ms)).expect("it is known");
+        let changes = shard.batches.end_any(batch, at(now_ms)).expect("it is known");
         shard.keep(changes);
     }
-    assert!(shard.batches.end_either(BatchId::of_host(HOST, "2"), at(5)).is_none());
+    assert!(shard.batches.end_any(BatchId::of_host(HOST, "2"), at(5)).is_none());
     shard.finish(A, runs[1], done("late"), 6);
     shard.tick(50_000);
     assert!(shard.lease(B, 9, 50_000).is_empty());
     assert_eq!(shard.results("1").len(), 1);
-    assert_eq!(shard.batches.routed.waiting(), Tokens(0));
+    assert_eq!(shard.batches.routed.waiting_cost(), Tokens(0));
     assert!(routed::body(&shard.copy, batch, "1-2").is_none());
     shard.hand_over(7, 10);
     assert!(shard.lease(B, 9, 11).is_empty());
@@ -333,9 +333,9 @@
     let keep = DurationMs(1_000);
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let run = shard.lease_one(A, 0);
-    assert!(shard.batches.routed.let_go(keep, at(9_000)).is_empty());
+    assert!(shard.batches.routed.remove_expired(keep, at(9_000)).is_empty());
     shard.finish(A, run, done("x"), 9_001);
-    let changes = shard.batches.routed.let_go(keep, at(9_002));
+    let changes = shard.batches.routed.remove_expired(keep, at(9_002));
     shard.keep(changes);
     assert!(shard.copy.rows().is_empty());
     assert_eq!(shard.batches.routed.bytes(), 0);
