--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -76,7 +76,7 @@
         if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
             return (place, matter);
         }
-        let place = self.replica.copy().place();
+        let place = self.replica.copy().position();
         if let Some(changes) = self.few_changes_after(after) {
             return (place, Matter::Changes(changes));
         }
@@ -84,7 +84,8 @@
         if weight_of_rows(&rows) <= PART_BYTES {
             return (place, Matter::View(rows));
         }
-        let first = |snapshot: &Snapshot| Some((snapshot.place(), Matter::Part(snapshot.part(0)?)));
+        let first =
+            |snapshot: &Snapshot| Some((snapshot.position(), Matter::Part(snapshot.part(0)?)));
         let found = self.fitting_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
             let snapshot = Snapshot::of(place, &rows);
@@ -96,7 +97,7 @@
 
     /// The part that a follower lacks next of a snapshot that is still kept.
     fn next_part(&self, after: Place, wanted: PartWanted) -> Option<(Place, Matter)> {
-        let is_meant = |snapshot: &&Snapshot| snapshot.place() == wanted.place;
+        let is_meant = |snapshot: &&Snapshot| snapshot.position() == wanted.place;
         let snapshot = self.snapshots.iter().find(is_meant)?;
         let part = snapshot.part(wanted.part)?;
         (wanted.place > after).then_some((wanted.place, Matter::Part(part)))
@@ -111,8 +112,8 @@
 
     /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
     fn fitting_snapshot(&self, after: Place) -> Option<&Snapshot> {
-        let newest = self.snapshots.back().filter(|snapshot| snapshot.place() > after)?;
-        self.few_changes_after(newest.place()).map(|_| newest)
+        let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
+        self.few_changes_after(newest.position()).map(|_| newest)
     }
 
     fn keep_snapshot(&mut self, snapshot: Snapshot) {
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -74,7 +74,7 @@
             // primary than the others, which were never down.
             let alone = self.last_alone.unwrap_or(serving_since);
             let silence = now.since(heard.max(serving_since).max(alone));
-            let doubted = self.membership.standing(*id) != Some(Standing::Alive);
+            let doubted = self.membership.status(*id) != Some(Standing::Alive);
             let is_silent =
                 silence >= self.timeouts.surely_down || (silence >= self.timeouts.down && doubted);
             if is_silent || self.is_displaced(known, *id) {
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -73,7 +73,7 @@
     /// ```
     pub fn from_copy(copy: &topazyard_replication::Copy, now: MonotonicMs) -> Self {
         let mut counter = Self::default();
-        let is_empty = copy.place().sequence == topazyard_types::Sequence(0);
+        let is_empty = copy.position().sequence == topazyard_types::Sequence(0);
         counter.gathering_until = is_empty.then(|| now.plus(GATHER_DURATION));
         for (relay, hold) in rows::holds(copy) {
             counter.leases.entry(relay).or_insert_with(|| now.plus(RELAY_LEASE));
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -69,11 +69,11 @@
         for (shard, hosted) in &self.hosted {
             let Some(record) = self.view.shards.get(shard) else { continue };
             let epoch = hosted.replica.epoch();
-            let is_following = hosted.replica.was_in_step() && record.epoch == epoch;
+            let is_following = hosted.replica.was_in_sync() && record.epoch == epoch;
             if hosted.replica_reads.is_empty() || !is_following || !record.is_backup(me) {
                 continue;
             }
-            let sequence = hosted.replica.copy().place().sequence;
+            let sequence = hosted.replica.copy().position().sequence;
             let query = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
             for other in record.backups.iter().filter(|node| node.id != me) {
                 let message = Message::Confirm(query.clone());
@@ -98,7 +98,7 @@
             ConfirmMessage::AskSynced { shard, epoch, sequence } => {
                 let Some(hosted) = self.hosted.get(&shard) else { return };
                 if hosted.has_synced(epoch, sequence) {
-                    let sequence = hosted.replica.copy().place().sequence;
+                    let sequence = hosted.replica.copy().position().sequence;
                     let synced = ConfirmMessage::Synced { shard, epoch, sequence };
                     effects.push(Effect::Send { to: from, message: Message::Confirm(synced) });
                 }
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -3,7 +3,7 @@
 use super::hosted::{BatchCaller, CommitWaiter, PendingResponse, ServingState, Submission};
 use super::{Effects, StorageMachine};
 use crate::batches::routed::SubmitOutcome;
-use topazyard_replication::Ticket;
+use topazyard_replication::WriteTicket;
 use topazyard_types::{Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
@@ -166,7 +166,7 @@
     pub(super) fn complete_ticket(
         &mut self,
         shard: ShardId,
-        ticket: Ticket,
+        ticket: WriteTicket,
         effects: &mut Effects,
     ) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
@@ -221,7 +221,7 @@
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in shards {
             if let Some(hosted) = self.hosted.get_mut(&shard) {
-                let outputs = hosted.replica.proceed(now);
+                let outputs = hosted.replica.start_next_batch(now);
                 self.apply_replica_outputs(shard, outputs, now, effects);
             }
         }
