--- a/programs/topazyard-storage/src/batches/changes.rs
+++ b/programs/topazyard-storage/src/batches/changes.rs
@@ -1,4 +1,5 @@
-//! Commands: each changes an item's state in one place and gives the rows that record it.
+//! Commands on batches. Each state transition happens in one function, which returns the rows that
+//! record it.
 
 use super::{
     BatchEntry, BatchRow, Batches, ITEM_LEASE, ItemEntry, ItemState, Lease, RUN_TIMEOUT, rows,
@@ -9,13 +10,14 @@
     BatchReturn, Item, ItemEnd, ItemReturn, LeasedItem, Progress, Run, RunEnd,
 };
 
-/// How an item ends that is not run any more: as said, unless it may have run before.
+/// The end recorded for an item that will not run any more: `end`, unless an earlier run may have
+/// executed.
 fn end_without_run(may_have_run: bool, end: ItemEnd) -> ItemEnd {
     if may_have_run { ItemEnd::OutcomeUnknown } else { end }
 }
 
 impl Batches {
-    /// Takes a batch that is not known yet.
+    /// Adds a batch that is not known yet.
     pub fn submit(&mut self, batch: BatchId, items: &[Item]) -> Vec<RowChange> {
         let number = batch.number;
         let row = BatchRow { items: items.len() as u32, finished: 0, ended: false };
@@ -38,7 +40,7 @@
         changes
     }
 
-    /// The one place where an item's state changes.
+    /// Sets an item's state; every transition goes through here.
     fn set_state(&mut self, batch: BatchId, item: ItemNumber, state: ItemState) -> RowChange {
         let entry = self
             .batches
@@ -50,7 +52,7 @@
         rows::state(batch.number, item, &state)
     }
 
-    /// The one place where an item gets its final return, at the next position.
+    /// Records an item's final result at the next position; every result goes through here.
     fn record_result(
         &mut self,
         batch: BatchId,
@@ -74,7 +76,7 @@
         ]
     }
 
-    /// Lets an item wait for its next run.
+    /// Puts an item back at the head of the queue, or ends it if its batch has ended.
     fn requeue(&mut self, run: Run, may_have_run: bool, now: MonotonicMs) -> Vec<RowChange> {
         let ended = self.batches.get(&run.batch.number).is_some_and(|batch| batch.row.ended);
         if ended {
@@ -85,7 +87,7 @@
         vec![self.set_state(run.batch, run.item, ItemState::Waiting { may_have_run })]
     }
 
-    /// Leases the oldest items of these models to a relay.
+    /// Leases the oldest waiting items of the given models to a relay.
     pub fn lease(
         &mut self,
         relay: NodeId,
@@ -100,7 +102,7 @@
             let Some((number, item)) = self.queue.pop_front() else { break };
             let batch = self.batch_id(number);
             let Some(entry) = self.item_entry(batch, item) else { continue };
-            // An entry may be old: only what still waits is leased.
+            // Queue entries may be stale: only items that still wait are leased.
             if !matches!(entry.state, ItemState::Waiting { .. }) {
                 continue;
             }
@@ -108,7 +110,7 @@
                 skipped_entries.push((number, item));
                 continue;
             }
-            // Not on both yet: its submission is still being committed.
+            // Not in the committed copy yet: the submission is still being replicated.
             let Some(stored_item) = rows::item_of(copy, number, item) else {
                 skipped_entries.push((number, item));
                 continue;
@@ -125,7 +127,7 @@
         leased
     }
 
-    /// Whether a leased run may start. The same relay may ask again.
+    /// Whether a leased run may start. Idempotent for the relay that started it.
     pub fn start(&mut self, relay: NodeId, run: Run, now: MonotonicMs) -> (bool, Vec<RowChange>) {
         let lease = self.leases.get(&run);
         let leased = lease.is_some_and(|lease| lease.relay == relay && now < lease.expires_at);
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Takes how a run ended. What is not the present run of its item is passed over.
+    /// Handles the end of a run. Ignored unless it is the item's current run.
     pub fn finish(
         &mut self,
         relay: NodeId,
@@ -160,7 +162,7 @@
                 may_have_run
             }
             ItemState::Waiting { .. } => {
-                // A lease handed back.
+                // The relay returned the lease without starting the run.
                 if self.leases.get(&run).is_some_and(|lease| lease.relay == relay) {
                     self.leases.remove(&run);
                     self.queue.push_front((run.batch.number, run.item));
@@ -176,12 +178,13 @@
             }
             RunEnd::NotRun => self.requeue(run, may_have_run, now),
             _ if repeatable => self.requeue(run, true, now),
-            // The ends of routed items say no more of one that isn't.
+            // The other ends belong to routed items; for this item they tell no more than
+            // `Unknown`.
             _ => self.record_result(run.batch, run.item, ItemEnd::OutcomeUnknown, now),
         }
     }
 
-    /// Notes that runs go on at a relay.
+    /// Refreshes the timeouts of runs that a relay reports as still running.
     pub fn running(&mut self, runs: &[Run], now: MonotonicMs) {
         for run in runs {
             if let Some(last_heard) = self.last_heard.get_mut(run) {
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Asks an item back.
+    /// Withdraws an item, if it has not started.
     pub fn recall(
         &mut self,
         batch: BatchId,
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Ends a batch: what has not started never will.
+    /// Ends a batch: items that have not started never will.
     pub fn end(&mut self, batch: BatchId, now: MonotonicMs) -> Option<Vec<RowChange>> {
         let entry = self.batches.get_mut(&batch.number)?;
         if entry.row.ended {
@@ -242,7 +245,7 @@
         Some(changes)
     }
 
-    /// Ends a batch, of routed items or not.
+    /// Ends a batch, whether its items are routed or not.
     pub fn end_any(&mut self, batch: BatchId, now: MonotonicMs) -> Option<Vec<RowChange>> {
         if self.routed.contains(batch) {
             return self.routed.end(batch, now);
@@ -250,7 +253,7 @@
         self.end(batch, now)
     }
 
-    /// Notes batches that have all their returns, and lets go of those kept long enough.
+    /// Deletes finished batches whose retention time is over.
     pub fn remove_expired(&mut self, keep: DurationMs, now: MonotonicMs) -> Vec<RowChange> {
         let mut changes = Vec::new();
         while let Some((since, number)) = self.finished.front().copied() {
@@ -265,7 +268,7 @@
         changes
     }
 
-    /// Takes back leases that ran out, and settles runs that nobody speaks of any more.
+    /// Expires leases, and ends runs that no relay has reported within [`RUN_TIMEOUT`].
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<RowChange> {
         let expired: Vec<Run> =
             self.leases.iter().filter(|(_, l)| now >= l.expires_at).map(|(run, _)| *run).collect();
--- a/programs/topazyard-storage/src/batches/mod.rs
+++ b/programs/topazyard-storage/src/batches/mod.rs
@@ -1,4 +1,4 @@
-//! The batches of one shard, as its primary holds them.
+//! The batches of one shard, as held by its primary.
 
 mod changes;
 mod read;
@@ -12,36 +12,36 @@
 
 pub use read::{results, status, waiting_cost};
 
-/// How long a leased item waits for its start.
+/// How long a relay may take to start a leased item.
 pub const ITEM_LEASE: DurationMs = DurationMs(2_500);
-/// After how long without a word of a run its outcome counts as unknown.
+/// Time without a report of a run after which its outcome counts as unknown.
 const RUN_TIMEOUT: DurationMs = DurationMs(5_000);
 
-/// How an item stands.
+/// State of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) enum ItemState {
     /// It may be leased.
     Waiting {
-        /// Whether it was started before and nobody knows what came of it.
+        /// Whether an earlier run was started whose outcome is unknown.
         may_have_run: bool,
     },
     /// It runs at a relay.
     Started {
-        /// Under which lease.
+        /// The lease of the run.
         lease: u64,
-        /// Where.
+        /// The relay that runs it.
         relay: NodeId,
-        /// Whether it was started before and nobody knows what came of that.
+        /// Whether an earlier run was started whose outcome is unknown.
         may_have_run: bool,
     },
-    /// It has its final return at a position.
+    /// It has its final result.
     Finished {
-        /// The position.
+        /// Position of the result in the batch's result list.
         position: u32,
     },
 }
 
-/// A batch's own row.
+/// The row of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct BatchRow {
     pub(crate) items: u32,
@@ -49,7 +49,7 @@
     pub(crate) ended: bool,
 }
 
-/// What the primary keeps of an item beside its state.
+/// What the primary keeps in memory of an item.
 #[derive(Debug, Clone)]
 struct ItemEntry {
     state: ItemState,
@@ -80,15 +80,15 @@
     leases: std::collections::BTreeMap<Run, Lease>,
     last_heard: std::collections::BTreeMap<Run, MonotonicMs>,
     waiting_cost: Tokens,
-    /// Batches with all their returns, and since when that is known here.
+    /// Batches with all their results, and when this node learned of it.
     finished: std::collections::VecDeque<(MonotonicMs, u64)>,
     last_lease: u64,
-    /// Routed batches, which have rows and rules of their own.
+    /// Batches of routed items, which have their own rows and rules.
     pub routed: routed::RoutedBatches,
 }
 
 impl Batches {
-    /// The batches that a copy holds.
+    /// Rebuilds the state from a copy of the shard's rows, when this node becomes the primary.
     pub fn from_copy(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
@@ -117,7 +117,7 @@
                 let run = |lease| Run { batch: BatchId { shard, number }, item, lease };
                 match state {
                     ItemState::Waiting { .. } => batches.queue.push_back((number, item)),
-                    // A run that is still going will be last_heard of; one that isn't times out.
+                    // A relay keeps reporting a run that is still going; any other run times out.
                     ItemState::Started { lease, .. } => {
                         batches.last_heard.insert(run(lease), now);
                     }
@@ -133,7 +133,8 @@
                     cost: stored_item.cost,
                 });
             }
-            // A successor counts anew: a batch may be kept longer than it must, never shorter.
+            // Retention starts anew at each primary: a batch may be kept longer than required,
+            // never shorter.
             if row.finished == row.items {
                 batches.finished.push_back((now, number));
             }
@@ -142,12 +143,12 @@
         batches
     }
 
-    /// The cost of all items without a final return, those of routed batches left out.
+    /// Cost of all items without a final result, not counting routed batches.
     pub fn waiting_cost(&self) -> Tokens {
         self.waiting_cost
     }
 
-    /// The cost of all items without a final return or result.
+    /// Cost of all items without a final result, including routed batches.
     pub fn total_waiting_cost(&self) -> Tokens {
         self.waiting_cost.plus(self.routed.waiting_cost())
     }
--- a/programs/topazyard-storage/src/batches/read.rs
+++ b/programs/topazyard-storage/src/batches/read.rs
@@ -4,10 +4,10 @@
 use topazyard_types::{BatchId, ItemNumber};
 use topazyard_wire::message::batch::{BatchStanding, ItemReturn};
 
-/// The most bytes of returns in one answer.
+/// Maximum size of the result bodies in one response, in bytes.
 const MAX_RESULT_BYTES: usize = 4 * 1024 * 1024;
 
-/// The cost of all items in a copy that have no final return.
+/// Cost of all items in a copy without a final result.
 pub fn waiting_cost(copy: &topazyard_replication::Copy) -> topazyard_types::Tokens {
     let items = rows::batches(copy)
         .flat_map(|(number, row)| (0..row.items).map(move |item| (number, ItemNumber(item))));
@@ -18,7 +18,7 @@
     unfinished.filter_map(|(number, item)| Some(rows::item_of(copy, number, item)?.cost)).sum()
 }
 
-/// How a batch stands.
+/// Status of a batch.
 pub fn status(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStanding> {
     let Some(row) = rows::batch_of(copy, batch.number) else {
         return super::routed::status(copy, batch);
@@ -42,7 +42,7 @@
     })
 }
 
-/// A batch's returns after a position, in order; at least one if there is one.
+/// A batch's results after a position, in order; at least one if there is any.
 pub fn results(
     copy: &topazyard_replication::Copy,
     batch: BatchId,
--- a/programs/topazyard-storage/src/batches/routed/changes.rs
+++ b/programs/topazyard-storage/src/batches/routed/changes.rs
@@ -1,4 +1,5 @@
-//! Commands: each changes what is entry in one key and gives the rows that record it.
+//! Commands on batches of routed items. Each change happens in one function, which returns the rows
+//! that record it.
 
 use super::{BatchEntry, Lease, OpenItem, QueueKey, RoutedBatchRow, RoutedBatches, rows};
 use crate::batches::ITEM_LEASE;
@@ -8,19 +9,19 @@
     Item, ItemEnd, ItemReturn, LeasedItem, Progress, RoutedBatch, Run, RunEnd,
 };
 
-/// What an item or a result weighs directions_bytes its body, in bytes.
+/// Storage accounted for an item or a result in addition to its body, in bytes.
 const OVERHEAD_BYTES: u64 = 256;
-/// The most bytes of a broken run's output that are kept for the next one.
+/// Maximum size of an interrupted run's output that is kept for the next run, in bytes.
 const MAX_PROGRESS_BYTES: usize = 256 * 1024;
 
-/// What came of a submission.
+/// Outcome of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is taken, now or before.
+    /// The batch is accepted, by this call or by an earlier one.
     Accepted(Vec<RowChange>),
-    /// It doesn't fit below the route's ceiling.
+    /// Its cost would exceed the route's ceiling.
     CeilingReached,
-    /// There is no room to keep it.
+    /// Its rows would exceed the storage capacity for batches.
     OverCapacity,
 }
 
@@ -48,7 +49,8 @@
 }
 
 impl RoutedBatches {
-    /// Takes a batch, unless it is known already. `capacity_bytes` is what all batches here may weigh.
+    /// Adds a batch, unless it is already known. `capacity_bytes` bounds the size of all batches of
+    /// this shard.
     pub fn submit(
         &mut self,
         routed: &RoutedBatch,
@@ -64,9 +66,9 @@
             return SubmitOutcome::CeilingReached;
         }
         let items = (0..).map(ItemNumber).zip(&routed.items);
-        let open: std::collections::BTreeMap<ItemNumber, OpenItem> =
+        let open_items: std::collections::BTreeMap<ItemNumber, OpenItem> =
             items.clone().map(|(number, item)| (number, OpenItem::new(item))).collect();
-        let bytes: u64 = open.values().map(|open| open.bytes).sum();
+        let bytes: u64 = open_items.values().map(|open| open.bytes).sum();
         if self.bytes + bytes > capacity_bytes {
             return SubmitOutcome::OverCapacity;
         }
@@ -74,7 +76,7 @@
         let row = RoutedBatchRow {
             terms: routed.terms.clone(),
             items: routed.items.len() as u32,
-            listed: 0,
+            result_count: 0,
             ended: false,
             age: DurationMs(0),
         };
@@ -83,7 +85,7 @@
         let initial_age = DurationMs(0);
         self.insert(
             number,
-            BatchEntry { row, known_since: now, initial_age, open, result_bytes: 0 },
+            BatchEntry { row, known_since: now, initial_age, open_items, result_bytes: 0 },
         );
         SubmitOutcome::Accepted(changes)
     }
@@ -93,8 +95,8 @@
         Some((entry.reaches_age_at(entry.row.terms.run_target), batch.number, item))
     }
 
-    /// Leases items of these routes: the first due first, and what is late already only where
-    /// nothing else waits.
+    /// Leases items of the given routes, earliest due time first. Items past their due time come
+    /// last.
     pub fn lease(
         &mut self,
         relay: NodeId,
@@ -107,12 +109,12 @@
         let in_order = self.queue.range(first_due..).chain(self.queue.range(..first_due));
         let eligible = in_order.filter_map(|key| {
             let entry = self.batches.get(&key.1)?;
-            let open = entry.open.get(&key.2)?;
+            let open = entry.open_items.get(&key.2)?;
             let terms = &entry.row.terms;
             if !routes.contains(&terms.route) {
                 return None;
             }
-            // Not on both yet: its submission is still being committed.
+            // Not in the committed copy yet: the submission is still being replicated.
             let item = rows::item_of(copy, key.1, key.2)?;
             let route = Some((terms.route.clone(), terms.host.clone()));
             Some((*key, item, route, open.progress.clone()))
@@ -130,7 +132,7 @@
         leased
     }
 
-    /// Notes that runs go on at a relay.
+    /// Renews the leases of runs that a relay reports as still running.
     pub fn running(&mut self, relay: NodeId, runs: &[Run], now: MonotonicMs) {
         for run in runs {
             if let Some(lease) = self.leases.get_mut(run).filter(|lease| lease.relay == relay) {
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Takes how a run ended. A result counts whoever brings it, as long as the item has none; a
-    /// failure counts only from the run that holds the lease, and so only once.
+    /// Handles the end of a run. A result is accepted from any run as long as the item has none; a
+    /// failure is counted only from the run that holds the lease, so only once.
     pub fn finish(
         &mut self,
         relay: NodeId,
@@ -154,7 +156,7 @@
         }
         let Some(entry) = self.batches.get_mut(&run.batch.number) else { return Vec::new() };
         let max_attempts = entry.row.terms.max_attempts;
-        let Some(open) = entry.open.get_mut(&run.item) else { return Vec::new() };
+        let Some(open) = entry.open_items.get_mut(&run.item) else { return Vec::new() };
         let result = match end {
             RunEnd::Done { text } => Some(ItemEnd::Whole { status: 200, body: text.into() }),
             RunEnd::Impossible => Some(ItemEnd::Abandoned),
@@ -180,7 +182,7 @@
         Vec::new()
     }
 
-    /// The one key where an item gets its result, at the next position.
+    /// Records an item's result at the next position; every result goes through here.
     fn record_result(
         &mut self,
         batch: BatchId,
@@ -190,9 +192,9 @@
     ) -> Vec<RowChange> {
         let Some(open) = self.remove_open_item(batch, item) else { return Vec::new() };
         let Some(entry) = self.batches.get_mut(&batch.number) else { return Vec::new() };
-        entry.row.listed += 1;
+        entry.row.result_count += 1;
         entry.row.age = entry.age(now);
-        let position = entry.row.listed;
+        let position = entry.row.result_count;
         let bytes = stored_bytes(&end);
         entry.result_bytes += bytes;
         self.bytes += bytes;
@@ -206,11 +208,11 @@
         changes
     }
 
-    /// Takes an item out of everything that waits.
+    /// Removes an item from the queue, the leases and all sums.
     fn remove_open_item(&mut self, batch: BatchId, item: ItemNumber) -> Option<OpenItem> {
         let key = self.queue_key(batch, item)?;
         let entry = self.batches.get_mut(&batch.number)?;
-        let open = entry.open.remove(&item)?;
+        let open = entry.open_items.remove(&item)?;
         self.queue.remove(&key);
         if let Some(waiting) = self.waiting_cost.get_mut(&entry.row.terms.route) {
             *waiting = Tokens(waiting.0.saturating_sub(open.cost.0));
@@ -221,7 +223,8 @@
     }
 
     fn mark_if_finished(&mut self, number: u64) {
-        let Some(entry) = self.batches.get(&number).filter(|entry| entry.open.is_empty()) else {
+        let Some(entry) = self.batches.get(&number).filter(|entry| entry.open_items.is_empty())
+        else {
             return;
         };
         let at = entry.reaches_age_at(entry.row.terms.retention);
@@ -230,15 +233,15 @@
         }
     }
 
-    /// Ends a batch: what has no result gets none. None if the batch is unknown.
+    /// Ends a batch: items without a result get none. Returns `None` if the batch is unknown.
     pub fn end(&mut self, batch: BatchId, now: MonotonicMs) -> Option<Vec<RowChange>> {
         let entry = self.batches.get_mut(&batch.number)?;
-        if entry.row.ended || entry.open.is_empty() {
+        if entry.row.ended || entry.open_items.is_empty() {
             return Some(Vec::new());
         }
         entry.row.ended = true;
         entry.row.age = entry.age(now);
-        let open: Vec<ItemNumber> = entry.open.keys().copied().collect();
+        let open: Vec<ItemNumber> = entry.open_items.keys().copied().collect();
         let mut changes = vec![rows::batch(batch.number, &entry.row)];
         for item in open {
             self.remove_open_item(batch, item);
@@ -248,7 +251,7 @@
         Some(changes)
     }
 
-    /// Lets go of finished batches that are older than `keep`.
+    /// Deletes finished batches older than `keep`.
     pub fn remove_expired(&mut self, keep: DurationMs, now: MonotonicMs) -> Vec<RowChange> {
         let mut changes = Vec::new();
         while let Some(number) = self.finished.front().copied() {
@@ -258,13 +261,13 @@
             self.finished.pop_front();
             if let Some(entry) = self.batches.remove(&number) {
                 self.bytes = self.bytes.saturating_sub(entry.result_bytes);
-                changes.extend(rows::delete_all(number, entry.row.listed));
+                changes.extend(rows::delete_all(number, entry.row.result_count));
             }
         }
         changes
     }
 
-    /// Takes back leases that ran out, and gives up what has waited too long.
+    /// Expires leases, and abandons items whose batch has reached its retention time.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<RowChange> {
         let expired: Vec<Run> =
             self.leases.iter().filter(|(_, l)| now >= l.expires_at).map(|(run, _)| *run).collect();
@@ -278,7 +281,8 @@
         while let Some((at, number)) =
             self.abandon_deadlines.first().copied().filter(|(at, _)| now >= *at)
         {
-            let items = self.batches.get(&number).map(|entry| entry.open.keys().copied().collect());
+            let items =
+                self.batches.get(&number).map(|entry| entry.open_items.keys().copied().collect());
             let items: Vec<ItemNumber> = items.unwrap_or_default();
             let batch = BatchId { shard: self.shard, number };
             for item in items {
--- a/programs/topazyard-storage/src/batches/routed/mod.rs
+++ b/programs/topazyard-storage/src/batches/routed/mod.rs
@@ -1,5 +1,5 @@
-//! Batches of routed items, as a shard's primary holds them. Their items may run more than once,
-//! so that a lease is all that a run needs; the first result that is committed is the item's.
+//! Batches of routed items, as held by a shard's primary. Routed items may run more than once, so a
+//! run needs only a lease; the first committed result counts.
 
 mod changes;
 mod read;
@@ -14,18 +14,18 @@
 pub use changes::SubmitOutcome;
 pub use read::{body, results, status};
 
-/// A batch's own row.
+/// The row of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct RoutedBatchRow {
     terms: Terms,
     items: u32,
-    listed: u32,
+    result_count: u32,
     ended: bool,
-    /// How old the batch was when this row was written: a successor goes on from there.
+    /// Age of the batch when this row was written; the next primary counts on from it.
     age: DurationMs,
 }
 
-/// What the primary keeps of an item without a result.
+/// What the primary keeps in memory of an item without a result.
 #[derive(Debug, Clone)]
 struct OpenItem {
     id: String,
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone)]
 struct BatchEntry {
     row: RoutedBatchRow,
-    /// When it became known here, and how old it was then.
+    /// When this node learned of the batch, and the batch's age at that time.
     known_since: MonotonicMs,
     initial_age: DurationMs,
-    open: std::collections::BTreeMap<ItemNumber, OpenItem>,
-    /// Bytes of its results.
+    open_items: std::collections::BTreeMap<ItemNumber, OpenItem>,
+    /// Size of its results, in bytes.
     result_bytes: u64,
 }
 
@@ -51,7 +51,8 @@
         DurationMs(self.initial_age.0 + now.since(self.known_since).0)
     }
 
-    /// When it reaches_age_at an age; its beginning may lie before this process's clock does.
+    /// When the batch reaches an age. Computed from the known age, because its submission may lie
+    /// before the start of this process's clock.
     fn reaches_age_at(&self, age: DurationMs) -> MonotonicMs {
         self.known_since.plus(DurationMs(age.0.saturating_sub(self.initial_age.0)))
     }
@@ -63,39 +64,39 @@
     expires_at: MonotonicMs,
 }
 
-/// An item's place in the queue: when it is due, its batch and its number.
+/// Position of an item in the queue: its due time, its batch and its number.
 type QueueKey = (MonotonicMs, u64, ItemNumber);
 
-/// Batches of a shard.
+/// The batches of routed items of a shard.
 #[derive(Debug)]
 pub struct RoutedBatches {
     shard: ShardId,
     batches: std::collections::BTreeMap<u64, BatchEntry>,
-    /// Items that may be leased, the first due first.
+    /// Items that may be leased, ordered by due time.
     queue: std::collections::BTreeSet<QueueKey>,
     leases: std::collections::BTreeMap<Run, Lease>,
-    /// The cost of open items by route.
+    /// Cost of the items without a result, by route.
     waiting_cost: std::collections::BTreeMap<RouteName, Tokens>,
-    /// Batches with open items, by when these are given up.
+    /// Batches with open items, by the time at which the items are abandoned.
     abandon_deadlines: std::collections::BTreeSet<(MonotonicMs, u64)>,
     /// Batches that have ended or have all their results, in that order.
     finished: std::collections::VecDeque<u64>,
-    /// Bytes of all bodies and results.
+    /// Size of all bodies and results, in bytes.
     bytes: u64,
     last_lease: u64,
 }
 
-/// Checks that a batch that is taken over has each of its items, open or with a result.
+/// Checks that a batch loaded from a copy has all its items, each open or with a result.
 fn check_complete(number: u64, row: &RoutedBatchRow, open: usize, results: usize) {
-    let listed = row.listed as usize;
-    let has_items = row.ended || open + listed == row.items as usize;
-    invariants::check(has_items && results == listed, Invariant::BatchIsWhole, || {
+    let result_count = row.result_count as usize;
+    let has_items = row.ended || open + result_count == row.items as usize;
+    invariants::check(has_items && results == result_count, Invariant::BatchIsWhole, || {
         format!("batch={number:016x} open={open} results={results} row={row:?}")
     });
 }
 
 impl RoutedBatches {
-    /// The batches that a copy holds.
+    /// Rebuilds the state from a copy of the shard's rows, when this node becomes the primary.
     pub(super) fn from_copy(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
@@ -119,31 +120,31 @@
                 let value = rows::item_of(copy, number, item)?;
                 Some((item, OpenItem::new(&value)))
             });
-            let open: std::collections::BTreeMap<ItemNumber, OpenItem> = open.collect();
-            let results = (1..=row.listed).filter_map(|at| rows::result_of(copy, number, at));
+            let open_items: std::collections::BTreeMap<ItemNumber, OpenItem> = open.collect();
+            let results = (1..=row.result_count).filter_map(|at| rows::result_of(copy, number, at));
             let bytes: Vec<u64> =
                 results.map(|result| changes::stored_bytes(&result.end)).collect();
-            check_complete(number, &row, open.len(), bytes.len());
+            check_complete(number, &row, open_items.len(), bytes.len());
             let (result_bytes, initial_age) = (bytes.into_iter().sum(), row.age);
             batches.insert(
                 number,
-                BatchEntry { row, known_since: now, initial_age, open, result_bytes },
+                BatchEntry { row, known_since: now, initial_age, open_items, result_bytes },
             );
         }
         batches
     }
 
-    /// Begins to hold a batch.
+    /// Adds a batch to the maps, the queue and all sums.
     fn insert(&mut self, number: u64, entry: BatchEntry) {
         let due = entry.reaches_age_at(entry.row.terms.run_target);
         let route = self.waiting_cost.entry(entry.row.terms.route.clone()).or_default();
-        for (item, open) in &entry.open {
+        for (item, open) in &entry.open_items {
             *route = route.plus(open.cost);
             self.queue.insert((due, number, *item));
             self.bytes += open.bytes;
         }
         self.bytes += entry.result_bytes;
-        if entry.open.is_empty() {
+        if entry.open_items.is_empty() {
             self.finished.push_back(number);
         } else {
             self.abandon_deadlines
@@ -152,24 +153,24 @@
         self.batches.insert(number, entry);
     }
 
-    /// The cost of all items without a result.
+    /// Cost of all items without a result.
     pub fn waiting_cost(&self) -> Tokens {
         self.waiting_cost.values().copied().sum()
     }
 
-    /// The cost of a route's items without a result.
+    /// Cost of a route's items without a result.
     pub fn waiting_cost_of(&self, route: &RouteName) -> Tokens {
         self.waiting_cost.get(route).copied().unwrap_or_default()
     }
 
-    /// How many batches are kept, finished ones among them.
+    /// Number of batches, including finished ones.
     pub fn count(&self) -> usize {
         self.batches.len()
     }
 
-    /// Items without a result.
+    /// Number of items without a result.
     pub fn open_items(&self) -> usize {
-        self.batches.values().map(|entry| entry.open.len()).sum()
+        self.batches.values().map(|entry| entry.open_items.len()).sum()
     }
 
     /// Whether the batch is known.
@@ -177,7 +178,7 @@
         batch.shard == self.shard && self.batches.contains_key(&batch.number)
     }
 
-    /// Bytes of all bodies and results.
+    /// Size of all bodies and results, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/programs/topazyard-storage/src/batches/routed/read.rs
+++ b/programs/topazyard-storage/src/batches/routed/read.rs
@@ -5,36 +5,36 @@
 use topazyard_types::{BatchId, ItemNumber};
 use topazyard_wire::message::batch::{BatchStanding, ItemEnd, ItemReturn};
 
-/// The most bytes of bodies in one page of results.
+/// Maximum size of the bodies in one page of results, in bytes.
 const MAX_PAGE_BYTES: usize = 900_000;
-/// What a result weighs beside its body, in bytes.
+/// Size accounted for a result in a page in addition to its body, in bytes.
 const OVERHEAD_BYTES: usize = 128;
 
-/// How a batch stands.
+/// Status of a batch.
 pub fn status(copy: &Copy, batch: BatchId) -> Option<BatchStanding> {
     let row = rows::batch_of(copy, batch.number)?;
-    let waiting = if row.ended { 0 } else { row.items - row.listed };
+    let waiting = if row.ended { 0 } else { row.items - row.result_count };
     Some(BatchStanding {
         batch,
         items: row.items,
-        returned: row.listed,
+        returned: row.result_count,
         waiting,
         running: 0,
         ended: row.ended,
     })
 }
 
-/// The number of a batch's items, and its results after a position in order: at least one if
-/// there is one.
+/// The number of items of a batch, and its results after a position in order; at least one if there
+/// is any.
 pub fn results(copy: &Copy, batch: BatchId, after: u32) -> Option<(u32, Vec<ItemReturn>)> {
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
-    for position in after.saturating_add(1)..=row.listed {
+    for position in after.saturating_add(1)..=row.result_count {
         let Some(result) = rows::result_of(copy, batch.number, position) else { break };
         bytes += OVERHEAD_BYTES;
         if let ItemEnd::Whole { body, .. } = &result.end {
-            // Line feeds and the like take two bytes where they are shown.
+            // Control characters and quotes are escaped in JSON and take up to six bytes.
             bytes += body.len() + body.iter().filter(|b| **b < b' ' || **b == b'"').count() * 5;
         }
         if bytes > MAX_PAGE_BYTES && !found.is_empty() {
--- a/programs/topazyard-storage/src/batches/routed/rows.rs
+++ b/programs/topazyard-storage/src/batches/routed/rows.rs
@@ -1,5 +1,5 @@
-//! The rows of batches of routed items. An item's row is gone once it has its result or its batch
-//! has ended; what has a row waits.
+//! The rows of batches of routed items. An item's row is deleted once the item has its result or
+//! its batch has ended, so every item row stands for a waiting item.
 
 use super::RoutedBatchRow;
 use topazyard_types::ItemNumber;
@@ -36,9 +36,9 @@
     RowChange::put(result_key(number, value.position), value)
 }
 
-/// Takes every row of a batch away that has all its results or has ended.
-pub(super) fn delete_all(number: u64, listed: u32) -> Vec<RowChange> {
-    let results = (1..=listed).map(|position| RowChange::gone(result_key(number, position)));
+/// Deletes all rows of a batch that has ended or has all its results.
+pub(super) fn delete_all(number: u64, result_count: u32) -> Vec<RowChange> {
+    let results = (1..=result_count).map(|position| RowChange::gone(result_key(number, position)));
     results.chain([RowChange::gone(batch_key(number))]).collect()
 }
 
--- a/programs/topazyard-storage/src/batches/rows.rs
+++ b/programs/topazyard-storage/src/batches/rows.rs
@@ -5,7 +5,7 @@
 use topazyard_wire::RowChange;
 use topazyard_wire::message::batch::{Item, ItemReturn};
 
-/// The prefix of rows of batches. It keeps the older word, so that older disks can be read.
+/// Key prefix of batch rows; unchanged from older releases, so that their disks stay readable.
 const BATCHES: &str = "parcel/";
 
 fn item_key(number: u64, item: ItemNumber) -> String {
@@ -40,12 +40,12 @@
     RowChange::put(result_key(number, value.position), value)
 }
 
-/// Whether a row is of that batch.
+/// Whether a row belongs to the batch.
 pub(crate) fn is_of(key: &str, number: u64) -> bool {
     key.split('/').nth(1).and_then(|hex| u64::from_str_radix(hex, 16).ok()) == Some(number)
 }
 
-/// Takes every row of a batch away.
+/// Deletes all rows of a batch.
 pub(super) fn delete_all(number: u64, items: u32) -> Vec<RowChange> {
     let of_items = (0..items).map(ItemNumber).flat_map(|item| {
         let keys =
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -1,6 +1,7 @@
-//! The in-flight counter, kept in memory on two nodes.
+//! The in-flight token counter, kept in memory by a primary and its backups.
 //!
-//! The check and the add are one step of one owner, so two prompts can't both find the same room.
+//! Its primary checks the budget and adds a hold in one step, so two prompts can't be granted the
+//! same tokens.
 
 mod rows;
 mod usage;
@@ -11,13 +12,13 @@
 use topazyard_wire::RowChange;
 use topazyard_wire::message::counter::{Hold, HoldKind};
 
-/// How long a relay's holds stand without a renewal.
+/// Lease of a relay's holds: they are released after this time without a renewal.
 pub const RELAY_LEASE: DurationMs = DurationMs(3_000);
-/// How long a counter without any copy gathers holds before it grants. All relays that live renew
-/// within that time, and the leases of all others have run out.
+/// How long a counter that starts without a copy gathers holds before it grants freely. Within this
+/// time every live relay renews, and the leases of all others expire.
 const GATHER_DURATION: DurationMs = DurationMs(3_500);
 
-/// The part of the limit, in percent, from which blocks are granted while holds are gathered.
+/// The share of a limit, in percent, up to which blocks and items are granted while gathering.
 const GATHERING_PERCENT: u64 = 50;
 
 #[derive(Debug, Clone)]
@@ -32,15 +33,15 @@
 pub struct Report {
     /// The shard's epoch.
     pub shard_epoch: Epoch,
-    /// The life of the shard's primary; numbers are compared within one.
+    /// Identifies the process of the shard's primary; numbers are compared only within one process.
     pub life: Life,
-    /// Rises with each report of that life.
+    /// Increases with each report of that process.
     pub number: u64,
-    /// The cost that waits there.
+    /// Cost of the items waiting in the shard.
     pub total: Tokens,
 }
 
-/// The counter as its primary holds it.
+/// The counter's state at its primary.
 #[derive(Debug, Default)]
 pub struct Counter {
     holds: std::collections::BTreeMap<(NodeId, HoldId), HoldEntry>,
@@ -50,19 +51,20 @@
     gathering_until: Option<MonotonicMs>,
 }
 
-/// What comes of a check and add.
+/// Outcome of checking and adding a hold.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AddOutcome {
     /// Added, with the rows that record it.
     Added(Vec<RowChange>),
-    /// There is no room.
+    /// The hold does not fit the budget.
     Refused,
-    /// The counter can't tell yet.
+    /// The counter is still gathering holds and can't decide.
     Gathering,
 }
 
 impl Counter {
-    /// The counter that a copy holds; one without any history gathers before it grants.
+    /// Rebuilds the counter from a copy of its rows, when this node becomes the primary. A copy
+    /// without any history makes it gather holds before it grants.
     ///
     /// ```
     /// use topazyard_replication::Copy;
@@ -83,33 +85,34 @@
         counter
     }
 
-    /// Whether it still gathers.
+    /// Whether the counter is still gathering holds.
     pub fn is_gathering(&self, now: MonotonicMs) -> bool {
         self.gathering_until.is_some_and(|until| now < until)
     }
 
-    /// Tokens held in a pool, with blocks counted whole.
+    /// Tokens held in a pool, counting granted blocks in full.
     pub fn held(&self, pool: &PoolName) -> Tokens {
         self.usage.get(pool).map_or(Tokens(0), usage::PoolUsage::held)
     }
 
-    /// Tokens that live prompts hold and requests of routes use, in all pools.
+    /// Tokens held by live prompts and used by requests on routes, over all pools.
     pub fn live_tokens(&self) -> Tokens {
         self.usage.values().map(usage::PoolUsage::live).sum()
     }
 
-    /// What is taken of each pool's budget, a summary each, for the log.
+    /// A log line for each pool with the usage of its budget.
     pub fn usage_summaries(&self) -> impl Iterator<Item = String> {
         self.usage.iter().map(|(pool, usage)| format!("budget of {pool}: {}", usage.summary()))
     }
 
-    /// How many holds there are.
+    /// Number of holds.
     pub fn hold_count(&self) -> usize {
         self.holds.len()
     }
 
     fn insert(&mut self, relay: NodeId, hold: Hold, now: MonotonicMs) {
-        // A cost above the whole limit counts as the limit: it runs alone rather than never.
+        // A cost above the whole limit counts as the limit, so that it runs alone rather than
+        // never.
         let charge = Tokens(hold.cost.0.min(hold.terms.limit.0));
         let expires = now.plus(hold.terms.expiry);
         self.remove(relay, hold.id);
@@ -122,7 +125,7 @@
         self.holds.insert((relay, hold.id), HoldEntry { hold, charge, expires });
     }
 
-    /// Takes a hold out of all sums; gives whether there was one.
+    /// Removes a hold and its charge; returns whether it existed.
     fn remove(&mut self, relay: NodeId, id: HoldId) -> bool {
         let Some(HoldEntry { hold, charge, .. }) = self.holds.remove(&(relay, id)) else {
             return false;
@@ -140,7 +143,7 @@
         true
     }
 
-    /// Checks and adds, in one. The same hold again changes nothing.
+    /// Checks the budget and adds the hold in one step. Adding the same hold again changes nothing.
     pub fn add(&mut self, relay: NodeId, hold: &Hold, now: MonotonicMs) -> AddOutcome {
         if self.holds.contains_key(&(relay, hold.id)) {
             return AddOutcome::Added(Vec::new());
@@ -153,9 +156,9 @@
         let no_usage = usage::PoolUsage::default();
         let usage = self.usage.get(&hold.pool).unwrap_or(&no_usage);
         let fits = match (gathering, hold.kind) {
-            // What relays hold from before is told within moments; until all have, blocks and items
-            // are granted from a part of the limit, with blocks counted whole, so that service after
-            // the loss of all holders does not wait.
+            // Relays report the holds they already have with their next renewal. Until all have,
+            // blocks and items are granted from a part of the limit, with granted blocks counted in
+            // full, so that service resumes without waiting after all copies were lost.
             (true, _) => {
                 let gathering_limit = hold.terms.limit.0 * GATHERING_PERCENT / 100;
                 usage.held().plus(charge).0 <= gathering_limit
@@ -167,13 +170,14 @@
             let percent = if gathering { GATHERING_PERCENT } else { 100 };
             let item_limit = hold.terms.part.0 * percent / 100;
             let items = usage.items();
-            // One item larger than the whole part may run alone, likewise.
+            // A single item larger than the whole item limit may run alone, for the same reason.
             item_limit > 0 && (items == Tokens(0) || items.plus(charge).0 <= item_limit)
         };
         if !fits || !within_item_limit {
             return AddOutcome::Refused;
         }
-        // Of the engines that it may use it gets the one with the least items: no relay sees them all.
+        // Choose the allowed engine with the fewest item tokens: no relay sees the items of all
+        // relays.
         let engine = usage.least_loaded(&hold.engines).cloned();
         let hold = Hold { engines: engine.into_iter().collect(), ..hold.clone() };
         self.leases.insert(relay, now.plus(RELAY_LEASE));
@@ -182,18 +186,18 @@
         AddOutcome::Added(vec![change])
     }
 
-    /// The engine that a granted hold was given, if its engine was chosen with it.
+    /// The engine assigned to a granted hold, if one was assigned.
     pub fn engine_of(&self, relay: NodeId, id: HoldId) -> Option<EngineName> {
         self.holds.get(&(relay, id))?.hold.engines.first().cloned()
     }
 
-    /// Lets a hold go; once is enough.
+    /// Releases a hold. Idempotent.
     pub fn release(&mut self, relay: NodeId, id: HoldId) -> Vec<RowChange> {
         let existed = self.remove(relay, id);
         existed.then(|| rows::delete_hold(relay, id)).into_iter().collect()
     }
 
-    /// Renews a relay's lease: what it lists stands, what it doesn't list goes, up to an id.
+    /// Renews a relay's lease. Listed holds stay; unlisted holds up to `up_to` are released.
     pub fn renew(
         &mut self,
         relay: NodeId,
@@ -214,7 +218,7 @@
         let mut changes: Vec<RowChange> =
             gone.into_iter().flat_map(|id| self.release(relay, id)).collect();
         for hold in holds {
-            // Above the limit if need be: these run already.
+            // Added even above the limit: the requests of these holds already run.
             match self.holds.get_mut(&(relay, hold.id)) {
                 Some(held) => held.expires = now.plus(hold.terms.expiry),
                 None => {
@@ -226,7 +230,7 @@
         changes
     }
 
-    /// A relay tells what its requests hold of its blocks, by pool.
+    /// Records how many tokens a relay's requests use of its blocks, by pool.
     pub fn record_used(&mut self, relay: NodeId, used: &[(PoolName, Tokens)]) {
         for (pool, used) in used {
             if let Some(usage) = self.usage.get_mut(pool) {
@@ -235,7 +239,8 @@
         }
     }
 
-    /// Frees what relays that are gone held, and what nobody renewed.
+    /// Releases the holds of relays whose lease has expired, and holds that were not renewed in
+    /// time.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<RowChange> {
         let expired: Vec<NodeId> =
             self.leases.iter().filter(|(_, until)| now >= **until).map(|(id, _)| *id).collect();
@@ -254,9 +259,9 @@
         due.into_iter().flat_map(|(relay, id)| self.release(relay, id)).collect()
     }
 
-    /// Takes a shard's report of its waiting cost, and checks what it asks for besides against the
-    /// ceiling. Gives whether that is granted, or nothing where the report is old or the counter
-    /// can't tell yet.
+    /// Records a shard's report of its waiting cost, and checks the cost it requests in addition
+    /// against the ceiling. Returns whether that is granted, or `None` if the report is stale or
+    /// the counter can't decide yet.
     pub fn report(
         &mut self,
         shard: ShardId,
@@ -274,8 +279,8 @@
             return None;
         }
         self.reports.insert(shard, received);
-        // What a shard keeps that nobody serves just now still waits: without its report nothing
-        // can be granted.
+        // The items of a shard that has no primary at the moment still wait: without a report of
+        // every shard nothing can be granted.
         let mut shards = ShardId::all().filter(|shard| !shard.is_counter());
         let all_reported = shards.all(|shard| self.reports.contains_key(&shard));
         if requested > Tokens(0) && (self.is_gathering(now) || !all_reported) {
--- a/programs/topazyard-storage/src/counter/rows.rs
+++ b/programs/topazyard-storage/src/counter/rows.rs
@@ -1,4 +1,4 @@
-//! The counter's rows, by which its backup follows.
+//! The counter's rows, which are replicated to its backups.
 
 use super::Report;
 use topazyard_types::{HoldId, NodeId, ShardId};
--- a/programs/topazyard-storage/src/lib.rs
+++ b/programs/topazyard-storage/src/lib.rs
@@ -1,4 +1,5 @@
-//! Storage: the in-flight counter and the batch shards, each a primary and a backup.
+//! Storage node: the in-flight token counter and the batch shards, each replicated from a primary
+//! to its backups.
 
 pub mod batches;
 pub mod counter;
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -1,7 +1,8 @@
-//! Confirms this node's copies for reads asked replica_reads, where the control primary does not.
+//! Confirms that this node's shard records are current, so that it can serve replica reads while
+//! the control primary does not respond.
 //!
-//! Control's backups are asked which records stand, and the other backups of a shard what they have
-//! synced. Either may be asked at any time and as often as wanted: nothing changes by it.
+//! Control's backups are asked for the current records, and the other backups of a shard for what
+//! they have synced. Both queries change nothing, so they may be sent at any time and repeated.
 
 use super::{Effects, StorageMachine};
 use std::net::SocketAddr;
@@ -11,14 +12,14 @@
 use topazyard_wire::message::confirm::ConfirmMessage;
 use topazyard_wire::message::membership::Duty;
 
-/// How often it is asked while reads wait.
+/// Interval of queries while reads wait.
 const QUERY_INTERVAL: DurationMs = DurationMs(50);
-/// How long a read waits for the control primary alone.
+/// How long a read waits for the control primary before the backups are queried.
 const PRIMARY_TIMEOUT: DurationMs = DurationMs(75);
-/// Questions whose answers are still taken.
+/// Maximum number of queries whose responses are still accepted.
 const MAX_PENDING_QUERIES: usize = 16;
 
-/// The questions to control that are under way.
+/// Queries to control that await a response.
 #[derive(Debug)]
 pub(super) struct RecordQueries {
     pending: std::collections::VecDeque<(u64, MonotonicMs)>,
@@ -43,7 +44,7 @@
 }
 
 impl StorageMachine {
-    /// Asks the control backups and the other backups of shards as long as reads wait.
+    /// Queries the control backups, and the other backups of each shard, as long as reads wait.
     pub(super) fn send_queries(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let is_due = self.record_queries.last_sent.is_none_or(|at| now.since(at) >= QUERY_INTERVAL);
         if !is_due || self.hosted.values().all(|hosted| hosted.replica_reads.is_empty()) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Takes what a control backup confirmed, as of when it was asked.
+    /// Records what a control backup confirmed, as of the time when the query was sent.
     fn receive_records(&mut self, nonce: u64, epochs: &[(ShardId, Epoch)]) {
         let query =
             self.record_queries.pending.iter().find(|(pending_nonce, _)| *pending_nonce == nonce);
--- a/programs/topazyard-storage/src/machine/counter_calls.rs
+++ b/programs/topazyard-storage/src/machine/counter_calls.rs
@@ -1,4 +1,4 @@
-//! The counter's calls, and the batch shards' reports to it.
+//! Calls to the token counter, and the batch shards' reports to it.
 
 use super::hosted::{CommitWaiter, ServingState};
 use super::{Effects, StorageMachine};
@@ -8,20 +8,21 @@
 use topazyard_wire::message::Message;
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
 
-/// How often a batch shard reports its waiting cost.
+/// Interval of a batch shard's reports of its waiting cost.
 const REPORT_INTERVAL: DurationMs = DurationMs(250);
-/// How long a submission may wait for room below the ceiling.
+/// How long a submission may wait for capacity below the ceiling.
 const SUBMISSION_TIMEOUT: DurationMs = DurationMs(2_000);
-/// How long it waits without a word of its relay: the ceiling it came with grows old.
+/// How long a submission waits without being repeated by its relay: the ceiling it carries becomes
+/// stale.
 const RELAY_SILENCE_TIMEOUT: DurationMs = DurationMs(1_000);
-/// After how long a raise without a return is asked for again.
+/// Time after which an unanswered capacity request is sent again.
 const CAPACITY_RETRY_INTERVAL: DurationMs = DurationMs(300);
 
-/// How often the log tells what is taken of each pool's budget.
+/// Interval of the log lines on the usage of each pool's budget.
 const BUDGET_LOG_INTERVAL: DurationMs = DurationMs(5_000);
 
 impl StorageMachine {
-    /// Tells the log now and then what is taken of each budget, where this node counts it.
+    /// Logs the usage of each budget at an interval, if this node serves the counter.
     pub(super) fn log_budgets(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if now.since(self.budgets_logged_at) < BUDGET_LOG_INTERVAL {
             return;
@@ -45,7 +46,7 @@
             CounterBody::WaitingSettled { shard, number, granted } => {
                 return self.settle_capacity_request(shard, number, granted, effects);
             }
-            // A return is never returned to: two nodes would go on for ever.
+            // A response never gets a response, or two nodes would exchange them without end.
             CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotHere => {
                 return;
             }
@@ -87,7 +88,8 @@
             CounterBody::Renew { number, up_to, holds, asked, used } => {
                 let changes = counter.renew(sender, up_to, &holds, &asked, now);
                 counter.record_used(sender, &used);
-                // A counter that can't grant yet leaves the lease unanswered: its relays are not ready.
+                // A counter that is still gathering leaves the renewal unanswered, so that its
+                // relays do not become ready.
                 let waiter = if counter.is_gathering(now) {
                     CommitWaiter::Nobody
                 } else {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Reports a shard's waiting cost, or asks for room for the next submission.
+    /// Reports a shard's waiting cost, with a request for the cost of the next submission if there
+    /// is one.
     pub(super) fn report_waiting(
         &mut self,
         shard: ShardId,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Gives up on submissions for which no room could be asked in time.
+    /// Refuses submissions for which no capacity was granted in time.
     pub(super) fn drop_expired_submissions(
         &mut self,
         shard: ShardId,
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -1,4 +1,4 @@
-//! One shard's copy at this node.
+//! A shard hosted at this node.
 
 use crate::batches::Batches;
 use crate::counter::Counter;
@@ -8,41 +8,42 @@
 use topazyard_wire::message::control::ShardWish;
 use topazyard_wire::message::counter::CounterBody;
 
-/// After how long without its backup's confirmation a primary wants to know what control says.
+/// Time without a backup's confirmation after which a primary polls control quickly.
 const CONTROL_POLL_DELAY: topazyard_types::DurationMs = topazyard_types::DurationMs(200);
 
-/// What a shard's primary works with.
+/// The state with which a shard's primary serves calls.
 #[derive(Debug)]
 pub(crate) enum ServingState {
-    /// It is not serving.
+    /// This node does not serve the shard.
     None,
-    /// The counter.
+    /// The token counter.
     Counter(Counter),
-    /// Batches.
+    /// The shard's batches.
     Batches(Batches),
 }
 
-/// A shard's copy, and what its primary works with.
+/// A shard's replica at this node, and the primary's state.
 #[derive(Debug)]
 pub(crate) struct Hosted {
     pub(crate) replica: Replica,
     pub(crate) serving_state: ServingState,
     pub(crate) waiters: std::collections::BTreeMap<WriteTicket, CommitWaiter>,
     pub(crate) last_ticket: WriteTicket,
-    /// A wish for another record, with when it was last sent; none while it is being synced.
+    /// The requested change of the record, and when the request was last sent; no time while this
+    /// node's stop is still being synced.
     pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
     pub(crate) pending_submissions: PendingSubmissions,
-    /// Submissions of batches that were refused here: a late frame of one must not be taken.
+    /// Submissions that were refused here: a delayed frame of one must not be accepted later.
     pub(crate) refused_submissions: std::collections::VecDeque<(NodeId, u64)>,
-    /// Reads asked replica_reads, until control confirms that this copy still counts.
+    /// Reads that wait for control to confirm that this copy's record is current.
     pub(crate) replica_reads: Vec<ReplicaRead>,
-    /// The record that a quorum read of control confirmed last, with when it was asked for.
+    /// The epoch that a quorum read of control last confirmed, and when that was requested.
     pub(crate) record_confirmed: Option<(Epoch, MonotonicMs)>,
-    /// What the other backups said they have synced in this epoch.
+    /// The sequences that the other backups reported as synced in this epoch.
     pub(crate) synced_by: std::collections::BTreeMap<NodeId, Sequence>,
 }
 
-/// A read asked replica_reads.
+/// A read to be answered from this copy, although this node may not be the primary.
 #[derive(Debug)]
 pub(crate) struct ReplicaRead {
     pub(crate) caller: BatchCaller,
@@ -50,44 +51,44 @@
     pub(crate) received_at: MonotonicMs,
 }
 
-/// Who waits for a ticket.
+/// Who awaits the commit of a write ticket.
 #[derive(Debug)]
 pub(crate) enum CommitWaiter {
     /// Nobody.
     Nobody,
-    /// A relay or a shard primary that asked the counter.
+    /// A relay or shard primary that called the counter, and the response.
     Counter(std::net::SocketAddr, CounterBody),
-    /// A relay that asked about batches.
+    /// A relay that called a batch shard, and the response.
     Batch(BatchCaller, PendingResponse),
 }
 
-/// A relay's call on batches.
+/// Where to send the response to a relay's batch call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BatchCaller {
     pub(crate) to: std::net::SocketAddr,
     pub(crate) call: u64,
 }
 
-/// What a relay's call returns once its ticket is committed.
+/// The response to a relay's call, resolved once its write ticket is committed.
 #[derive(Debug, Clone)]
 pub(crate) enum PendingResponse {
-    /// This.
+    /// Already known.
     Ready(BatchReturn),
-    /// How the batch stands then; as accepted, or as read.
-    Standing(BatchId, bool),
-    /// Its returns after a position.
-    Returns(BatchId, u32),
+    /// The batch's status; true if as the response to a submission.
+    Status(BatchId, bool),
     /// A batch's results after a position.
     Results(BatchId, u32),
+    /// A routed batch's results after a position.
+    RoutedResults(BatchId, u32),
     /// The body of a batch's item.
     Body(BatchId, String),
 }
 
-/// Submissions that wait for room below the ceiling, one asked for at a time.
+/// Submissions that wait for capacity below the ceiling; one request is open at a time.
 #[derive(Debug, Default)]
 pub(crate) struct PendingSubmissions {
     pub(crate) queue: std::collections::VecDeque<Submission>,
-    /// The report that asks for the first one's room, and since when.
+    /// The report that requests capacity for the first submission, and when it was sent.
     pub(crate) requested: Option<(u64, MonotonicMs)>,
     pub(crate) last_number: u64,
     pub(crate) last_report: MonotonicMs,
@@ -100,7 +101,7 @@
     pub(crate) items: Vec<Item>,
     pub(crate) ceiling: Tokens,
     pub(crate) received_at: MonotonicMs,
-    /// When its relay last spoke of it.
+    /// When its relay last sent it.
     pub(crate) last_heard: MonotonicMs,
 }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Calls that wait for a commit.
+    /// Number of calls that await a commit.
     pub(crate) fn calls_waiting(&self) -> usize {
         self.waiters.values().filter(|waiter| !matches!(waiter, CommitWaiter::Nobody)).count()
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Submits changes on somebody's behalf.
+    /// Submits changes for replication; `waiter` is notified when they are committed.
     pub(crate) fn submit(&mut self, changes: Vec<topazyard_wire::RowChange>, waiter: CommitWaiter) {
         self.last_ticket += 1;
         if self.replica.submit(self.last_ticket, changes) {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Whether something here waits for the next word of control.
+    /// Whether something here waits for the next update from control.
     pub(crate) fn waits_for_control(&self, now: MonotonicMs) -> bool {
         let late = |since| now.since(since) >= CONTROL_POLL_DELAY;
         let unsettled = self.replica.is_primary() && !self.replica.is_serving();
@@ -155,19 +156,20 @@
         self.wish.is_some() || unsettled || !self.replica_reads.is_empty()
     }
 
-    /// When the asking was sent by which it was last confirmed that this copy's record stands.
+    /// When the latest request was sent whose response confirmed this copy's record as current.
     pub(crate) fn confirmed_at(&self, by_feed: Option<MonotonicMs>) -> Option<MonotonicMs> {
         let by_quorum = self.record_confirmed.filter(|(epoch, _)| *epoch == self.replica.epoch());
         by_feed.max(by_quorum.map(|(_, at)| at))
     }
 
-    /// Whether all of these nodes said that they have synced what this follower holds.
+    /// Whether all these nodes reported that they have synced what this replica holds.
     pub(crate) fn all_have_synced(&self, mut nodes: impl Iterator<Item = NodeId>) -> bool {
         let sequence = self.replica.copy().position().sequence;
         nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= sequence))
     }
 
-    /// Whether this node follows in step in that epoch and has synced the copy up to there.
+    /// Whether this node is a backup in sync in the epoch and has synced its copy up to the
+    /// sequence.
     pub(crate) fn has_synced(&self, epoch: Epoch, sequence: Sequence) -> bool {
         let in_sync = self.replica.epoch() == epoch && self.replica.was_in_sync();
         let is_complete = self.replica.uncommitted() != Uncommitted::All;
@@ -177,7 +179,7 @@
             && self.replica.copy().position().sequence >= sequence
     }
 
-    /// Whether this primary may work in its epoch.
+    /// Whether this node serves as the primary in the epoch.
     pub(crate) fn is_serving_in(&self, epoch: Epoch) -> bool {
         self.replica.epoch() == epoch
             && self.replica.is_serving()
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The storage node's machine: the shards it hosts, each with its part in a replica.
+//! The storage node's state machine: the shards it hosts, and its role in each.
 
 mod confirm;
 mod counter_calls;
@@ -22,30 +22,31 @@
 use topazyard_wire::state::FleetView;
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
-/// How old control's last word may be when a shard stops for a record with its learner.
+/// Learners are promoted only if control responded within this time: the shard stops serving until
+/// control has changed its record.
 const MAX_CONTROL_AGE: topazyard_types::DurationMs = topazyard_types::DurationMs(400);
-/// How long a backup may owe its confirmation.
+/// Time without a backup's confirmation after which its removal is requested.
 const BACKUP_TIMEOUT: topazyard_types::DurationMs = topazyard_types::DurationMs(500);
-/// For how long after its start a node reckons with others that are only starting, in percent of the
-/// bound on contact.
+/// How long after its start a node assumes that others may still be starting, in percent of the
+/// contact bound.
 const STARTUP_PERCENT: u64 = 100;
-/// How long it leaves a backup that may only be starting without a confirmation, likewise: as long as
+/// Backup timeout while others may still be starting, in percent of the contact bound: as long as
 /// control waits before it counts a silent node as down.
 const STARTUP_BACKUP_TIMEOUT_PERCENT: u64 = 40;
 
-/// The effects of a storage node.
+/// The effects of a step of the storage node.
 pub(crate) type Effects = Vec<Effect<StorageHealth, topazyard_wire::machine::NoTask>>;
 
-/// What may be asked of a storage node from within its process.
+/// Calls from within the process.
 #[derive(Debug)]
 pub enum StorageCall {
-    /// The settings name other control nodes now.
+    /// Replaces the addresses of control nodes after a change of the settings.
     Seeds(Vec<std::net::SocketAddr>),
-    /// How does it fare?
+    /// Reads the node's health.
     Health,
 }
 
-/// How a storage node fares.
+/// Health of a storage node.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct StorageHealth {
     /// Its id.
@@ -54,27 +55,27 @@
     pub serving: Vec<ShardId>,
     /// Shards of which it hosts a copy.
     pub hosting: Vec<ShardId>,
-    /// How its disk fares.
+    /// State of its disk.
     pub disk: DiskState,
-    /// How long the oldest write not yet synced has taken.
+    /// Age of the oldest write that is not synced yet, in ms.
     pub write_wait_ms: u64,
-    /// Holds on the budget, if it leads the counter.
+    /// Holds on the token budget, if it serves the counter.
     pub holds: Option<usize>,
     /// The epoch of each shard of which it hosts a copy.
     pub epochs: std::collections::BTreeMap<ShardId, Epoch>,
-    /// Shards in which it answers nothing more until their record changes.
+    /// Shards in which it has stopped serving until their record changes.
     pub stopped: usize,
-    /// Batches of routed items acknowledged since the start, repeats among them.
+    /// Batches of routed items acknowledged since the start, including repeated submissions.
     pub batches_acknowledged: u64,
-    /// Batches of routed items that the shards it serves keep.
+    /// Batches of routed items kept in the shards it serves.
     pub batches_kept: usize,
     /// Items without a result in these batches.
     pub items_open: usize,
-    /// Calls that wait for a commit.
+    /// Calls that await a commit.
     pub calls_waiting: usize,
 }
 
-/// One storage node.
+/// A storage node.
 pub struct StorageMachine {
     pub(crate) member: Member,
     pub(crate) life: Life,
@@ -83,7 +84,7 @@
     pub(crate) view: FleetView,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
-    /// Shards in which this node answers nothing more, up to that epoch.
+    /// Shards in which this node has stopped serving, up to the given epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
     requests_after_write: std::collections::BTreeMap<u64, ShardWish>,
     /// The number of the write that deleted this node's last copy of a shard.
@@ -91,28 +92,28 @@
     last_write: u64,
     last_sweep: MonotonicMs,
     pub(crate) budgets_logged_at: MonotonicMs,
-    /// When this process began.
+    /// When this process started.
     started_at: Option<MonotonicMs>,
     record_queries: confirm::RecordQueries,
-    /// When a frame told of an epoch that the feed has not told of yet.
+    /// Since when frames have carried an epoch that the feed has not delivered yet.
     behind_since: Option<MonotonicMs>,
     remembered: topazyard_wire::driver::disked::Remembered,
     pub(crate) bounds: topazyard_spec::Bounds,
-    /// What the batches of a shard may weigh, in bytes.
+    /// Maximum size of the batches of a shard, in bytes.
     pub(crate) capacity_bytes: u64,
     pub(crate) disk: DiskWatch,
     pub(crate) batches_acknowledged: u64,
 }
 
-/// What the batches of a shard may weigh. Each byte lies in memory once as a row and for a moment
-/// in frames; on disk a file of pages takes it 2.2 times, as measured on the capacity page.
+/// Maximum size of the batches of a shard. In memory each byte is held once in a row and briefly in
+/// frames; the page file on disk takes 2.2 times the size of the rows.
 fn capacity_bytes(resources: &topazyard_spec::Resources) -> u64 {
     let share = |all: u64, parts| if all == 0 { u64::MAX } else { all / parts };
     share(resources.memory_bytes, 4).min(share(resources.disk_bytes, 3))
 }
 
 impl StorageMachine {
-    /// A storage node as it starts.
+    /// Creates a storage node from what was found on its disk.
     pub fn new(mut start: DiskStart) -> Self {
         let remembered = start.remembered();
         let sources = start.known_control();
@@ -157,7 +158,7 @@
         self.hosted.get(&shard).map(|hosted| hosted.replica.copy())
     }
 
-    /// Holds on the budget, if this node leads the counter.
+    /// Number of holds on the token budget, if this node serves the counter.
     pub fn holds(&self) -> Option<usize> {
         self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::hold_count))
     }
@@ -171,11 +172,11 @@
         effects.push(Effect::Write { token, changes: vec![row] });
     }
 
-    /// Answers nothing more in a shard's epoch, and once that is synced requests_change for another record.
+    /// Stops serving in a shard's epoch, and requests a change of the record once that is synced.
     pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, effects: &mut Effects) {
         let shard = wish.shard;
-        // The counter is lost with its process, and with it whatever it could answer: it need not
-        // wait for a disk that may have stalled.
+        // The counter's state is lost with its process, including any right to serve, so the
+        // request need not wait for a disk that may have stalled.
         let at_once = shard.is_counter().then_some(MonotonicMs(0));
         if let Some(hosted) = self.hosted.get_mut(&shard) {
             hosted.replica.stop_serving();
@@ -189,7 +190,7 @@
         self.write_node_row(row, Some(wish), effects);
     }
 
-    /// Sends requests_change until the record changes.
+    /// Sends the requests for changes of records, repeatedly until the record changes.
     fn send_wishes(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let interval = topazyard_types::DurationMs(100);
         let control: Vec<std::net::SocketAddr> = self.follower.primary().into_iter().collect();
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Asks the feed, if it is time to.
+    /// Polls the feed, if it is due.
     fn poll_feed(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let health = self.health(now);
         if let Some((to, message)) = self.follower.tick(now, || health) {
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Counts the writes that are handed to the disk.
+    /// Tracks the writes handed to the disk.
     fn watch_writes(&mut self, effects: &Effects, now: MonotonicMs) {
         for effect in effects {
             if let Effect::Write { token, .. } = effect {
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Says in the log when the disk is full, stalls or is well again.
+    /// Logs when the disk becomes full, stalls or recovers.
     fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if let Some(state) = self.disk.news(now) {
             effects.push(Effect::Note { grave: false, text: state.to_string() });
@@ -341,8 +342,8 @@
         topazyard_types::DurationMs(self.bounds.contact.0 * percent / 100)
     }
 
-    /// Whether this process began so lately that others may have begun with it and not be heard yet, as
-    /// after a loss of power.
+    /// Whether this process started so recently that other nodes may have started with it and not
+    /// be reachable yet, as after a power loss.
     fn is_starting(&self, now: MonotonicMs) -> bool {
         let limit = self.percent_of_contact(STARTUP_PERCENT);
         self.started_at.is_none_or(|at| now.since(at) < limit)
@@ -355,11 +356,11 @@
         };
         let Some(hosted) = self.hosted.get(&shard) else { return };
         let silent_since = hosted.replica.backup_silent_since();
-        // Where control can't be heard either it may be this node that hears nobody.
+        // If control is unreachable too, this node may be the one that is isolated.
         let heard = self.follower.confirmed_at();
         let may_be_isolated = silent_since.is_some_and(|since| heard <= Some(since));
         let silent = hosted.replica.silent_backups(timeout, now);
-        // With a full disk it can't sync that it stopped; control moves its duties away.
+        // With a full disk it can't sync that it stopped; control moves its roles to other nodes.
         let may_request = hosted.wish.is_none() && !self.disk.is_full();
         if may_request && !may_be_isolated && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
--- a/programs/topazyard-storage/src/machine/replaced_backups.rs
+++ b/programs/topazyard-storage/src/machine/replaced_backups.rs
@@ -1,10 +1,10 @@
-//! Copies that went with a disk: the machine came back blank, at its address but under another id.
+//! Backups whose machine came back with a blank disk, at the same address but under a new node id.
 //!
-//! Nobody will ever speak again for the id that the shard's record names, so its primary need not wait
-//! until its silence is long enough. Who leads a shard asks its backups; a blank one says that it holds
-//! no copy, and the id under which it says so shows that the backup is gone. A word that comes late,
-//! from a former process at a present backup's address, costs that backup its place and no data: the
-//! record changes by the same wish, under the same rules, as for one that fell silent.
+//! The id in the shard's record will never respond again, so the primary need not wait for the
+//! backup timeout. The primary keeps sending to the backups' addresses; a blank node responds that
+//! it holds no copy, and the id of the sender shows that the backup is gone. A late response from a
+//! former process at the address of a current backup costs that backup its place in the record but
+//! no data: the record changes by the same request, under the same rules, as for a silent backup.
 
 use super::{Effects, StorageMachine};
 use topazyard_types::{Epoch, NodeId, ShardId};
@@ -14,7 +14,7 @@
 use topazyard_wire::{Effect, Group};
 
 impl StorageMachine {
-    /// Says that no copy is held here, to a primary that takes this node for a backup.
+    /// Reports that this node holds no copy, to a primary that takes it for a backup.
     pub(super) fn report_not_held(
         &self,
         shard: ShardId,
@@ -30,7 +30,8 @@
         effects.push(Effect::Send { to: from, message: Message::Replica(message) });
     }
 
-    /// A node says that it holds no copy: the backup at its address, if that is another, is gone.
+    /// Handles a node's report that it holds no copy: a backup recorded at its address under
+    /// another id is gone.
     pub(super) fn drop_replaced_backups(
         &mut self,
         shard: ShardId,
@@ -43,7 +44,7 @@
         let Some(hosted) = self.hosted.get(&shard) else { return };
         let leads = record.primary.id == self.member.id && record.epoch == epoch;
         let is_current = leads && hosted.replica.epoch() == epoch;
-        // Until control was heard, the record may be an old one.
+        // Before the first response of control the known record may be outdated.
         let may_request = self.follower.confirmed_at().is_some() && !self.disk.is_full();
         if !is_current || !may_request || hosted.wish.is_some() {
             return;
--- a/programs/topazyard-storage/src/machine/replica_reads.rs
+++ b/programs/topazyard-storage/src/machine/replica_reads.rs
@@ -1,9 +1,10 @@
-//! Reads asked replica_reads, when a shard's primary leaves them unanswered.
+//! Reads answered by a replica, sent when a shard's primary does not respond.
 //!
-//! Whoever a shard's record names primary or backup holds all that was ever answered under it. So
-//! either may answer a read once control has confirmed, after the read came, that the record still
-//! stands. Left out is what the last changes touched as long as nobody knows whether they were
-//! committed: they might go again. A batch that isn't held is never said not to exist.
+//! The primary and the backups named in a shard's record hold everything that was ever acknowledged
+//! under it. So any of them may answer a read once control has confirmed, after the read arrived,
+//! that the record is still current. Batches touched by the last changes are left out as long as it
+//! is uncertain whether these were committed, because they might be rolled back. A batch that is
+//! missing here is never reported as unknown.
 
 use super::hosted::{BatchCaller, Hosted, PendingResponse, ReplicaRead};
 use super::{Effects, StorageMachine};
@@ -12,18 +13,18 @@
 use topazyard_wire::message::batch::{BatchCall, BatchReturn};
 use topazyard_wire::message::control::ShardRecord;
 
-/// Reads asked replica_reads that may wait at a shard.
+/// Maximum number of replica reads that may wait at a shard.
 const MAX_REPLICA_READS: usize = 256;
-/// How long one waits; its relay asks again.
+/// How long a replica read waits; its relay sends it again.
 const REPLICA_READ_TIMEOUT: DurationMs = DurationMs(600);
 
 impl PendingResponse {
-    /// What a read is answered with, if it is one.
+    /// The response to a call, if the call is a read.
     pub(super) fn for_read(call: &BatchCall) -> Option<Self> {
         match call {
-            BatchCall::Read(batch) => Some(Self::Standing(*batch, false)),
-            BatchCall::Returns { batch, after } => Some(Self::Returns(*batch, *after)),
-            BatchCall::Results { batch, after } => Some(Self::Results(*batch, *after)),
+            BatchCall::Read(batch) => Some(Self::Status(*batch, false)),
+            BatchCall::Returns { batch, after } => Some(Self::Results(*batch, *after)),
+            BatchCall::Results { batch, after } => Some(Self::RoutedResults(*batch, *after)),
             BatchCall::Body { batch, id } => Some(Self::Body(*batch, id.clone())),
             _ => None,
         }
@@ -32,28 +33,28 @@
     fn batch(&self) -> Option<BatchId> {
         match self {
             Self::Ready(_) => None,
-            Self::Standing(batch, _)
-            | Self::Returns(batch, _)
+            Self::Status(batch, _)
             | Self::Results(batch, _)
+            | Self::RoutedResults(batch, _)
             | Self::Body(batch, _) => Some(*batch),
         }
     }
 
-    /// The return, as a copy has it.
+    /// The response according to a copy.
     pub(super) fn resolve(self, copy: &Copy) -> Option<BatchReturn> {
         match self {
             Self::Ready(value) => Some(value),
-            Self::Standing(batch, accepted) => {
-                let standing = crate::batches::status(copy, batch);
-                standing.map(|standing| match accepted {
-                    true => BatchReturn::Accepted(standing),
-                    false => BatchReturn::Standing(standing),
+            Self::Status(batch, accepted) => {
+                let status = crate::batches::status(copy, batch);
+                status.map(|status| match accepted {
+                    true => BatchReturn::Accepted(status),
+                    false => BatchReturn::Standing(status),
                 })
             }
-            Self::Returns(batch, after) => {
+            Self::Results(batch, after) => {
                 crate::batches::results(copy, batch, after).map(BatchReturn::Returns)
             }
-            Self::Results(batch, after) => {
+            Self::RoutedResults(batch, after) => {
                 let found = crate::batches::routed::results(copy, batch, after);
                 found.map(|(total, results)| BatchReturn::Results { total, results })
             }
@@ -64,7 +65,7 @@
     }
 }
 
-/// Whether all that this node's copy has of a batch surely stays.
+/// Whether everything that this node's copy has of a batch is certainly committed.
 fn is_known_committed(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
     let replica = &hosted.replica;
     let is_of_batch = |key| crate::batches::rows::is_of(key, batch.number);
@@ -76,8 +77,8 @@
     };
     match (replica.uncommitted(), replica.is_primary()) {
         (Uncommitted::Nothing, _) => true,
-        // It is on as many disks as the record bears losses, and one more. That the primary holds it in
-        // memory is not enough: it may lose its power while the others lose their disks.
+        // It is on one disk more than the number of losses that the record tolerates. The primary's
+        // memory alone is not enough: it may lose power while the others lose their disks.
         (Uncommitted::LastBatch, false) if synced_by_all() => true,
         (Uncommitted::LastBatch, _) => !changed_last(),
         (Uncommitted::UnknownBatch | Uncommitted::All, _) => false,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Answers reads that came before the asking that was confirmed last.
+    /// Answers the reads that arrived before the last confirmed request was sent.
     pub(super) fn answer_replica_reads(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let by_feed = self.follower.confirmed_at();
         let me = self.member.id;
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -1,4 +1,4 @@
-//! The role this node has in each shard, as the feed says it.
+//! This node's role in each shard, as published by the feed.
 
 use super::hosted::{Hosted, ServingState};
 use super::{Effects, StorageMachine};
@@ -11,7 +11,7 @@
 use topazyard_wire::{Effect, Group, RowChange, WriteToken};
 
 impl StorageMachine {
-    /// Takes the roles that the view gives this node.
+    /// Takes up the roles that the shard records give this node.
     pub(super) fn update_roles(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let records: Vec<(ShardId, ShardRecord)> =
             self.view.shards.iter().map(|(shard, record)| (*shard, record.clone())).collect();
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes a record that somebody passed on. It was decided once and for all, whoever tells it.
+    /// Takes a record forwarded by another node. A record is decided once, so any sender is valid.
     pub(super) fn receive_record(
         &mut self,
         shard: ShardId,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The one place where this node's role in a shard changes.
+    /// Changes this node's role in a shard; every change goes through here.
     fn update_role(
         &mut self,
         shard: ShardId,
@@ -65,7 +65,8 @@
             return;
         }
         let addresses_of = |nodes: &[CoreNode]| {
-            let addresses: Vec<String> = nodes.iter().map(|n| n.address.to_string()).collect();
+            let addresses: Vec<String> =
+                nodes.iter().map(|node| node.address.to_string()).collect();
             addresses.join(" ")
         };
         let text = format!(
@@ -86,11 +87,11 @@
             && hosted.replica.copy().position() != topazyard_types::Place::default();
         let needs_handover = has_restarted && record.primary.id == me && !record.backups.is_empty();
         let outputs = if needs_handover {
-            // It must not bring its backups in step with a copy that may lack what they have shown.
+            // It must not synchronize its backups to a copy that may lack changes they have served.
             hosted.replica.become_idle(record.epoch)
         } else if record.primary.id == me {
-            // One that stopped in this epoch before it restarted serves no more in it: it fills
-            // the learners, or requests_change for some.
+            // A primary that stopped in this epoch before its restart does not serve in it again:
+            // it fills the learners, or requests some.
             let followers = Followers {
                 backups: record.backups.clone(),
                 learners: record.learners.clone(),
@@ -107,7 +108,7 @@
         };
         self.apply_replica_outputs(shard, outputs, now, effects);
         if needs_handover {
-            // A backup may have answered reads meanwhile from a batch that was lost here.
+            // A backup may have answered reads in the meantime from changes that were lost here.
             let wish = ShardWish { shard, epoch: record.epoch, wish: Wish::HandOver };
             self.stop_and_wish(wish, effects);
             return;
@@ -134,7 +135,7 @@
         if shard.is_counter() || keys.is_empty() {
             return;
         }
-        // No one waits for this write. A copy that is taken up later numbers its writes after it.
+        // Nobody waits for this write. A later copy of the shard numbers its writes after it.
         let number = last_write + 1;
         self.deletion_writes.insert(shard, number);
         let token = WriteToken { group: Group::Shard(shard), number };
@@ -173,7 +174,7 @@
                     }
                 }
                 ReplicaOutput::OutcomeUnknown(tickets) => {
-                    // Whoever asked asks again; what came of it is in the copies or nowhere.
+                    // Callers retry; their changes are in the copies or nowhere.
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
                         tickets.iter().for_each(|ticket| drop(hosted.waiters.remove(ticket)));
                         hosted.serving_state = ServingState::None;
@@ -182,7 +183,8 @@
                 }
                 ReplicaOutput::Serving => self.start_serving(shard, now, effects),
                 ReplicaOutput::LearnersReady => {
-                    // One that wished for backups to go would have them counted again.
+                    // A pending request to drop backups stays: a promotion would count these
+                    // backups again.
                     if let Some(hosted) = self.hosted.get(&shard)
                         && hosted.wish.is_none()
                     {
@@ -209,7 +211,8 @@
         });
     }
 
-    /// The primary may commit: it takes up its work from the copy, unless it had it already.
+    /// Starts to serve once the primary may commit, with the state rebuilt from the copy unless it
+    /// is already there.
     fn start_serving(&mut self, shard: ShardId, now: MonotonicMs, effects: &mut Effects) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
         if matches!(hosted.serving_state, ServingState::None) {
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -1,4 +1,4 @@
-//! The calls of a batch shard's primary, and answers once tickets are committed.
+//! Calls to a batch shard's primary, and the responses once their write tickets are committed.
 
 use super::hosted::{BatchCaller, CommitWaiter, PendingResponse, ServingState, Submission};
 use super::{Effects, StorageMachine};
@@ -9,9 +9,9 @@
 use topazyard_wire::message::Message;
 use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
 
-/// Refused submissions of batches that a shard remembers.
+/// Maximum number of refused submissions that a shard remembers.
 const MAX_REFUSED_SUBMISSIONS: usize = 256;
-/// Submissions that may wait for room below the ceiling.
+/// Maximum number of submissions that may wait for capacity below the ceiling.
 const MAX_PENDING_SUBMISSIONS: usize = 256;
 
 impl StorageMachine {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Works on a call; gives false where it can't.
+    /// Executes a call; returns false if this node can't.
     fn execute_call(
         hosted: &mut super::Hosted,
         relay: NodeId,
@@ -60,7 +60,7 @@
                 if queue.len() >= MAX_PENDING_SUBMISSIONS {
                     return false;
                 }
-                // Sent again while it waits: the later call gets the return.
+                // A repeated submission: the latest call gets the response.
                 match queue.iter_mut().find(|waiting| waiting.batch == batch) {
                     Some(waiting) => {
                         (waiting.caller, waiting.ceiling, waiting.last_heard) =
@@ -75,7 +75,7 @@
                 }
                 return true;
             }
-            BatchCall::Submit { batch, .. } => (Vec::new(), PendingResponse::Standing(batch, true)),
+            BatchCall::Submit { batch, .. } => (Vec::new(), PendingResponse::Status(batch, true)),
             BatchCall::SubmitRouted(routed) => {
                 let submission = (relay, caller.call);
                 let outcome = match hosted.refused_submissions.contains(&submission) {
@@ -84,7 +84,7 @@
                 };
                 match outcome {
                     SubmitOutcome::Accepted(changes) => {
-                        (changes, PendingResponse::Standing(routed.batch, true))
+                        (changes, PendingResponse::Status(routed.batch, true))
                     }
                     SubmitOutcome::CeilingReached | SubmitOutcome::OverCapacity => {
                         if hosted.refused_submissions.len() >= MAX_REFUSED_SUBMISSIONS {
@@ -107,7 +107,7 @@
                 (changes, PendingResponse::Ready(value))
             }
             BatchCall::End(batch) => match batches.end_any(batch, now) {
-                Some(changes) => (changes, PendingResponse::Standing(batch, false)),
+                Some(changes) => (changes, PendingResponse::Status(batch, false)),
                 None => (Vec::new(), PendingResponse::Ready(BatchReturn::Unknown)),
             },
             BatchCall::Lease { most, models, routes } => {
@@ -138,7 +138,7 @@
         true
     }
 
-    /// Accepts a submission for which there is room, or refuses it.
+    /// Accepts a submission that was granted capacity, or refuses it.
     pub(super) fn complete_submission(
         &mut self,
         shard: ShardId,
@@ -159,10 +159,10 @@
         } else {
             batches.submit(batch, &submission.items)
         };
-        hosted.submit(changes, CommitWaiter::Batch(caller, PendingResponse::Standing(batch, true)));
+        hosted.submit(changes, CommitWaiter::Batch(caller, PendingResponse::Status(batch, true)));
     }
 
-    /// Answers one whose ticket is committed; the copy holds just what is committed.
+    /// Sends the response of a committed ticket; the copy holds exactly the committed changes.
     pub(super) fn complete_ticket(
         &mut self,
         shard: ShardId,
@@ -185,12 +185,12 @@
         }
     }
 
-    /// What time alone changes in a shard.
+    /// Applies the changes that are due by time alone.
     pub(super) fn sweep(&mut self, shard: ShardId, now: MonotonicMs, effects: &mut Effects) {
         self.drop_expired_submissions(shard, now, effects);
         self.report_waiting(shard, now, effects);
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
-        // Nothing piles up behind a write that finds no room; the counter needs none.
+        // Writes must not pile up on a full disk; the counter needs no disk.
         let disk_blocks_writes = self.disk.is_full() && !shard.is_counter();
         if !hosted.replica.is_serving() || disk_blocks_writes {
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Begins the next batch of every shard.
+    /// Starts the next change batch of every shard.
     pub(super) fn proceed(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in shards {
--- a/programs/topazyard-storage/src/main.rs
+++ b/programs/topazyard-storage/src/main.rs
@@ -1,4 +1,4 @@
-//! A storage node.
+//! The topazyard-storage program.
 
 use clap::Parser as _;
 
--- a/programs/topazyard-storage/src/metrics.rs
+++ b/programs/topazyard-storage/src/metrics.rs
@@ -1,26 +1,26 @@
-//! What a storage node tells of itself to whoever fetches its metrics.
+//! Metrics of a storage node.
 
 use crate::machine::{StorageCall, StorageHealth, StorageMachine};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::driver::Handle;
 use topazyard_wire::metrics::{Figures, Writer};
 
-/// A storage node's figures at one moment.
+/// A snapshot of a storage node's metrics.
 #[derive(Debug)]
-pub struct StorageFigures(pub StorageHealth);
+pub struct StorageMetrics(pub StorageHealth);
 
-/// Serves them, if the settings say where.
+/// Serves the metrics, if the settings name an address.
 pub(crate) async fn serve(address: Option<std::net::SocketAddr>, handle: &Handle<StorageMachine>) {
     let handle = handle.clone();
     let fetch = move || fetch(handle.clone());
     topazyard_wire::metrics::serve(address, fetch).await;
 }
 
-async fn fetch(handle: Handle<StorageMachine>) -> Option<StorageFigures> {
-    handle.call(StorageCall::Health).await.ok().map(StorageFigures)
+async fn fetch(handle: Handle<StorageMachine>) -> Option<StorageMetrics> {
+    handle.call(StorageCall::Health).await.ok().map(StorageMetrics)
 }
 
-impl Figures for StorageFigures {
+impl Figures for StorageMetrics {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let health = &self.0;
         let led = health.serving.len() as u64;
--- a/programs/topazyard-storage/src/run.rs
+++ b/programs/topazyard-storage/src/run.rs
@@ -1,55 +1,62 @@
-//! The program as a whole: its machine, its links and its HTTP.
+//! Runs the storage node: its machine, its links and its HTTP endpoint.
 
 use topazyard_wire::driver::{StartError, start_with_disk};
 use topazyard_wire::message::membership::Duty;
 
-/// Runs the program on its settings until it ends.
+/// Runs the program with the given settings until it terminates.
 ///
 /// # Errors
-/// A setting that is missing, an address that is taken, or a disk that can't be used.
+/// A setting is missing, an address is in use, or the disk can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings) -> Result<(), StartError> {
     topazyard_wire::driver::run_process(async move {
         let (start, place, disk) = start_with_disk(&settings, Duty::Storage).await?;
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
-        let make = |_| (crate::StorageMachine::new(start), Vec::new());
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, Some(disk), tasks)?;
+        let new_machine = |_| (crate::StorageMachine::new(start), Vec::new());
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.frames_at(),
+            new_machine,
+            place,
+            Some(disk),
+            tasks,
+        )?;
         crate::metrics::serve(settings.metrics, &handle).await;
-        let health = handle.clone();
+        let health_handle = handle.clone();
         if let Some(http) = settings.http {
             let listener = topazyard_wire::http::inward::bind(http).await?;
             tokio::spawn(topazyard_wire::http::inward::serve(listener, move |request| {
-                answer(health.clone(), request)
+                handle_request(health_handle.clone(), request)
             }));
         }
-        let ending = handle.clone();
-        let follow = topazyard_wire::driver::follow_settings(settings, |told| {
-            handle.tell(crate::machine::StorageCall::Seeds(told.seeds));
+        let shutdown_handle = handle.clone();
+        let settings_updates = topazyard_wire::driver::follow_settings(settings, |settings| {
+            handle.tell(crate::machine::StorageCall::Seeds(settings.seeds));
         });
         tokio::select! {
             biased;
-            () = topazyard_wire::driver::terminated() => log_end(&ending).await,
-            () = follow => {}
+            () = topazyard_wire::driver::terminated() => log_shutdown(&shutdown_handle).await,
+            () = settings_updates => {}
         }
         Ok(())
     })
 }
 
-/// How long a process that ends waits to hear how its machine stands.
-const HEALTH_LIMIT: std::time::Duration = std::time::Duration::from_millis(50);
+/// How long a terminating process waits for its machine's health.
+const HEALTH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Logs what is under way when the process ends: the shards that others must take over, and the
-/// calls whose callers are told nothing.
-async fn log_end(handle: &topazyard_wire::driver::Handle<crate::StorageMachine>) {
+/// Logs the state at shutdown: the shards that other nodes must take over, and the calls that are
+/// left without a response.
+async fn log_shutdown(handle: &topazyard_wire::driver::Handle<crate::StorageMachine>) {
     let health = handle.call(crate::StorageCall::Health);
-    let Ok(Ok(health)) = tokio::time::timeout(HEALTH_LIMIT, health).await else {
-        return spdlog::warn!("SIGTERM: the machine did not say how it stands; ends at once");
+    let Ok(Ok(health)) = tokio::time::timeout(HEALTH_TIMEOUT, health).await else {
+        return spdlog::warn!(
+            "SIGTERM: shutting down at once; the machine did not report its health in time"
+        );
     };
-    let led: Vec<String> = health.serving.iter().map(|shard| shard.0.to_string()).collect();
+    let shards_led: Vec<String> = health.serving.iter().map(|shard| shard.0.to_string()).collect();
     spdlog::info!(
-        "SIGTERM: ends at once; shards_led={} shards_hosted={} calls_given_up={} \
+        "SIGTERM: shutting down at once; shards_led={} shards_hosted={} calls_given_up={} \
          items_open={} write_wait_ms={}",
-        led.join(","),
+        shards_led.join(","),
         health.hosting.len(),
         health.calls_waiting,
         health.items_open,
@@ -57,8 +64,8 @@
     );
 }
 
-/// Says how this node fares, at `GET /health`.
-async fn answer(
+/// Serves this node's health at `GET /health`.
+async fn handle_request(
     handle: topazyard_wire::driver::Handle<crate::StorageMachine>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<topazyard_wire::http::Body> {
--- a/programs/topazyard-storage/tests/metrics.rs
+++ b/programs/topazyard-storage/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! What a storage node tells in its metrics.
 
 use topazyard_storage::StorageHealth;
-use topazyard_storage::metrics::StorageFigures;
+use topazyard_storage::metrics::StorageMetrics;
 use topazyard_types::{Epoch, NodeId, ShardId};
 use topazyard_wire::disk::DiskState;
 
@@ -21,7 +21,7 @@
         items_open: 40,
         calls_waiting: 2,
     };
-    let text = topazyard_wire::metrics::text(Some(StorageFigures(health))).unwrap();
+    let text = topazyard_wire::metrics::text(Some(StorageMetrics(health))).unwrap();
     for sample in [
         "storage_shards_led 1",
         "storage_shards_hosted 2",
