--- a/programs/topazyard-storage/src/batches/changes.rs
+++ b/programs/topazyard-storage/src/batches/changes.rs
@@ -7,7 +7,7 @@
 use topazyard_types::{BatchId, DurationMs, ItemNumber, ModelName, MonotonicMs, NodeId, Tokens};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::batch::{
-    BatchReturn, Item, ItemEnd, ItemReturn, LeasedItem, Progress, Run, RunEnd,
+    BatchResponse, Item, ItemEnd, ItemResult, LeasedItem, Progress, Run, RunEnd,
 };
 
 /// The end recorded for an item that will not run any more: `end`, unless an earlier run may have
@@ -71,7 +71,7 @@
         let position = row.finished;
         vec![
             self.set_state(batch, item, ItemState::Finished { position }),
-            rows::item_result(batch.number, &ItemReturn { position, item, id: None, end }),
+            rows::item_result(batch.number, &ItemResult { position, item, id: None, end }),
             rows::batch(batch.number, &row),
         ]
     }
@@ -173,8 +173,8 @@
         };
         self.last_heard.remove(&run);
         match end {
-            RunEnd::Whole { status, body } => {
-                self.record_result(run.batch, run.item, ItemEnd::Whole { status, body }, now)
+            RunEnd::Complete { status, body } => {
+                self.record_result(run.batch, run.item, ItemEnd::Complete { status, body }, now)
             }
             RunEnd::NotRun => self.requeue(run, may_have_run, now),
             _ if repeatable => self.requeue(run, true, now),
@@ -199,23 +199,23 @@
         batch: BatchId,
         item: ItemNumber,
         now: MonotonicMs,
-    ) -> (BatchReturn, Vec<RowChange>) {
+    ) -> (BatchResponse, Vec<RowChange>) {
         match self.item_entry(batch, item).map(|entry| entry.state) {
-            None => (BatchReturn::Unknown, Vec::new()),
+            None => (BatchResponse::Unknown, Vec::new()),
             Some(ItemState::Waiting { may_have_run }) => {
                 self.leases.retain(|run, _| (run.batch, run.item) != (batch, item));
                 let end = end_without_run(may_have_run, ItemEnd::Recalled);
                 let answer = match may_have_run {
-                    false => BatchReturn::Recalled,
-                    true => BatchReturn::TooLate { returned: true },
+                    false => BatchResponse::Recalled,
+                    true => BatchResponse::TooLate { returned: true },
                 };
                 (answer, self.record_result(batch, item, end, now))
             }
             Some(ItemState::Started { .. }) => {
-                (BatchReturn::TooLate { returned: false }, Vec::new())
+                (BatchResponse::TooLate { returned: false }, Vec::new())
             }
             Some(ItemState::Finished { .. }) => {
-                (BatchReturn::TooLate { returned: true }, Vec::new())
+                (BatchResponse::TooLate { returned: true }, Vec::new())
             }
         }
     }
--- a/programs/topazyard-storage/src/batches/read.rs
+++ b/programs/topazyard-storage/src/batches/read.rs
@@ -2,7 +2,7 @@
 
 use super::{ItemState, rows};
 use topazyard_types::{BatchId, ItemNumber};
-use topazyard_wire::message::batch::{BatchStanding, ItemReturn};
+use topazyard_wire::message::batch::{BatchStatus, ItemResult};
 
 /// Maximum size of the result bodies in one response, in bytes.
 const MAX_RESULT_BYTES: usize = 4 * 1024 * 1024;
@@ -19,7 +19,7 @@
 }
 
 /// Status of a batch.
-pub fn status(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStanding> {
+pub fn status(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStatus> {
     let Some(row) = rows::batch_of(copy, batch.number) else {
         return super::routed::status(copy, batch);
     };
@@ -32,7 +32,7 @@
             ItemState::Finished { .. } => {}
         }
     }
-    Some(BatchStanding {
+    Some(BatchStatus {
         batch,
         items: row.items,
         returned: row.finished,
@@ -47,14 +47,14 @@
     copy: &topazyard_replication::Copy,
     batch: BatchId,
     after: u32,
-) -> Option<Vec<ItemReturn>> {
+) -> Option<Vec<ItemResult>> {
     use topazyard_wire::message::batch::ItemEnd;
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
     for position in after.saturating_add(1)..=row.finished {
         let Some(item_result) = rows::result_of(copy, batch.number, position) else { break };
-        if let ItemEnd::Whole { body, .. } = &item_result.end {
+        if let ItemEnd::Complete { body, .. } = &item_result.end {
             bytes += body.len();
         }
         if bytes > MAX_RESULT_BYTES && !found.is_empty() {
--- a/programs/topazyard-storage/src/batches/routed/changes.rs
+++ b/programs/topazyard-storage/src/batches/routed/changes.rs
@@ -6,7 +6,7 @@
 use topazyard_types::{BatchId, DurationMs, ItemNumber, MonotonicMs, NodeId, RouteName, Tokens};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::batch::{
-    Item, ItemEnd, ItemReturn, LeasedItem, Progress, RoutedBatch, Run, RunEnd,
+    Item, ItemEnd, ItemResult, LeasedItem, Progress, RoutedBatch, Run, RunEnd,
 };
 
 /// Storage accounted for an item or a result in addition to its body, in bytes.
@@ -27,19 +27,19 @@
 
 pub(super) fn stored_bytes(end: &ItemEnd) -> u64 {
     match end {
-        ItemEnd::Whole { body, .. } => OVERHEAD_BYTES + body.len() as u64,
+        ItemEnd::Complete { body, .. } => OVERHEAD_BYTES + body.len() as u64,
         _ => OVERHEAD_BYTES,
     }
 }
 
 impl OpenItem {
     pub(super) fn new(item: &Item) -> Self {
-        let directions_bytes = item.directions.as_ref().map_or(0, |directions| {
-            let headers = directions.headers.iter().map(|(name, value)| name.len() + value.len());
-            headers.sum::<usize>() + directions.path.len()
+        let directions_bytes = item.routing.as_ref().map_or(0, |routing| {
+            let headers = routing.headers.iter().map(|(name, value)| name.len() + value.len());
+            headers.sum::<usize>() + routing.path.len()
         });
         Self {
-            id: item.directions.as_ref().map(|d| d.id.clone()).unwrap_or_default(),
+            id: item.routing.as_ref().map(|d| d.id.clone()).unwrap_or_default(),
             cost: item.cost,
             bytes: OVERHEAD_BYTES + (item.body.len() + directions_bytes) as u64,
             failed_attempts: 0,
@@ -158,20 +158,22 @@
         let max_attempts = entry.row.terms.max_attempts;
         let Some(open) = entry.open_items.get_mut(&run.item) else { return Vec::new() };
         let result = match end {
-            RunEnd::Done { text } => Some(ItemEnd::Whole { status: 200, body: text.into() }),
+            RunEnd::StreamComplete { text } => {
+                Some(ItemEnd::Complete { status: 200, body: text.into() })
+            }
             RunEnd::Impossible => Some(ItemEnd::Abandoned),
             RunEnd::Failed if owns_lease => {
                 open.failed_attempts += 1;
                 (open.failed_attempts >= max_attempts).then_some(ItemEnd::Abandoned)
             }
-            RunEnd::Broken(progress) => {
+            RunEnd::Interrupted(progress) => {
                 let is_further = progress.last_event > open.progress.last_event;
                 if is_further && progress.text.len() <= MAX_PROGRESS_BYTES {
                     open.progress = progress;
                 }
                 None
             }
-            RunEnd::Failed | RunEnd::NotRun | RunEnd::Unknown | RunEnd::Whole { .. } => None,
+            RunEnd::Failed | RunEnd::NotRun | RunEnd::Unknown | RunEnd::Complete { .. } => None,
         };
         if let Some(result) = result {
             return self.record_result(run.batch, run.item, result, now);
@@ -198,7 +200,7 @@
         let bytes = stored_bytes(&end);
         entry.result_bytes += bytes;
         self.bytes += bytes;
-        let result = ItemReturn { position, item, id: Some(open.id), end };
+        let result = ItemResult { position, item, id: Some(open.id), end };
         let changes = vec![
             rows::delete_item(batch.number, item),
             rows::result(batch.number, &result),
--- a/programs/topazyard-storage/src/batches/routed/mod.rs
+++ b/programs/topazyard-storage/src/batches/routed/mod.rs
@@ -6,10 +6,10 @@
 mod rows;
 
 use topazyard_types::{
-    BatchId, DurationMs, ItemNumber, Life, MonotonicMs, NodeId, RouteName, ShardId, Tokens,
+    BatchId, BootId, DurationMs, ItemNumber, MonotonicMs, NodeId, RouteName, ShardId, Tokens,
 };
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::batch::{Progress, Run, Terms};
+use topazyard_wire::message::batch::{Progress, RoutedBatchTerms, Run};
 
 pub use changes::SubmitOutcome;
 pub use read::{body, results, status};
@@ -17,7 +17,7 @@
 /// The row of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct RoutedBatchRow {
-    terms: Terms,
+    terms: RoutedBatchTerms,
     items: u32,
     result_count: u32,
     ended: bool,
@@ -100,7 +100,7 @@
     pub(super) fn from_copy(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
-        life: Life,
+        boot_id: BootId,
         now: MonotonicMs,
     ) -> Self {
         let mut batches = Self {
@@ -112,7 +112,7 @@
             abandon_deadlines: std::collections::BTreeSet::new(),
             finished: std::collections::VecDeque::new(),
             bytes: 0,
-            last_lease: life.first_number(),
+            last_lease: boot_id.first_number(),
         };
         for (number, row) in rows::batches(copy) {
             let items = (0..row.items).map(ItemNumber);
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -7,7 +7,7 @@
 mod usage;
 
 use topazyard_types::{
-    DurationMs, EngineName, Epoch, HoldId, Life, MonotonicMs, NodeId, PoolName, ShardId, Tokens,
+    BootId, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, NodeId, PoolName, ShardId, Tokens,
 };
 use topazyard_wire::RowChange;
 use topazyard_wire::message::counter::{Hold, HoldKind};
@@ -34,7 +34,7 @@
     /// The shard's epoch.
     pub shard_epoch: Epoch,
     /// Identifies the process of the shard's primary; numbers are compared only within one process.
-    pub life: Life,
+    pub boot_id: BootId,
     /// Increases with each report of that process.
     pub number: u64,
     /// Cost of the items waiting in the shard.
@@ -272,7 +272,8 @@
     ) -> Option<(bool, Vec<RowChange>)> {
         let known = self.reports.get(&shard);
         let is_stale = |known: &Report| {
-            let same = known.shard_epoch == received.shard_epoch && known.life == received.life;
+            let same =
+                known.shard_epoch == received.shard_epoch && known.boot_id == received.boot_id;
             known.shard_epoch > received.shard_epoch || (same && known.number >= received.number)
         };
         if known.is_some_and(is_stale) {
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -6,11 +6,11 @@
 
 use super::{Effects, StorageMachine};
 use std::net::SocketAddr;
-use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, DurationMs, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::confirm::ConfirmMessage;
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// Interval of queries while reads wait.
 const QUERY_INTERVAL: DurationMs = DurationMs(50);
@@ -28,9 +28,9 @@
 }
 
 impl RecordQueries {
-    pub(super) fn new(life: Life) -> Self {
+    pub(super) fn new(boot_id: BootId) -> Self {
         let pending = std::collections::VecDeque::new();
-        Self { pending, last_nonce: life.first_number(), last_sent: None }
+        Self { pending, last_nonce: boot_id.first_number(), last_sent: None }
     }
 
     fn start(&mut self, now: MonotonicMs) -> u64 {
@@ -57,8 +57,8 @@
         let mut reads = self.hosted.values().flat_map(|hosted| &hosted.replica_reads);
         if reads.any(|read| primary_timed_out(read.received_at)) {
             let nonce = self.record_queries.start(now);
-            for to in self.membership.addresses(Duty::Control) {
-                let query = ConfirmMessage::AskRecords { nonce };
+            for to in self.membership.addresses(MemberRole::Control) {
+                let query = ConfirmMessage::RequestRecords { nonce };
                 effects.push(Effect::Send { to, message: Message::Confirm(query) });
             }
         }
@@ -75,7 +75,7 @@
                 continue;
             }
             let sequence = hosted.replica.copy().position().sequence;
-            let query = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
+            let query = ConfirmMessage::CheckSynced { shard: *shard, epoch, sequence };
             for other in record.backups.iter().filter(|node| node.id != me) {
                 let message = Message::Confirm(query.clone());
                 effects.push(Effect::Send { to: other.address, message });
@@ -96,7 +96,7 @@
                 self.receive_records(nonce, &epochs);
                 self.answer_replica_reads(now, effects);
             }
-            ConfirmMessage::AskSynced { shard, epoch, sequence } => {
+            ConfirmMessage::CheckSynced { shard, epoch, sequence } => {
                 let Some(hosted) = self.hosted.get(&shard) else { return };
                 if hosted.has_synced(epoch, sequence) {
                     let sequence = hosted.replica.copy().position().sequence;
@@ -113,9 +113,9 @@
                     self.answer_replica_reads(now, effects);
                 }
             }
-            ConfirmMessage::AskRecords { .. }
-            | ConfirmMessage::AskEpoch { .. }
-            | ConfirmMessage::EpochStands { .. } => {}
+            ConfirmMessage::RequestRecords { .. }
+            | ConfirmMessage::CheckEpoch { .. }
+            | ConfirmMessage::EpochCurrent { .. } => {}
         }
     }
 
--- a/programs/topazyard-storage/src/machine/counter_calls.rs
+++ b/programs/topazyard-storage/src/machine/counter_calls.rs
@@ -47,22 +47,22 @@
                 return self.settle_capacity_request(shard, number, granted, effects);
             }
             // A response never gets a response, or two nodes would exchange them without end.
-            CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotHere => {
+            CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotPrimary => {
                 return;
             }
             _ => {}
         }
         let Some(hosted) = self.hosted.get_mut(&ShardId::COUNTER) else {
-            send(from, message.epoch, CounterBody::NotHere, effects);
+            send(from, message.epoch, CounterBody::NotPrimary, effects);
             return;
         };
         let serving = hosted.is_serving_in(message.epoch);
         let ServingState::Counter(counter) = &mut hosted.serving_state else {
-            send(from, hosted.replica.epoch(), CounterBody::NotHere, effects);
+            send(from, hosted.replica.epoch(), CounterBody::NotPrimary, effects);
             return;
         };
         if !serving {
-            send(from, hosted.replica.epoch(), CounterBody::NotHere, effects);
+            send(from, hosted.replica.epoch(), CounterBody::NotPrimary, effects);
             return;
         }
         match message.body {
@@ -71,7 +71,7 @@
                     AddOutcome::Added(changes) => (true, changes),
                     AddOutcome::Refused => (false, Vec::new()),
                     AddOutcome::Gathering => {
-                        send(from, message.epoch, CounterBody::NotHere, effects);
+                        send(from, message.epoch, CounterBody::NotPrimary, effects);
                         return;
                     }
                 };
@@ -85,8 +85,8 @@
                     hosted.submit(changes, CommitWaiter::Nobody);
                 }
             }
-            CounterBody::Renew { number, up_to, holds, asked, used } => {
-                let changes = counter.renew(sender, up_to, &holds, &asked, now);
+            CounterBody::Renew { number, up_to, holds, pending, used } => {
+                let changes = counter.renew(sender, up_to, &holds, &pending, now);
                 counter.record_used(sender, &used);
                 // A counter that is still gathering leaves the renewal unanswered, so that its
                 // relays do not become ready.
@@ -97,9 +97,17 @@
                 };
                 hosted.submit(changes, waiter);
             }
-            CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling } => {
-                let report = crate::counter::Report { shard_epoch, life, number, total };
-                let settled = counter.report(shard, report, asked, ceiling, now);
+            CounterBody::Waiting {
+                shard,
+                shard_epoch,
+                boot_id,
+                number,
+                total,
+                requested,
+                ceiling,
+            } => {
+                let report = crate::counter::Report { shard_epoch, boot_id, number, total };
+                let settled = counter.report(shard, report, requested, ceiling, now);
                 if let Some((granted, changes)) = settled {
                     let response = CounterBody::WaitingSettled { shard, number, granted };
                     hosted.submit(changes, CommitWaiter::Counter(from, response));
@@ -108,7 +116,7 @@
             CounterBody::Added { .. }
             | CounterBody::Renewed { .. }
             | CounterBody::WaitingSettled { .. }
-            | CounterBody::NotHere => {}
+            | CounterBody::NotPrimary => {}
         }
     }
 
@@ -142,10 +150,11 @@
         pending_submissions.last_report = now;
         pending_submissions.requested =
             requested_cost.map(|_| (pending_submissions.last_number, now));
-        let (total, asked) = (batches.waiting_cost(), requested_cost.unwrap_or(Tokens(0)));
+        let (total, requested) = (batches.waiting_cost(), requested_cost.unwrap_or(Tokens(0)));
         let (shard_epoch, number) = (hosted.replica.epoch(), pending_submissions.last_number);
-        let life = self.life;
-        let body = CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling };
+        let boot_id = self.boot_id;
+        let body =
+            CounterBody::Waiting { shard, shard_epoch, boot_id, number, total, requested, ceiling };
         send(to, epoch, body, effects);
     }
 
@@ -182,7 +191,7 @@
         while hosted.pending_submissions.queue.front().is_some_and(is_expired) {
             hosted.pending_submissions.requested = None;
             if let Some(expired) = hosted.pending_submissions.queue.pop_front() {
-                let response = topazyard_wire::message::batch::BatchReturn::NotHere;
+                let response = topazyard_wire::message::batch::BatchResponse::NotPrimary;
                 super::serving::send(shard, epoch, expired.caller, response, effects);
             }
         }
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -4,8 +4,8 @@
 use crate::counter::Counter;
 use topazyard_replication::{Replica, Uncommitted, WriteTicket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
-use topazyard_wire::message::batch::{BatchReturn, Item};
-use topazyard_wire::message::control::ShardWish;
+use topazyard_wire::message::batch::{BatchResponse, Item};
+use topazyard_wire::message::control::ShardChangeRequest;
 use topazyard_wire::message::counter::CounterBody;
 
 /// Time without a backup's confirmation after which a primary polls control quickly.
@@ -31,7 +31,7 @@
     pub(crate) last_ticket: WriteTicket,
     /// The requested change of the record, and when the request was last sent; no time while this
     /// node's stop is still being synced.
-    pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
+    pub(crate) wish: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
     pub(crate) pending_submissions: PendingSubmissions,
     /// Submissions that were refused here: a delayed frame of one must not be accepted later.
     pub(crate) refused_submissions: std::collections::VecDeque<(NodeId, u64)>,
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum PendingResponse {
     /// Already known.
-    Ready(BatchReturn),
+    Ready(BatchResponse),
     /// The batch's status; true if as the response to a submission.
     Status(BatchId, bool),
     /// A batch's results after a position.
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -11,15 +11,15 @@
 use hosted::Hosted;
 use topazyard_membership::Membership;
 use topazyard_replication::{FeedFollower, follower::FollowOutcome};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::disk::{DiskState, DiskWatch};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
 /// Learners are promoted only if control responded within this time: the shard stops serving until
@@ -78,15 +78,15 @@
 /// A storage node.
 pub struct StorageMachine {
     pub(crate) member: Member,
-    pub(crate) life: Life,
+    pub(crate) boot_id: BootId,
     membership: Membership,
     follower: FeedFollower,
-    pub(crate) view: FleetView,
+    pub(crate) view: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
     /// Shards in which this node has stopped serving, up to the given epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
-    requests_after_write: std::collections::BTreeMap<u64, ShardWish>,
+    requests_after_write: std::collections::BTreeMap<u64, ShardChangeRequest>,
     /// The number of the write that deleted this node's last copy of a shard.
     deletion_writes: std::collections::BTreeMap<ShardId, u64>,
     last_write: u64,
@@ -122,13 +122,13 @@
             .get("stopped")
             .and_then(|value| topazyard_wire::rows::decode(value))
             .unwrap_or_default();
-        let life = Life(start.chance);
+        let boot_id = BootId(start.chance);
         Self {
-            life,
+            boot_id,
             membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
-            follower: FeedFollower::new(sources, life),
+            follower: FeedFollower::new(sources, boot_id),
             member: start.member,
-            view: FleetView::default(),
+            view: FleetSnapshot::default(),
             hosted: std::collections::BTreeMap::new(),
             loaded: start.loaded,
             stopped,
@@ -138,7 +138,7 @@
             last_sweep: MonotonicMs(0),
             budgets_logged_at: MonotonicMs(0),
             started_at: None,
-            record_queries: confirm::RecordQueries::new(life),
+            record_queries: confirm::RecordQueries::new(boot_id),
             behind_since: None,
             remembered,
             capacity_bytes: capacity_bytes(&start.resources),
@@ -163,7 +163,12 @@
         self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::hold_count))
     }
 
-    fn write_node_row(&mut self, row: RowChange, then: Option<ShardWish>, effects: &mut Effects) {
+    fn write_node_row(
+        &mut self,
+        row: RowChange,
+        then: Option<ShardChangeRequest>,
+        effects: &mut Effects,
+    ) {
         self.last_write += 1;
         if let Some(wish) = then {
             self.requests_after_write.insert(self.last_write, wish);
@@ -173,7 +178,7 @@
     }
 
     /// Stops serving in a shard's epoch, and requests a change of the record once that is synced.
-    pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, effects: &mut Effects) {
+    pub(crate) fn stop_and_wish(&mut self, wish: ShardChangeRequest, effects: &mut Effects) {
         let shard = wish.shard;
         // The counter's state is lost with its process, including any right to serve, so the
         // request need not wait for a disk that may have stalled.
@@ -200,7 +205,10 @@
             {
                 *sent = now;
                 for to in &control {
-                    effects.push(Effect::Send { to: *to, message: Message::Wish(wish.clone()) });
+                    effects.push(Effect::Send {
+                        to: *to,
+                        message: Message::ShardChangeRequest(wish.clone()),
+                    });
                 }
             }
         }
@@ -264,7 +272,7 @@
         let outgoing = self.membership.tick(now);
         effects.extend(topazyard_membership::effects(outgoing));
         self.remember_addresses(effects);
-        self.follower.add_sources(self.membership.addresses(Duty::Control));
+        self.follower.add_sources(self.membership.addresses(MemberRole::Control));
         let behind = self.behind_since.is_some_and(|at| self.follower.confirmed_at() <= Some(at));
         let waits = self.hosted.values().any(|hosted| hosted.waits_for_control(now));
         self.follower.set_fast_polling(behind || waits || self.is_starting(now));
@@ -309,7 +317,7 @@
         if !self.disk.takes_more() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
+        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
             self.write_node_row(row, None, effects);
         }
     }
@@ -364,8 +372,8 @@
         let may_request = hosted.wish.is_none() && !self.disk.is_full();
         if may_request && !may_be_isolated && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
-            let wish = Wish::DropBackups(silent);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, effects);
+            let change = ShardChange::DropBackups(silent);
+            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, effects);
         }
     }
 }
@@ -412,7 +420,7 @@
                 }
                 Message::Feed(message) => {
                     if self.follower.receive(from, message) == FollowOutcome::Changed {
-                        self.view = FleetView::read(self.follower.copy().rows());
+                        self.view = FleetSnapshot::read(self.follower.copy().rows());
                         self.update_roles(now, &mut effects);
                     }
                     if self.follower.is_fetching() {
@@ -429,13 +437,13 @@
                 Message::Batch(message) => {
                     self.receive_batch(sender, from, message, now, &mut effects);
                 }
-                Message::Told(shard, record) => {
+                Message::ShardRecord(shard, record) => {
                     self.receive_record(shard, record, now, &mut effects)
                 }
                 Message::Confirm(message) => {
                     self.receive_confirm(sender, from, message, now, &mut effects);
                 }
-                Message::Core(_) | Message::Wish(_) | Message::Operate(_) => {}
+                Message::Core(_) | Message::ShardChangeRequest(_) | Message::Operate(_) => {}
             },
         }
         self.proceed(now, &mut effects);
--- a/programs/topazyard-storage/src/machine/replaced_backups.rs
+++ b/programs/topazyard-storage/src/machine/replaced_backups.rs
@@ -9,7 +9,7 @@
 use super::{Effects, StorageMachine};
 use topazyard_types::{Epoch, NodeId, ShardId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group};
 
@@ -53,8 +53,8 @@
         let replaced: Vec<NodeId> =
             at_address.map(|backup| backup.id).filter(|id| *id != sender).collect();
         if !replaced.is_empty() {
-            let wish = Wish::DropBackups(replaced);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, effects);
+            let change = ShardChange::DropBackups(replaced);
+            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, effects);
         }
     }
 }
--- a/programs/topazyard-storage/src/machine/replica_reads.rs
+++ b/programs/topazyard-storage/src/machine/replica_reads.rs
@@ -10,7 +10,7 @@
 use super::{Effects, StorageMachine};
 use topazyard_replication::{Copy, Uncommitted};
 use topazyard_types::{BatchId, DurationMs, MonotonicMs, NodeId, ShardId};
-use topazyard_wire::message::batch::{BatchCall, BatchReturn};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse};
 use topazyard_wire::message::control::ShardRecord;
 
 /// Maximum number of replica reads that may wait at a shard.
@@ -23,8 +23,8 @@
     pub(super) fn for_read(call: &BatchCall) -> Option<Self> {
         match call {
             BatchCall::Read(batch) => Some(Self::Status(*batch, false)),
-            BatchCall::Returns { batch, after } => Some(Self::Results(*batch, *after)),
-            BatchCall::Results { batch, after } => Some(Self::RoutedResults(*batch, *after)),
+            BatchCall::ItemResults { batch, after } => Some(Self::Results(*batch, *after)),
+            BatchCall::RoutedResults { batch, after } => Some(Self::RoutedResults(*batch, *after)),
             BatchCall::Body { batch, id } => Some(Self::Body(*batch, id.clone())),
             _ => None,
         }
@@ -41,25 +41,25 @@
     }
 
     /// The response according to a copy.
-    pub(super) fn resolve(self, copy: &Copy) -> Option<BatchReturn> {
+    pub(super) fn resolve(self, copy: &Copy) -> Option<BatchResponse> {
         match self {
             Self::Ready(value) => Some(value),
             Self::Status(batch, accepted) => {
                 let status = crate::batches::status(copy, batch);
                 status.map(|status| match accepted {
-                    true => BatchReturn::Accepted(status),
-                    false => BatchReturn::Standing(status),
+                    true => BatchResponse::Accepted(status),
+                    false => BatchResponse::Status(status),
                 })
             }
             Self::Results(batch, after) => {
-                crate::batches::results(copy, batch, after).map(BatchReturn::Returns)
+                crate::batches::results(copy, batch, after).map(BatchResponse::ItemResults)
             }
             Self::RoutedResults(batch, after) => {
                 let found = crate::batches::routed::results(copy, batch, after);
-                found.map(|(total, results)| BatchReturn::Results { total, results })
+                found.map(|(total, results)| BatchResponse::RoutedResults { total, results })
             }
             Self::Body(batch, id) => {
-                crate::batches::routed::body(copy, batch, &id).map(BatchReturn::Body)
+                crate::batches::routed::body(copy, batch, &id).map(BatchResponse::Body)
             }
         }
     }
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -7,7 +7,7 @@
 use topazyard_types::{Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
+use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchResponse};
 
 /// Maximum number of refused submissions that a shard remembers.
 const MAX_REFUSED_SUBMISSIONS: usize = 256;
@@ -26,8 +26,10 @@
         let (shard, caller) = (message.shard, BatchCaller { to: from, call: message.call });
         let call = match message.body {
             BatchBody::Call(call) => call,
-            BatchBody::Aside(call) => return self.queue_replica_read(shard, caller, &call, now),
-            BatchBody::Return(_) => return,
+            BatchBody::ReplicaRead(call) => {
+                return self.queue_replica_read(shard, caller, &call, now);
+            }
+            BatchBody::Response(_) => return,
         };
         let epoch = self.hosted.get(&shard).map_or(message.epoch, |hosted| hosted.replica.epoch());
         let is_full = self.disk.is_full();
@@ -40,7 +42,7 @@
         if served {
             self.report_waiting(shard, now, effects);
         } else {
-            send(shard, epoch, caller, BatchReturn::NotHere, effects);
+            send(shard, epoch, caller, BatchResponse::NotPrimary, effects);
         }
     }
 
@@ -91,13 +93,13 @@
                             hosted.refused_submissions.pop_front();
                         }
                         hosted.refused_submissions.push_back(submission);
-                        (Vec::new(), PendingResponse::Ready(BatchReturn::CeilingReached))
+                        (Vec::new(), PendingResponse::Ready(BatchResponse::CeilingReached))
                     }
                 }
             }
             BatchCall::Read(_)
-            | BatchCall::Returns { .. }
-            | BatchCall::Results { .. }
+            | BatchCall::ItemResults { .. }
+            | BatchCall::RoutedResults { .. }
             | BatchCall::Body { .. } => match PendingResponse::for_read(&call) {
                 Some(response) => (Vec::new(), response),
                 None => return false,
@@ -108,30 +110,30 @@
             }
             BatchCall::End(batch) => match batches.end_any(batch, now) {
                 Some(changes) => (changes, PendingResponse::Status(batch, false)),
-                None => (Vec::new(), PendingResponse::Ready(BatchReturn::Unknown)),
+                None => (Vec::new(), PendingResponse::Ready(BatchResponse::Unknown)),
             },
             BatchCall::Lease { most, models, routes } => {
                 let copy = hosted.replica.copy();
                 let mut leased = batches.routed.lease(relay, most, &routes, copy, now);
                 let remaining = most - leased.len() as u32;
                 leased.extend(batches.lease(relay, remaining, &models, copy, now));
-                (Vec::new(), PendingResponse::Ready(BatchReturn::Leased(leased)))
+                (Vec::new(), PendingResponse::Ready(BatchResponse::Leased(leased)))
             }
             BatchCall::Start(run) => {
                 let (may_start, changes) = batches.start(relay, run, now);
-                (changes, PendingResponse::Ready(BatchReturn::MayStart(may_start)))
+                (changes, PendingResponse::Ready(BatchResponse::MayStart(may_start)))
             }
             BatchCall::Finish(run, end) => {
                 let changes = match batches.routed.contains(run.batch) {
                     true => batches.routed.finish(relay, run, end, now),
                     false => batches.finish(relay, run, end, now),
                 };
-                (changes, PendingResponse::Ready(BatchReturn::Noted))
+                (changes, PendingResponse::Ready(BatchResponse::Acknowledged))
             }
             BatchCall::Running(runs) => {
                 batches.running(&runs, now);
                 batches.routed.running(relay, &runs, now);
-                (Vec::new(), PendingResponse::Ready(BatchReturn::Noted))
+                (Vec::new(), PendingResponse::Ready(BatchResponse::Acknowledged))
             }
         };
         hosted.submit(changes, CommitWaiter::Batch(caller, response));
@@ -151,7 +153,7 @@
         let (batch, caller) = (submission.batch, submission.caller);
         if !granted && !batches.contains(batch) {
             let epoch = hosted.replica.epoch();
-            send(shard, epoch, caller, BatchReturn::CeilingReached, effects);
+            send(shard, epoch, caller, BatchResponse::CeilingReached, effects);
             return;
         }
         let changes = if batches.contains(batch) {
@@ -177,10 +179,10 @@
             CommitWaiter::Counter(to, body) => super::counter_calls::send(to, epoch, body, effects),
             CommitWaiter::Batch(caller, response) => {
                 let value = response.resolve(hosted.replica.copy());
-                if matches!(value, Some(BatchReturn::Accepted(_))) {
+                if matches!(value, Some(BatchResponse::Accepted(_))) {
                     self.batches_acknowledged += 1;
                 }
-                send(shard, epoch, caller, value.unwrap_or(BatchReturn::Unknown), effects);
+                send(shard, epoch, caller, value.unwrap_or(BatchResponse::Unknown), effects);
             }
         }
     }
@@ -199,7 +201,7 @@
             ServingState::None => Vec::new(),
             ServingState::Counter(counter) => counter.tick(now),
             ServingState::Batches(batches) => {
-                let limits = self.view.spec.as_ref().map(|(_, bundle)| &bundle.batches);
+                let limits = self.view.configuration.as_ref().map(|(_, bundle)| &bundle.batches);
                 let keep_s = limits.map(|limits| u64::from(limits.keep_finished_s));
                 let mut changes = batches.tick(now);
                 changes.extend(batches.routed.tick(now));
@@ -232,10 +234,10 @@
     shard: ShardId,
     epoch: Epoch,
     caller: BatchCaller,
-    value: BatchReturn,
+    value: BatchResponse,
     effects: &mut Effects,
 ) {
-    let body = BatchBody::Return(value);
+    let body = BatchBody::Response(value);
     let message = Message::Batch(BatchMessage { shard, epoch, call: caller.call, body });
     effects.push(Effect::Send { to: caller.to, message });
 }
--- a/programs/topazyard-storage/src/run.rs
+++ b/programs/topazyard-storage/src/run.rs
@@ -1,7 +1,7 @@
 //! Runs the storage node: its machine, its links and its HTTP endpoint.
 
 use topazyard_wire::driver::{StartError, start_with_disk};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// Runs the program with the given settings until it terminates.
 ///
@@ -9,11 +9,11 @@
 /// A setting is missing, an address is in use, or the disk can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings) -> Result<(), StartError> {
     topazyard_wire::driver::run_process(async move {
-        let (start, place, disk) = start_with_disk(&settings, Duty::Storage).await?;
+        let (start, place, disk) = start_with_disk(&settings, MemberRole::Storage).await?;
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
         let new_machine = |_| (crate::StorageMachine::new(start), Vec::new());
         let handle = topazyard_wire::driver::spawn_at(
-            settings.frames_at(),
+            settings.listen_address(),
             new_machine,
             place,
             Some(disk),
