--- a/programs/topazyard-storage/src/batches/changes.rs
+++ b/programs/topazyard-storage/src/batches/changes.rs
@@ -205,11 +205,11 @@
             Some(ItemState::Waiting { may_have_run }) => {
                 self.leases.retain(|run, _| (run.batch, run.item) != (batch, item));
                 let end = end_without_run(may_have_run, ItemEnd::Recalled);
-                let answer = match may_have_run {
+                let response = match may_have_run {
                     false => BatchResponse::Recalled,
                     true => BatchResponse::TooLate { returned: true },
                 };
-                (answer, self.record_result(batch, item, end, now))
+                (response, self.record_result(batch, item, end, now))
             }
             Some(ItemState::Started { .. }) => {
                 (BatchResponse::TooLate { returned: false }, Vec::new())
@@ -256,8 +256,8 @@
     /// Deletes finished batches whose retention time is over.
     pub fn remove_expired(&mut self, keep: DurationMs, now: MonotonicMs) -> Vec<RowChange> {
         let mut changes = Vec::new();
-        while let Some((since, number)) = self.finished.front().copied() {
-            if now.since(since) < keep {
+        while let Some((finished_at, number)) = self.finished.front().copied() {
+            if now.since(finished_at) < keep {
                 break;
             }
             self.finished.pop_front();
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -68,7 +68,7 @@
     fn query_other_backups(&self, effects: &mut Effects) {
         let me = self.member.id;
         for (shard, hosted) in &self.hosted {
-            let Some(record) = self.view.shards.get(shard) else { continue };
+            let Some(record) = self.fleet.shards.get(shard) else { continue };
             let epoch = hosted.replica.epoch();
             let is_following = hosted.replica.was_in_sync() && record.epoch == epoch;
             if hosted.replica_reads.is_empty() || !is_following || !record.is_backup(me) {
@@ -105,7 +105,7 @@
                 }
             }
             ConfirmMessage::Synced { shard, epoch, sequence } => {
-                let record = self.view.shards.get(&shard);
+                let record = self.fleet.shards.get(&shard);
                 let is_backup = record.is_some_and(|record| record.is_backup(sender));
                 let Some(hosted) = self.hosted.get_mut(&shard) else { return };
                 if hosted.replica.epoch() == epoch && is_backup {
--- a/programs/topazyard-storage/src/machine/counter_calls.rs
+++ b/programs/topazyard-storage/src/machine/counter_calls.rs
@@ -128,7 +128,7 @@
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
-        let Some(counter) = self.view.shards.get(&ShardId::COUNTER) else { return };
+        let Some(counter) = self.fleet.shards.get(&ShardId::COUNTER) else { return };
         let (to, epoch) = (counter.primary.address, counter.epoch);
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
         let ServingState::Batches(batches) = &hosted.serving_state else { return };
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -31,7 +31,7 @@
     pub(crate) last_ticket: WriteTicket,
     /// The requested change of the record, and when the request was last sent; no time while this
     /// node's stop is still being synced.
-    pub(crate) wish: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
+    pub(crate) change_request: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
     pub(crate) pending_submissions: PendingSubmissions,
     /// Submissions that were refused here: a delayed frame of one must not be accepted later.
     pub(crate) refused_submissions: std::collections::VecDeque<(NodeId, u64)>,
@@ -112,7 +112,7 @@
             serving_state: ServingState::None,
             waiters: std::collections::BTreeMap::new(),
             last_ticket: 0,
-            wish: None,
+            change_request: None,
             pending_submissions: PendingSubmissions::default(),
             refused_submissions: std::collections::VecDeque::new(),
             replica_reads: Vec::new(),
@@ -153,7 +153,7 @@
         let late = |since| now.since(since) >= CONTROL_POLL_DELAY;
         let unsettled = self.replica.is_primary() && !self.replica.is_serving();
         let unsettled = unsettled || self.replica.backup_silent_since().is_some_and(late);
-        self.wish.is_some() || unsettled || !self.replica_reads.is_empty()
+        self.change_request.is_some() || unsettled || !self.replica_reads.is_empty()
     }
 
     /// When the latest request was sent whose response confirmed this copy's record as current.
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -81,7 +81,7 @@
     pub(crate) boot_id: BootId,
     membership: Membership,
     follower: FeedFollower,
-    pub(crate) view: FleetSnapshot,
+    pub(crate) fleet: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
     /// Shards in which this node has stopped serving, up to the given epoch.
@@ -116,7 +116,7 @@
     /// Creates a storage node from what was found on its disk.
     pub fn new(mut start: DiskStart) -> Self {
         let remembered = start.remembered();
-        let sources = start.known_control();
+        let control_addresses = start.known_control();
         let node_rows = start.loaded.remove(&Group::Node).unwrap_or_default();
         let stopped = node_rows
             .get("stopped")
@@ -125,10 +125,14 @@
         let boot_id = BootId(start.chance);
         Self {
             boot_id,
-            membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
-            follower: FeedFollower::new(sources, boot_id),
+            membership: Membership::new(
+                start.member.clone(),
+                control_addresses.clone(),
+                start.chance,
+            ),
+            follower: FeedFollower::new(control_addresses, boot_id),
             member: start.member,
-            view: FleetSnapshot::default(),
+            fleet: FleetSnapshot::default(),
             hosted: std::collections::BTreeMap::new(),
             loaded: start.loaded,
             stopped,
@@ -166,48 +170,52 @@
     fn write_node_row(
         &mut self,
         row: RowChange,
-        then: Option<ShardChangeRequest>,
+        request_once_synced: Option<ShardChangeRequest>,
         effects: &mut Effects,
     ) {
         self.last_write += 1;
-        if let Some(wish) = then {
-            self.requests_after_write.insert(self.last_write, wish);
+        if let Some(request) = request_once_synced {
+            self.requests_after_write.insert(self.last_write, request);
         }
         let token = WriteToken { group: Group::Node, number: self.last_write };
         effects.push(Effect::Write { token, changes: vec![row] });
     }
 
     /// Stops serving in a shard's epoch, and requests a change of the record once that is synced.
-    pub(crate) fn stop_and_wish(&mut self, wish: ShardChangeRequest, effects: &mut Effects) {
-        let shard = wish.shard;
+    pub(crate) fn stop_and_request_change(
+        &mut self,
+        request: ShardChangeRequest,
+        effects: &mut Effects,
+    ) {
+        let shard = request.shard;
         // The counter's state is lost with its process, including any right to serve, so the
         // request need not wait for a disk that may have stalled.
         let at_once = shard.is_counter().then_some(MonotonicMs(0));
         if let Some(hosted) = self.hosted.get_mut(&shard) {
             hosted.replica.stop_serving();
-            hosted.wish = Some((wish.clone(), at_once));
+            hosted.change_request = Some((request.clone(), at_once));
         }
         if shard.is_counter() {
             return;
         }
-        self.stopped.insert(shard, wish.epoch);
+        self.stopped.insert(shard, request.epoch);
         let row = RowChange::put("stopped", &self.stopped);
-        self.write_node_row(row, Some(wish), effects);
+        self.write_node_row(row, Some(request), effects);
     }
 
     /// Sends the requests for changes of records, repeatedly until the record changes.
-    fn send_wishes(&mut self, now: MonotonicMs, effects: &mut Effects) {
+    fn send_change_requests(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let interval = topazyard_types::DurationMs(100);
         let control: Vec<std::net::SocketAddr> = self.follower.primary().into_iter().collect();
         for hosted in self.hosted.values_mut() {
-            if let Some((wish, Some(sent))) = &mut hosted.wish
+            if let Some((request, Some(sent))) = &mut hosted.change_request
                 && now.since(*sent) >= interval
             {
                 *sent = now;
                 for to in &control {
                     effects.push(Effect::Send {
                         to: *to,
-                        message: Message::ShardChangeRequest(wish.clone()),
+                        message: Message::ShardChangeRequest(request.clone()),
                     });
                 }
             }
@@ -251,7 +259,7 @@
                 .iter()
                 .map(|(shard, hosted)| (*shard, hosted.replica.epoch()))
                 .collect(),
-            stopped: self.hosted.values().filter(|hosted| hosted.wish.is_some()).count(),
+            stopped: self.hosted.values().filter(|hosted| hosted.change_request.is_some()).count(),
             batches_acknowledged: self.batches_acknowledged,
             batches_kept: batches().map(crate::batches::routed::RoutedBatches::count).sum(),
             items_open: batches().map(crate::batches::routed::RoutedBatches::open_items).sum(),
@@ -280,15 +288,15 @@
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in &shards {
             let Some(hosted) = self.hosted.get_mut(shard) else { continue };
-            let heard = self.follower.confirmed_at();
+            let confirmed_at = self.follower.confirmed_at();
             hosted.replica.set_learner_promotion_paused(
-                heard.is_none_or(|at| now.since(at) >= MAX_CONTROL_AGE),
+                confirmed_at.is_none_or(|at| now.since(at) >= MAX_CONTROL_AGE),
             );
             let outputs = hosted.replica.tick(now);
             self.apply_replica_outputs(*shard, outputs, now, effects);
             self.drop_silent_backups(*shard, now, effects);
         }
-        self.send_wishes(now, effects);
+        self.send_change_requests(now, effects);
         self.send_queries(now, effects);
         self.log_budgets(now, effects);
         if now.since(self.last_sweep) >= topazyard_types::DurationMs(100) {
@@ -365,15 +373,15 @@
         let Some(hosted) = self.hosted.get(&shard) else { return };
         let silent_since = hosted.replica.backup_silent_since();
         // If control is unreachable too, this node may be the one that is isolated.
-        let heard = self.follower.confirmed_at();
-        let may_be_isolated = silent_since.is_some_and(|since| heard <= Some(since));
+        let confirmed_at = self.follower.confirmed_at();
+        let may_be_isolated = silent_since.is_some_and(|since| confirmed_at <= Some(since));
         let silent = hosted.replica.silent_backups(timeout, now);
         // With a full disk it can't sync that it stopped; control moves its roles to other nodes.
-        let may_request = hosted.wish.is_none() && !self.disk.is_full();
+        let may_request = hosted.change_request.is_none() && !self.disk.is_full();
         if may_request && !may_be_isolated && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
             let change = ShardChange::DropBackups(silent);
-            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, effects);
+            self.stop_and_request_change(ShardChangeRequest { shard, epoch, change }, effects);
         }
     }
 }
@@ -400,9 +408,9 @@
                     }
                 }
                 _ => {
-                    if let Some(wish) = self.requests_after_write.remove(&token.number) {
-                        self.begin_wishing(&wish);
-                        self.send_wishes(now, &mut effects);
+                    if let Some(request) = self.requests_after_write.remove(&token.number) {
+                        self.begin_change_request(&request);
+                        self.send_change_requests(now, &mut effects);
                     }
                 }
             },
@@ -420,7 +428,7 @@
                 }
                 Message::Feed(message) => {
                     if self.follower.receive(from, message) == FollowOutcome::Changed {
-                        self.view = FleetSnapshot::read(self.follower.copy().rows());
+                        self.fleet = FleetSnapshot::read(self.follower.copy().rows());
                         self.update_roles(now, &mut effects);
                     }
                     if self.follower.is_fetching() {
--- a/programs/topazyard-storage/src/machine/replaced_backups.rs
+++ b/programs/topazyard-storage/src/machine/replaced_backups.rs
@@ -40,13 +40,13 @@
         epoch: Epoch,
         effects: &mut Effects,
     ) {
-        let Some(record) = self.view.shards.get(&shard) else { return };
+        let Some(record) = self.fleet.shards.get(&shard) else { return };
         let Some(hosted) = self.hosted.get(&shard) else { return };
-        let leads = record.primary.id == self.member.id && record.epoch == epoch;
-        let is_current = leads && hosted.replica.epoch() == epoch;
+        let is_primary = record.primary.id == self.member.id && record.epoch == epoch;
+        let is_current = is_primary && hosted.replica.epoch() == epoch;
         // Before the first response of control the known record may be outdated.
         let may_request = self.follower.confirmed_at().is_some() && !self.disk.is_full();
-        if !is_current || !may_request || hosted.wish.is_some() {
+        if !is_current || !may_request || hosted.change_request.is_some() {
             return;
         }
         let at_address = record.backups.iter().filter(|backup| backup.address == from);
@@ -54,7 +54,7 @@
             at_address.map(|backup| backup.id).filter(|id| *id != sender).collect();
         if !replaced.is_empty() {
             let change = ShardChange::DropBackups(replaced);
-            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, effects);
+            self.stop_and_request_change(ShardChangeRequest { shard, epoch, change }, effects);
         }
     }
 }
--- a/programs/topazyard-storage/src/machine/replica_reads.rs
+++ b/programs/topazyard-storage/src/machine/replica_reads.rs
@@ -112,7 +112,7 @@
         let by_feed = self.follower.confirmed_at();
         let me = self.member.id;
         for (shard, hosted) in &mut self.hosted {
-            let Some(record) = self.view.shards.get(shard) else { continue };
+            let Some(record) = self.fleet.shards.get(shard) else { continue };
             let is_named = record.members().any(|node| node.id == me);
             hosted.replica_reads.retain(|read| now.since(read.received_at) < REPLICA_READ_TIMEOUT);
             if !is_named || record.epoch != hosted.replica.epoch() {
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -14,7 +14,7 @@
     /// Takes up the roles that the shard records give this node.
     pub(super) fn update_roles(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let records: Vec<(ShardId, ShardRecord)> =
-            self.view.shards.iter().map(|(shard, record)| (*shard, record.clone())).collect();
+            self.fleet.shards.iter().map(|(shard, record)| (*shard, record.clone())).collect();
         for (shard, record) in records {
             let known = self.hosted.get(&shard).is_some_and(|h| h.replica.epoch() >= record.epoch);
             let settled = known && self.hosted.get(&shard).is_some_and(|h| h.replica.has_role());
@@ -32,9 +32,9 @@
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
-        let known = self.view.shards.get(&shard).map(|record| record.epoch);
+        let known = self.fleet.shards.get(&shard).map(|record| record.epoch);
         if known.is_some_and(|known| known < record.epoch) {
-            self.view.shards.insert(shard, record);
+            self.fleet.shards.insert(shard, record);
             self.update_roles(now, effects);
         }
     }
@@ -81,7 +81,7 @@
         effects.push(Effect::Note { grave: false, text });
         let stopped = self.stopped.get(&shard).is_some_and(|epoch| *epoch >= record.epoch);
         let hosted = self.host(shard);
-        hosted.wish = None;
+        hosted.change_request = None;
         hosted.synced_by.clear();
         let has_restarted = !hosted.replica.has_role()
             && hosted.replica.copy().position() != topazyard_types::LogPosition::default();
@@ -109,20 +109,20 @@
         self.apply_replica_outputs(shard, outputs, now, effects);
         if needs_handover {
             // A backup may have answered reads in the meantime from changes that were lost here.
-            let wish =
+            let request =
                 ShardChangeRequest { shard, epoch: record.epoch, change: ShardChange::HandOver };
-            self.stop_and_wish(wish, effects);
+            self.stop_and_request_change(request, effects);
             return;
         }
         let requests_change = stopped && record.primary.id == me && record.learners.is_empty();
         if requests_change && !record.backups.is_empty() && !shard.is_counter() {
             let all = record.backups.iter().map(|node| node.id).collect();
-            let wish = ShardChangeRequest {
+            let request = ShardChangeRequest {
                 shard,
                 epoch: record.epoch,
                 change: ShardChange::DropBackups(all),
             };
-            self.stop_and_wish(wish, effects);
+            self.stop_and_request_change(request, effects);
         }
     }
 
@@ -148,10 +148,10 @@
         effects.push(Effect::Write { token, changes });
     }
 
-    pub(super) fn begin_wishing(&mut self, wish: &ShardChangeRequest) {
-        if let Some(hosted) = self.hosted.get_mut(&wish.shard)
-            && let Some((kept, sent @ None)) = &mut hosted.wish
-            && kept == wish
+    pub(super) fn begin_change_request(&mut self, request: &ShardChangeRequest) {
+        if let Some(hosted) = self.hosted.get_mut(&request.shard)
+            && let Some((current, sent @ None)) = &mut hosted.change_request
+            && current == request
         {
             *sent = Some(MonotonicMs(0));
         }
@@ -191,15 +191,15 @@
                     // A pending request to drop backups stays: a promotion would count these
                     // backups again.
                     if let Some(hosted) = self.hosted.get(&shard)
-                        && hosted.wish.is_none()
+                        && hosted.change_request.is_none()
                     {
                         let epoch = hosted.replica.epoch();
-                        let wish = ShardChangeRequest {
+                        let request = ShardChangeRequest {
                             shard,
                             epoch,
                             change: ShardChange::PromoteLearners,
                         };
-                        self.stop_and_wish(wish, effects);
+                        self.stop_and_request_change(request, effects);
                     }
                 }
             }
@@ -208,7 +208,7 @@
 
     /// Checks, before anything is acknowledged, that enough copies have synced it.
     fn check_acknowledgment(&self, shard: ShardId) {
-        let (Some(hosted), Some(record)) = (self.hosted.get(&shard), self.view.shards.get(&shard))
+        let (Some(hosted), Some(record)) = (self.hosted.get(&shard), self.fleet.shards.get(&shard))
         else {
             return;
         };
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -201,7 +201,11 @@
             ServingState::None => Vec::new(),
             ServingState::Counter(counter) => counter.tick(now),
             ServingState::Batches(batches) => {
-                let limits = self.view.configuration.as_ref().map(|(_, bundle)| &bundle.batches);
+                let limits = self
+                    .fleet
+                    .configuration
+                    .as_ref()
+                    .map(|(_, configuration)| &configuration.batches);
                 let keep_s = limits.map(|limits| u64::from(limits.keep_finished_s));
                 let mut changes = batches.tick(now);
                 changes.extend(batches.routed.tick(now));
