--- a/programs/topazyard-storage/tests/disks.rs
+++ b/programs/topazyard-storage/tests/disks.rs
@@ -1,8 +1,8 @@
-//! A storage node whose disk is full takes no more work, says so, and goes on once there is room.
+//! A storage node with a full disk accepts no calls, reports it, and resumes once there is space.
 
 mod storage_node;
 
-use storage_node::{CONTROL, asked, blank, news_of, node};
+use storage_node::{CONTROL, feed_update, last_feed_nonce, node, storage_node};
 use topazyard_storage::{StorageCall, StorageHealth, StorageMachine};
 use topazyard_types::{BatchId, CallId, Digest, DurationMs, Epoch, MonotonicMs, NodeId};
 use topazyard_types::{Sequence, ShardId};
@@ -19,7 +19,7 @@
 const BACKUP: NodeId = NodeId(2);
 const EPOCH: Epoch = Epoch(1);
 
-/// A storage node with what it said and wrote; control and the backup are played by the test.
+/// A storage node and what it sent and wrote; the test plays control and the backup.
 struct Node {
     machine: StorageMachine,
     now: MonotonicMs,
@@ -32,7 +32,7 @@
 impl Node {
     fn new() -> Self {
         Self {
-            machine: blank(ME.0),
+            machine: storage_node(ME.0),
             now: MonotonicMs(86_400_000),
             sent: Vec::new(),
             notes: Vec::new(),
@@ -53,7 +53,7 @@
         }
     }
 
-    fn hear(&mut self, sender: NodeId, message: Message) {
+    fn receive(&mut self, sender: NodeId, message: Message) {
         self.step(Input::Frame { sender, from: node(sender.0).address, message });
     }
 
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Control tells the node that it leads the shard, and the backup that it is in step.
-    fn lead(&mut self) {
+    /// Control makes the node the shard's primary, and the backup reports that it is in sync.
+    fn become_primary(&mut self) {
         self.run(50);
         let record = ShardRecord {
             epoch: EPOCH,
@@ -75,13 +75,13 @@
             fallbacks: Vec::new(),
             learners: Vec::new(),
         };
-        let nonce = asked(&self.sent).expect("it asks control");
-        self.hear(NodeId(CONTROL), news_of(nonce, SHARD, 1, &record));
+        let nonce = last_feed_nonce(&self.sent).expect("no feed request was sent");
+        self.receive(NodeId(CONTROL), feed_update(nonce, SHARD, 1, &record));
         self.confirm();
         assert!(self.machine.is_serving(SHARD));
     }
 
-    /// The backup confirms all that it was sent.
+    /// The backup confirms everything that it was sent.
     fn confirm(&mut self) {
         for message in std::mem::take(&mut self.sent) {
             let Message::Replica(ReplicaMessage { body, .. }) = message else { continue };
@@ -93,34 +93,34 @@
                 _ => continue,
             };
             let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: EPOCH, body };
-            self.hear(BACKUP, Message::Replica(message));
+            self.receive(BACKUP, Message::Replica(message));
         }
     }
 
-    /// How it told control last that it fares.
-    fn told_health(&self) -> Option<Health> {
+    /// The health that the node last reported to control.
+    fn reported_health(&self) -> Option<Health> {
         self.sent.iter().rev().find_map(|message| match message {
             Message::Feed(FeedMessage::Request { health, .. }) => Some(health.clone()),
             _ => None,
         })
     }
 
-    /// A relay asks about a batch; gives what it is told at once or once the backup confirmed.
-    fn ask_batch(&mut self) -> Option<BatchResponse> {
+    /// A relay reads a batch; returns the response sent at once or after the backup's confirmation.
+    fn read_batch(&mut self) -> Option<BatchResponse> {
         self.sent.clear();
         let call = BatchCall::Read(BatchId { shard: SHARD, number: 7 });
         let body = BatchBody::Call(call);
         let message = BatchMessage { shard: SHARD, epoch: EPOCH, call: 3, body };
-        self.hear(NodeId(20), Message::Batch(message));
-        let returned = self.returned();
-        if returned.is_some() {
-            return returned;
+        self.receive(NodeId(20), Message::Batch(message));
+        let response = self.response();
+        if response.is_some() {
+            return response;
         }
         self.confirm();
-        self.returned()
+        self.response()
     }
 
-    fn returned(&self) -> Option<BatchResponse> {
+    fn response(&self) -> Option<BatchResponse> {
         self.sent.iter().find_map(|message| match message {
             Message::Batch(BatchMessage { body: BatchBody::Response(value), .. }) => {
                 Some(value.clone())
@@ -131,23 +131,25 @@
 }
 
 #[test]
-fn a_primary_without_room_takes_no_calls_until_there_is_some() {
+fn primary_with_full_disk_refuses_calls_until_it_recovers() {
     let mut node = Node::new();
-    node.lead();
-    assert_eq!(node.ask_batch(), Some(BatchResponse::Unknown), "there is no such batch");
+    node.become_primary();
+    assert_eq!(node.read_batch(), Some(BatchResponse::Unknown), "the batch does not exist");
     node.step(Input::Disk(DiskState::Full));
-    assert_eq!(node.ask_batch(), Some(BatchResponse::NotPrimary));
+    assert_eq!(node.read_batch(), Some(BatchResponse::NotPrimary));
     node.step(Input::Disk(DiskState::Healthy));
-    assert_eq!(node.ask_batch(), Some(BatchResponse::Unknown), "it goes on as before");
+    assert_eq!(node.read_batch(), Some(BatchResponse::Unknown), "the node serves again");
 }
 
 #[test]
-fn a_node_without_room_says_so_to_control_to_operators_and_in_its_log() {
+fn full_disk_is_reported_to_control_health_and_log() {
     let mut node = Node::new();
-    node.lead();
+    node.become_primary();
     node.step(Input::Disk(DiskState::Full));
     node.run(500);
-    let Some(Health::Storage { disk, .. }) = node.told_health() else { panic!("no word") };
+    let Some(Health::Storage { disk, .. }) = node.reported_health() else {
+        panic!("no health was reported")
+    };
     assert_eq!(disk, DiskState::Full);
     node.step(Input::Call { call: CallId(1), request: StorageCall::Health });
     assert_eq!(node.health.take().map(|health| health.disk), Some(DiskState::Full));
@@ -158,7 +160,7 @@
 }
 
 #[test]
-fn a_backup_that_syncs_nothing_confirms_nothing_and_piles_nothing_up() {
+fn backup_with_stalled_disk_confirms_nothing_and_bounds_its_writes() {
     let mut node = Node::new();
     node.run(50);
     let record = ShardRecord {
@@ -169,24 +171,24 @@
         fallbacks: Vec::new(),
         learners: Vec::new(),
     };
-    let nonce = asked(&node.sent).expect("it asks control");
-    node.hear(NodeId(CONTROL), news_of(nonce, SHARD, 1, &record));
+    let nonce = last_feed_nonce(&node.sent).expect("no feed request was sent");
+    node.receive(NodeId(CONTROL), feed_update(nonce, SHARD, 1, &record));
     node.sent.clear();
-    // Its primary compares again and again, as it does while nobody answers.
+    // Its primary compares digests repeatedly, as it does while nobody responds.
     for round in 1..=5_000 {
         let digests = vec![Digest::default(); topazyard_replication::copy::RANGE_COUNT];
         let of = topazyard_wire::message::replica::FollowerRole::Backup;
         let body = ReplicaBody::Digests { round, sequence: Sequence(0), digests, of };
         let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: EPOCH, body };
-        node.hear(BACKUP, Message::Replica(message));
+        node.receive(BACKUP, Message::Replica(message));
     }
     assert!(node.unsynced.len() <= 200, "{} writes wait", node.unsynced.len());
-    let confirms = |message: &Message| {
+    let is_confirmation = |message: &Message| {
         matches!(message, Message::Replica(ReplicaMessage { body: ReplicaBody::InSync { .. }, .. }))
     };
-    assert!(!node.sent.iter().any(confirms));
+    assert!(!node.sent.iter().any(is_confirmation));
     for token in std::mem::take(&mut node.unsynced) {
         node.step(Input::Written(token));
     }
-    assert!(node.sent.iter().any(confirms), "in step once all is synced");
+    assert!(node.sent.iter().any(is_confirmation), "in sync once all is synced");
 }
--- a/programs/topazyard-storage/tests/metrics.rs
+++ b/programs/topazyard-storage/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a storage node tells in its metrics.
+//! The metrics of a storage node.
 
 use topazyard_storage::StorageHealth;
 use topazyard_storage::metrics::StorageMetrics;
@@ -6,7 +6,7 @@
 use topazyard_wire::disk::DiskState;
 
 #[test]
-fn a_storage_node_tells_its_shards_and_batches() {
+fn metrics_include_shards_and_batches() {
     let health = StorageHealth {
         node: NodeId(4),
         serving: vec![ShardId(1)],
--- a/programs/topazyard-storage/tests/released_copy.rs
+++ b/programs/topazyard-storage/tests/released_copy.rs
@@ -1,9 +1,9 @@
-//! A copy that was let go and is taken up again: what its disk still does for the old one counts for
-//! nothing in the new one.
+//! A copy that was deleted and is created again: writes of the old copy that complete late do not
+//! confirm anything of the new one.
 
 mod storage_node;
 
-use storage_node::{CONTROL, asked, blank, news_of, node};
+use storage_node::{CONTROL, feed_update, last_feed_nonce, node, storage_node};
 use topazyard_storage::{StorageCall, StorageMachine};
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, NodeId, Sequence, ShardId};
 use topazyard_wire::message::Message;
@@ -16,7 +16,7 @@
 const PRIMARY: u64 = 2;
 const OTHER: u64 = 3;
 
-/// A storage node whose writes are synced when the test says so.
+/// A storage node whose writes complete when the test says so.
 struct Storage {
     machine: StorageMachine,
     now: MonotonicMs,
@@ -27,7 +27,7 @@
 impl Storage {
     fn new() -> Self {
         Self {
-            machine: blank(ME),
+            machine: storage_node(ME),
             now: MonotonicMs(86_400_000),
             sent: Vec::new(),
             unsynced: Default::default(),
@@ -47,15 +47,15 @@
         }
     }
 
-    fn hear(&mut self, sender: u64, message: Message) {
+    fn receive(&mut self, sender: u64, message: Message) {
         let (sender, from) = (NodeId(sender), node(sender).address);
         self.step(Input::Frame { sender, from, message });
     }
 
-    /// Control tells of a record in which this node is a learner, or nothing.
-    fn learn(&mut self, epoch: u64, learners: Vec<CoreNode>) {
+    /// Control publishes a record in which this node is a learner, or has no role.
+    fn receive_record(&mut self, epoch: u64, learners: Vec<CoreNode>) {
         self.sent.clear();
-        while asked(&self.sent).is_none() {
+        while last_feed_nonce(&self.sent).is_none() {
             self.now = self.now.plus(DurationMs(25));
             self.step(Input::Tick);
         }
@@ -67,49 +67,49 @@
             fallbacks: Vec::new(),
             learners,
         };
-        let nonce = asked(&self.sent).expect("it asks the feed");
-        self.hear(CONTROL, news_of(nonce, SHARD, epoch, &record));
+        let nonce = last_feed_nonce(&self.sent).expect("no feed request was sent");
+        self.receive(CONTROL, feed_update(nonce, SHARD, epoch, &record));
     }
 
-    /// The primary compares, with a copy that is as empty as this one.
-    fn compare(&mut self, epoch: u64, round: u64) {
+    /// The primary compares digests, with a copy that is as empty as this one.
+    fn receive_digests(&mut self, epoch: u64, round: u64) {
         let digests = topazyard_replication::Copy::default().digests().to_vec();
         let (sequence, of) = (Sequence(0), FollowerRole::Learner);
         let body = ReplicaBody::Digests { round, sequence, digests, of };
         let group = Group::Shard(SHARD);
         let message = ReplicaMessage { group, epoch: Epoch(epoch), body };
-        self.hear(PRIMARY, Message::Replica(message));
+        self.receive(PRIMARY, Message::Replica(message));
     }
 
-    fn says_in_step(&self, round: u64) -> bool {
+    fn confirms_in_sync(&self, round: u64) -> bool {
         self.sent.iter().any(|message| match message {
             Message::Replica(ReplicaMessage { body, .. }) => {
-                matches!(body, ReplicaBody::InSync { round: said, .. } if *said == round)
+                matches!(body, ReplicaBody::InSync { round: confirmed, .. } if *confirmed == round)
             }
             _ => false,
         })
     }
 
-    fn sync_one(&mut self) {
-        let token = self.unsynced.pop_front().expect("a write");
+    fn complete_one_write(&mut self) {
+        let token = self.unsynced.pop_front().expect("no write is pending");
         self.step(Input::Written(token));
     }
 }
 
 #[test]
-fn a_late_sync_for_a_copy_that_was_let_go_confirms_nothing_of_the_next_one() {
+fn late_sync_of_a_deleted_copy_does_not_confirm_its_successor() {
     let mut storage = Storage::new();
-    storage.learn(1, vec![node(ME)]);
-    (1..=3).for_each(|round| storage.compare(1, round));
-    // It is let go while its disk lags, and taken up again.
-    storage.learn(2, Vec::new());
-    storage.learn(3, vec![node(ME)]);
-    storage.compare(3, 100);
+    storage.receive_record(1, vec![node(ME)]);
+    (1..=3).for_each(|round| storage.receive_digests(1, round));
+    // The copy is deleted while its disk lags, and created again.
+    storage.receive_record(2, Vec::new());
+    storage.receive_record(3, vec![node(ME)]);
+    storage.receive_digests(3, 100);
     assert_eq!(storage.unsynced.len(), 5, "three comparisons, a deletion, a comparison");
     for _ in 0..4 {
-        storage.sync_one();
-        assert!(!storage.says_in_step(100), "its copy is not on disk yet");
+        storage.complete_one_write();
+        assert!(!storage.confirms_in_sync(100), "its copy is not on disk yet");
     }
-    storage.sync_one();
-    assert!(storage.says_in_step(100));
+    storage.complete_one_write();
+    assert!(storage.confirms_in_sync(100));
 }
--- a/programs/topazyard-storage/tests/replica_reads.rs
+++ b/programs/topazyard-storage/tests/replica_reads.rs
@@ -1,5 +1,5 @@
-//! Reads asked aside while the control primary is silent: a copy answers only once a control backup has
-//! confirmed its record after the read came, and every backup has synced what the copy holds.
+//! Replica reads while the control primary is silent: a copy answers only once a control backup has
+//! confirmed its record after the read arrived, and every backup has synced what the copy holds.
 
 use topazyard_storage::StorageMachine;
 use topazyard_types::{
@@ -39,7 +39,7 @@
     Member { id: NodeId(id), name: None, address: address(id), http: None, role, zone }
 }
 
-/// A record with the primary and so many backups.
+/// A record with the primary and the given number of backups.
 fn record(backups: u64) -> ShardRecord {
     ShardRecord {
         epoch: Epoch(1),
@@ -51,7 +51,7 @@
     }
 }
 
-/// One storage node whose disk syncs at once, and what it sent last.
+/// A storage node whose disk syncs at once, and what it sent last.
 struct Storage {
     machine: StorageMachine,
     now: MonotonicMs,
@@ -87,7 +87,7 @@
         }
     }
 
-    fn hear(&mut self, from: u64, message: Message) {
+    fn receive(&mut self, from: u64, message: Message) {
         let (sender, from) = (NodeId(from), address(from));
         self.step(Input::Frame { sender, from, message });
     }
@@ -99,54 +99,58 @@
         }
     }
 
-    /// Learns of the control node, and of the record by the feed.
-    fn learn(&mut self, record: &ShardRecord) {
-        self.learn_of(SHARD, record);
+    /// Receives the control node's membership, and the record from the feed.
+    fn receive_record(&mut self, record: &ShardRecord) {
+        self.receive_record_of(SHARD, record);
     }
 
-    fn learn_of(&mut self, shard: ShardId, record: &ShardRecord) {
+    fn receive_record_of(&mut self, shard: ShardId, record: &ShardRecord) {
         let member = member(CONTROL, MemberRole::Control);
         let incarnation = topazyard_types::Incarnation(0);
         let updates = vec![MemberUpdate { member, incarnation, status: MemberStatus::Alive }];
-        self.hear(CONTROL, Message::Membership(MembershipMessage::MemberList { updates }));
+        self.receive(CONTROL, Message::Membership(MembershipMessage::MemberList { updates }));
         self.run(TICK.0);
-        let ask = self.sent.iter().rev().find_map(|(_, message)| match message {
+        let feed_nonce = self.sent.iter().rev().find_map(|(_, message)| match message {
             Message::Feed(FeedMessage::Request { nonce, .. }) => Some(*nonce),
             _ => None,
         });
         let row = RowChange::put(topazyard_wire::state::shard_key(shard), record);
-        let content = UpdateContent::Snapshot(vec![(row.key, row.value.expect("a value"))]);
+        let content =
+            UpdateContent::Snapshot(vec![(row.key, row.value.expect("the row has a value"))]);
         let position = LogPosition { epoch: Epoch(1), sequence: Sequence(record.epoch.0) };
-        let nonce = ask.expect("it asks the feed");
-        self.hear(CONTROL, Message::Feed(FeedMessage::Update { nonce, position, content }));
+        let nonce = feed_nonce.expect("no feed request was sent");
+        self.receive(CONTROL, Message::Feed(FeedMessage::Update { nonce, position, content }));
     }
 
-    /// Lets time pass with a control node that returns each asking of the feed.
+    /// Lets time pass with a control node that answers each feed request.
     fn run_with_control(&mut self, for_ms: u64) {
         for _ in 0..for_ms / TICK.0 {
             self.sent.clear();
             self.run(TICK.0);
-            let asked = self.sent.iter().find_map(|(_, message)| match message {
+            let request = self.sent.iter().find_map(|(_, message)| match message {
                 Message::Feed(FeedMessage::Request { nonce, after, .. }) => Some((*nonce, *after)),
                 _ => None,
             });
-            if let Some((nonce, position)) = asked {
+            if let Some((nonce, position)) = request {
                 let content = UpdateContent::Changes(Vec::new());
-                self.hear(CONTROL, Message::Feed(FeedMessage::Update { nonce, position, content }));
+                self.receive(
+                    CONTROL,
+                    Message::Feed(FeedMessage::Update { nonce, position, content }),
+                );
             }
         }
     }
 
-    fn hear_primary(&mut self, body: ReplicaBody) {
+    fn receive_from_primary(&mut self, body: ReplicaBody) {
         let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: Epoch(1), body };
-        self.hear(PRIMARY, Message::Replica(message));
+        self.receive(PRIMARY, Message::Replica(message));
     }
 
-    /// Is brought in step with an empty primary, then takes a batch that no one confirmed yet.
-    fn take_unconfirmed_batch(&mut self) {
+    /// Is synchronized with an empty primary, then receives a batch that is not confirmed yet.
+    fn receive_uncommitted_batch(&mut self) {
         let empty = topazyard_replication::Copy::default();
         let digests: Vec<Digest> = empty.digests().to_vec();
-        self.hear_primary(ReplicaBody::Digests {
+        self.receive_from_primary(ReplicaBody::Digests {
             round: 1,
             sequence: Sequence(0),
             digests,
@@ -159,35 +163,35 @@
             self.now,
         );
         let changes = batches.submit(BATCH, &[]);
-        self.hear_primary(ReplicaBody::Append { round: 2, sequence: Sequence(1), changes });
+        self.receive_from_primary(ReplicaBody::Append { round: 2, sequence: Sequence(1), changes });
     }
 
-    fn ask_aside(&mut self) {
+    fn send_replica_read(&mut self) {
         let body = BatchBody::ReplicaRead(BatchCall::Read(BATCH));
         let message = BatchMessage { shard: SHARD, epoch: Epoch(1), call: 7, body };
-        self.hear(RELAY, Message::Batch(message));
+        self.receive(RELAY, Message::Batch(message));
     }
 
-    /// The last question to control.
-    fn asked(&self) -> u64 {
-        let asked = self.sent.iter().rev().find_map(|(to, message)| match message {
+    /// The nonce of the last query to control.
+    fn last_query_nonce(&self) -> u64 {
+        let query = self.sent.iter().rev().find_map(|(to, message)| match message {
             Message::Confirm(ConfirmMessage::RequestRecords { nonce }) => Some((*to, *nonce)),
             _ => None,
         });
-        let (to, nonce) = asked.expect("it asks control");
+        let (to, nonce) = query.expect("no query was sent");
         assert_eq!(to, address(CONTROL));
         nonce
     }
 
-    fn hear_records(&mut self, nonce: u64, epoch: u64) {
+    fn receive_records(&mut self, nonce: u64, epoch: u64) {
         let epochs = vec![(SHARD, Epoch(epoch))];
-        self.hear(CONTROL, Message::Confirm(ConfirmMessage::Records { nonce, epochs }));
+        self.receive(CONTROL, Message::Confirm(ConfirmMessage::Records { nonce, epochs }));
     }
 
-    fn hear_synced(&mut self, from: u64, epoch: u64, sequence: u64) {
+    fn receive_synced(&mut self, from: u64, epoch: u64, sequence: u64) {
         let (epoch, sequence) = (Epoch(epoch), Sequence(sequence));
         let synced = ConfirmMessage::Synced { shard: SHARD, epoch, sequence };
-        self.hear(from, Message::Confirm(synced));
+        self.receive(from, Message::Confirm(synced));
     }
 
     fn has_answered(&self) -> bool {
@@ -203,107 +207,108 @@
 
 fn backup_of(backups: u64) -> Storage {
     let mut storage = Storage::start(BACKUP, Default::default());
-    storage.learn(&record(backups));
-    storage.take_unconfirmed_batch();
-    storage.hear_primary(ReplicaBody::Synced { round: 2 });
+    storage.receive_record(&record(backups));
+    storage.receive_uncommitted_batch();
+    storage.receive_from_primary(ReplicaBody::Synced { round: 2 });
     storage
 }
 
 #[test]
-fn a_read_is_answered_once_a_control_backup_has_confirmed_the_record() {
+fn read_is_answered_once_a_control_backup_confirms_the_record() {
     let mut storage = backup_of(1);
-    storage.ask_aside();
+    storage.send_replica_read();
     storage.run(100);
-    assert!(!storage.has_answered(), "nobody has confirmed the record");
-    storage.hear_records(storage.asked(), 1);
+    assert!(!storage.has_answered(), "the record is not confirmed yet");
+    storage.receive_records(storage.last_query_nonce(), 1);
     assert!(storage.has_answered());
 }
 
 #[test]
-fn a_confirmation_that_was_asked_for_before_the_read_came_does_not_count() {
+fn confirmation_requested_before_the_read_does_not_count() {
     let mut storage = backup_of(1);
-    storage.ask_aside();
+    storage.send_replica_read();
     storage.run(100);
-    let before = storage.asked();
-    storage.hear_records(before, 1);
+    let nonce = storage.last_query_nonce();
+    storage.receive_records(nonce, 1);
     storage.sent.clear();
     storage.run(100);
-    storage.ask_aside();
-    storage.hear_records(before, 1);
+    storage.send_replica_read();
+    storage.receive_records(nonce, 1);
     assert!(!storage.has_answered(), "the record may have changed in between");
     storage.run(100);
-    storage.hear_records(storage.asked(), 1);
+    storage.receive_records(storage.last_query_nonce(), 1);
     assert!(storage.has_answered());
 }
 
 #[test]
-fn a_copy_of_an_older_record_answers_nothing() {
+fn copy_of_an_older_record_answers_no_read() {
     let mut storage = backup_of(1);
-    storage.ask_aside();
+    storage.send_replica_read();
     storage.run(100);
-    storage.hear_records(storage.asked(), 2);
+    storage.receive_records(storage.last_query_nonce(), 2);
     assert!(!storage.has_answered());
 }
 
 #[test]
-fn of_two_backups_one_shows_its_last_batch_once_the_other_has_synced_it() {
+fn backup_serves_its_last_batch_once_the_other_backup_has_synced_it() {
     let mut storage = backup_of(2);
-    storage.ask_aside();
+    storage.send_replica_read();
     storage.run(100);
-    storage.hear_records(storage.asked(), 1);
+    storage.receive_records(storage.last_query_nonce(), 1);
     assert!(!storage.has_answered(), "the batch may be on this copy alone");
-    storage.hear_synced(OTHER_BACKUP, 1, 0);
-    storage.hear_synced(OTHER_BACKUP, 2, 1);
-    storage.hear_synced(RELAY, 1, 1);
-    assert!(!storage.has_answered(), "the other backup has not said so");
-    storage.hear_synced(OTHER_BACKUP, 1, 1);
+    storage.receive_synced(OTHER_BACKUP, 1, 0);
+    storage.receive_synced(OTHER_BACKUP, 2, 1);
+    storage.receive_synced(RELAY, 1, 1);
+    assert!(!storage.has_answered(), "the other backup has not reported its sync");
+    storage.receive_synced(OTHER_BACKUP, 1, 1);
     assert!(storage.has_answered());
 }
 
 #[test]
-fn a_backup_says_what_it_has_synced_in_the_epoch_asked_about() {
+fn backup_reports_synced_changes_of_the_requested_epoch() {
     let mut storage = backup_of(2);
-    let ask = |epoch, sequence| {
+    let query = |epoch, sequence| {
         let (epoch, sequence) = (Epoch(epoch), Sequence(sequence));
         Message::Confirm(ConfirmMessage::CheckSynced { shard: SHARD, epoch, sequence })
     };
-    storage.hear(OTHER_BACKUP, ask(1, 2));
-    storage.hear(OTHER_BACKUP, ask(2, 1));
-    let said = |storage: &Storage| {
-        let is_said = |(_, message): &&(_, Message)| {
+    storage.receive(OTHER_BACKUP, query(1, 2));
+    storage.receive(OTHER_BACKUP, query(2, 1));
+    let synced_reports = |storage: &Storage| {
+        let is_synced_report = |(_, message): &&(_, Message)| {
             matches!(message, Message::Confirm(ConfirmMessage::Synced { .. }))
         };
-        storage.sent.iter().filter(is_said).count()
+        storage.sent.iter().filter(is_synced_report).count()
     };
-    assert_eq!(said(&storage), 0);
-    storage.hear(OTHER_BACKUP, ask(1, 1));
-    assert_eq!(said(&storage), 1);
+    assert_eq!(synced_reports(&storage), 0);
+    storage.receive(OTHER_BACKUP, query(1, 1));
+    assert_eq!(synced_reports(&storage), 1);
 }
 
 #[test]
-fn a_restarted_primary_hands_over_and_compares_its_copy_with_nobody() {
-    // What its backup has shown meanwhile may not have been synced here: were the backup brought in
-    // step with this copy, it would lose that.
-    let mut kept = topazyard_replication::Copy::default();
-    let rows = kept.apply(Epoch(1), Sequence(1), Vec::new());
+fn restarted_primary_hands_over_without_synchronizing_its_backups() {
+    // What its backup has served in the meantime may not have been synced here: synchronizing the
+    // backup with this copy would lose it.
+    let mut stored = topazyard_replication::Copy::default();
+    let rows = stored.apply(Epoch(1), Sequence(1), Vec::new());
     let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
     let loaded = topazyard_wire::rows::Loaded::from([(Group::Shard(SHARD), rows)]);
     let mut storage = Storage::start(PRIMARY, loaded);
-    storage.learn(&record(1));
+    storage.receive_record(&record(1));
     storage.run(200);
-    let wishes = storage.sent.iter().any(|(_, message)| match message {
-        Message::ShardChangeRequest(wish) => wish.change == ShardChange::HandOver,
+    let requests_handover = storage.sent.iter().any(|(_, message)| match message {
+        Message::ShardChangeRequest(request) => request.change == ShardChange::HandOver,
         _ => false,
     });
-    assert!(wishes, "its backup should lead");
-    let compares = storage.sent.iter().any(|(_, message)| matches!(message, Message::Replica(_)));
-    assert!(!compares, "its backup must keep what it holds");
+    assert!(requests_handover, "its backup should become primary");
+    let sends_replica_messages =
+        storage.sent.iter().any(|(_, message)| matches!(message, Message::Replica(_)));
+    assert!(!sends_replica_messages, "its backup must keep what it holds");
 }
 
 #[test]
-fn a_primary_that_has_just_started_waits_for_a_backup_that_may_be_starting_too() {
+fn starting_primary_waits_longer_for_a_silent_backup() {
     let mut storage = Storage::start(PRIMARY, Default::default());
-    storage.learn_of(ShardId::COUNTER, &record(1));
+    storage.receive_record_of(ShardId::COUNTER, &record(1));
     let drops = |storage: &Storage| {
         storage.sent.iter().any(|(_, message)| match message {
             Message::ShardChangeRequest(wish) => {
@@ -314,75 +319,79 @@
     };
     for _ in 0..11 {
         storage.run_with_control(100);
-        assert!(!drops(&storage), "it may be heard soon");
+        assert!(!drops(&storage), "the backup may still be starting");
     }
     storage.run_with_control(200);
-    assert!(drops(&storage), "it is lost");
+    assert!(drops(&storage), "the backup is lost");
 }
 
 #[test]
-fn a_backup_shows_its_last_batch_only_once_it_knows_that_its_primary_has_synced_it() {
-    // The primary may hold it in memory alone. Were this disk lost while the primary loses its power,
-    // nobody would have what was shown.
+fn backup_serves_its_last_batch_once_the_primary_has_synced_it() {
+    // The primary may hold it only in memory. If this disk were lost and the primary lost power,
+    // nobody would have what was served.
     for backups in 1..=2 {
         let mut storage = Storage::start(BACKUP, Default::default());
-        storage.learn(&record(backups));
-        storage.take_unconfirmed_batch();
-        storage.ask_aside();
+        storage.receive_record(&record(backups));
+        storage.receive_uncommitted_batch();
+        storage.send_replica_read();
         storage.run(100);
-        storage.hear_records(storage.asked(), 1);
-        storage.hear_synced(OTHER_BACKUP, 1, 1);
-        assert!(!storage.has_answered(), "the primary has not said so: {backups} backups");
-        storage.hear_primary(ReplicaBody::Synced { round: 1 });
-        assert!(!storage.has_answered(), "that was an earlier round");
-        storage.hear_primary(ReplicaBody::Synced { round: 2 });
+        storage.receive_records(storage.last_query_nonce(), 1);
+        storage.receive_synced(OTHER_BACKUP, 1, 1);
+        assert!(
+            !storage.has_answered(),
+            "the primary has not reported its sync: {backups} backups"
+        );
+        storage.receive_from_primary(ReplicaBody::Synced { round: 1 });
+        assert!(!storage.has_answered(), "the report is of an earlier round");
+        storage.receive_from_primary(ReplicaBody::Synced { round: 2 });
         storage.run(100);
-        storage.hear_records(storage.asked(), 1);
+        storage.receive_records(storage.last_query_nonce(), 1);
         assert!(storage.has_answered(), "{backups} backups");
     }
 }
 
 #[test]
-fn a_lost_word_of_the_primarys_sync_is_made_up_for_by_its_next_round() {
-    // The word is sent once. Were it waited for, a backup would show nothing aside for ever.
+fn next_round_replaces_a_lost_sync_report_of_the_primary() {
+    // The report is sent once. If it were required, a backup that missed it would never answer
+    // replica reads again.
     let mut storage = Storage::start(BACKUP, Default::default());
-    storage.learn(&record(1));
-    storage.take_unconfirmed_batch();
-    storage.hear_primary(ReplicaBody::Append {
+    storage.receive_record(&record(1));
+    storage.receive_uncommitted_batch();
+    storage.receive_from_primary(ReplicaBody::Append {
         round: 3,
         sequence: Sequence(1),
         changes: Vec::new(),
     });
-    storage.ask_aside();
+    storage.send_replica_read();
     storage.run(100);
-    storage.hear_records(storage.asked(), 1);
+    storage.receive_records(storage.last_query_nonce(), 1);
     assert!(storage.has_answered(), "a round is begun once the one before is committed");
 }
 
 #[test]
-fn a_word_of_sync_from_another_than_the_primary_or_of_another_epoch_shows_nothing() {
+fn sync_report_of_another_sender_or_epoch_is_ignored() {
     for (from, epoch) in [(OTHER_BACKUP, 1), (PRIMARY, 0), (PRIMARY, 2)] {
         let mut storage = Storage::start(BACKUP, Default::default());
-        storage.learn(&record(1));
-        storage.take_unconfirmed_batch();
+        storage.receive_record(&record(1));
+        storage.receive_uncommitted_batch();
         let body = ReplicaBody::Synced { round: 2 };
         let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: Epoch(epoch), body };
-        storage.hear(from, Message::Replica(message));
-        storage.ask_aside();
+        storage.receive(from, Message::Replica(message));
+        storage.send_replica_read();
         storage.run(100);
-        storage.hear_records(storage.asked(), 1);
+        storage.receive_records(storage.last_query_nonce(), 1);
         assert!(!storage.has_answered(), "from {from} in epoch {epoch}");
     }
 }
 
 #[test]
-fn a_word_of_sync_that_comes_twice_or_late_puts_nothing_off_for_good() {
+fn repeated_or_late_sync_report_delays_no_read() {
     let mut storage = backup_of(1);
-    storage.hear_primary(ReplicaBody::Synced { round: 2 });
-    storage.hear_primary(ReplicaBody::Synced { round: 1 });
-    storage.ask_aside();
-    storage.hear_primary(ReplicaBody::Synced { round: 2 });
+    storage.receive_from_primary(ReplicaBody::Synced { round: 2 });
+    storage.receive_from_primary(ReplicaBody::Synced { round: 1 });
+    storage.send_replica_read();
+    storage.receive_from_primary(ReplicaBody::Synced { round: 2 });
     storage.run(100);
-    storage.hear_records(storage.asked(), 1);
+    storage.receive_records(storage.last_query_nonce(), 1);
     assert!(storage.has_answered());
 }
--- a/programs/topazyard-storage/tests/routed_batches.rs
+++ b/programs/topazyard-storage/tests/routed_batches.rs
@@ -1,5 +1,5 @@
-//! Batches of routed items: the ceiling is exact, results stay as they were listed, and an item
-//! is given up only for a reason.
+//! Batches of routed items: the ceiling is exact, recorded results never change, and an item is
+//! abandoned only for a reason.
 
 use topazyard_replication::Copy;
 use topazyard_storage::batches::{Batches, ITEM_LEASE, routed};
@@ -17,7 +17,7 @@
 const A: NodeId = NodeId(11);
 const B: NodeId = NodeId(13);
 const HOST: &str = "a.example";
-const ROOM: u64 = 1 << 20;
+const CAPACITY_BYTES: u64 = 1 << 20;
 
 fn at(ms: u64) -> MonotonicMs {
     MonotonicMs(ms)
@@ -70,49 +70,49 @@
         Batches::from_copy(shard, copy, BootId(boot_id << 40), at(now_ms))
     }
 
-    /// Another node goes on from what was committed; its clock has a beginning of its own.
-    fn hand_over(&mut self, boot_id: u64, now_ms: u64) {
+    /// Another node takes over from the committed copy; its clock has another origin.
+    fn fail_over(&mut self, boot_id: u64, now_ms: u64) {
         self.copy = Copy::from_rows(self.copy.rows().clone());
         self.batches = Self::of(&self.copy, boot_id, now_ms);
     }
 
-    fn keep(&mut self, changes: Vec<RowChange>) {
+    fn commit(&mut self, changes: Vec<RowChange>) {
         let sequence = Sequence(self.copy.position().sequence.0 + 1);
         self.copy.apply(Epoch(1), sequence, changes);
     }
 
     fn submit(&mut self, routed: &RoutedBatch, now_ms: u64) -> bool {
-        match self.batches.routed.submit(routed, ROOM, at(now_ms)) {
+        match self.batches.routed.submit(routed, CAPACITY_BYTES, at(now_ms)) {
             routed::SubmitOutcome::Accepted(changes) => {
-                self.keep(changes);
+                self.commit(changes);
                 true
             }
             routed::SubmitOutcome::CeilingReached | routed::SubmitOutcome::OverCapacity => false,
         }
     }
 
-    fn lease(&mut self, relay: NodeId, most: u32, now_ms: u64) -> Vec<LeasedItem> {
+    fn lease(&mut self, relay: NodeId, max_items: u32, now_ms: u64) -> Vec<LeasedItem> {
         let routes: [RouteName; 1] = ["r".into()];
-        self.batches.routed.lease(relay, most, &routes, &self.copy, at(now_ms))
+        self.batches.routed.lease(relay, max_items, &routes, &self.copy, at(now_ms))
     }
 
     fn lease_one(&mut self, relay: NodeId, now_ms: u64) -> Run {
-        self.lease(relay, 1, now_ms).first().expect("an item waits").run
+        self.lease(relay, 1, now_ms).first().expect("no item is waiting").run
     }
 
     fn finish(&mut self, relay: NodeId, run: Run, end: RunEnd, now_ms: u64) {
         let changes = self.batches.routed.finish(relay, run, end, at(now_ms));
-        self.keep(changes);
+        self.commit(changes);
     }
 
     fn tick(&mut self, now_ms: u64) {
         let changes = self.batches.routed.tick(at(now_ms));
-        self.keep(changes);
+        self.commit(changes);
     }
 
     fn results(&self, id: &str) -> Vec<ItemResult> {
         let found = routed::results(&self.copy, BatchId::of_host(HOST, id), 0);
-        found.expect("it is known").1
+        found.expect("the batch exists").1
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_ceiling_is_exact_and_results_make_room() {
+fn ceiling_is_exact_and_results_free_capacity() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 6), 0));
     assert!(!shard.submit(&routed_batch("2", 5), 0), "110 of 100 tokens");
@@ -134,49 +134,49 @@
 }
 
 #[test]
-fn a_submission_not_committed_yet_counts_already() {
+fn uncommitted_submission_counts_against_the_ceiling() {
     let mut shard = Shard::new();
-    let taken = shard.batches.routed.submit(&routed_batch("1", 10), ROOM, at(0));
+    let taken = shard.batches.routed.submit(&routed_batch("1", 10), CAPACITY_BYTES, at(0));
     assert!(matches!(taken, routed::SubmitOutcome::Accepted(_)));
     assert!(!shard.submit(&routed_batch("2", 1), 0));
-    assert!(shard.lease(A, 9, 1).is_empty(), "it could still be lost");
+    assert!(shard.lease(A, 9, 1).is_empty(), "the submission is not committed");
 }
 
 #[test]
-fn a_successor_counts_what_its_predecessor_had_accepted() {
+fn new_primary_counts_accepted_batches() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 9), 0));
     let run = shard.lease_one(A, 1);
     shard.finish(A, run, done("x"), 2);
-    shard.hand_over(7, 500_000);
+    shard.fail_over(7, 500_000);
     assert_eq!(shard.batches.routed.waiting_cost_of(&"r".into()), Tokens(80));
     assert!(!shard.submit(&routed_batch("2", 3), 500_001));
     assert!(shard.submit(&routed_batch("2", 2), 500_001));
 }
 
 #[test]
-fn the_same_batch_is_taken_once() {
+fn repeated_submission_is_accepted_once() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 6), 0));
     assert!(
         shard.submit(&routed_batch("1", 6), 1),
-        "it is accepted again, above the ceiling or not"
+        "a repeated batch is accepted even above the ceiling"
     );
     assert_eq!(shard.batches.routed.waiting_cost_of(&"r".into()), Tokens(60));
-    shard.hand_over(7, 10);
+    shard.fail_over(7, 10);
     assert!(shard.submit(&routed_batch("1", 6), 11));
     assert_eq!(shard.lease(A, 50, 12).len(), 6);
 }
 
 #[test]
-fn a_ceiling_of_nothing_is_none() {
+fn ceiling_of_zero_is_unlimited() {
     let mut shard = Shard::new();
     let open = RoutedBatch { ceiling: Tokens(0), ..routed_batch("1", 100) };
     assert!(shard.submit(&open, 0));
 }
 
 #[test]
-fn what_has_no_room_is_refused() {
+fn submission_above_capacity_is_refused() {
     let mut shard = Shard::new();
     let taken = shard.batches.routed.submit(&routed_batch("1", 6), 1_000, at(0));
     assert_eq!(taken, routed::SubmitOutcome::OverCapacity);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn order_and_content_stay_over_late_words_and_successors() {
+fn results_keep_order_and_content_after_late_reports_and_failover() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 3), 0));
     let runs: Vec<Run> = shard.lease(A, 3, 1).iter().map(|leased| leased.run).collect();
@@ -192,9 +192,9 @@
     shard.finish(A, runs[0], done("first"), 3);
     shard.finish(A, runs[2], done("other"), 4);
     let before = shard.results("1");
-    let named: Vec<_> = before.iter().map(|r| (r.position, r.id.as_deref())).collect();
-    assert_eq!(named, [(1, Some("1-2")), (2, Some("1-0"))]);
-    shard.hand_over(7, 10);
+    let positions_and_ids: Vec<_> = before.iter().map(|r| (r.position, r.id.as_deref())).collect();
+    assert_eq!(positions_and_ids, [(1, Some("1-2")), (2, Some("1-0"))]);
+    shard.fail_over(7, 10);
     shard.finish(A, runs[2], RunEnd::Impossible, 11);
     shard.finish(A, runs[1], done("second"), 12);
     assert_eq!(shard.results("1")[..2], before);
@@ -202,14 +202,14 @@
 }
 
 #[test]
-fn a_lapsed_lease_runs_elsewhere_and_the_first_result_counts() {
+fn item_runs_again_after_lease_expiry_and_first_result_counts() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let old = shard.lease_one(A, 0);
     shard.tick(ITEM_LEASE.0);
     let new = shard.lease_one(B, ITEM_LEASE.0);
     shard.finish(A, old, RunEnd::Failed, ITEM_LEASE.0 + 1);
-    assert!(shard.lease(A, 1, ITEM_LEASE.0 + 1).is_empty(), "it runs at the other");
+    assert!(shard.lease(A, 1, ITEM_LEASE.0 + 1).is_empty(), "it runs at the other relay");
     shard.finish(A, old, done("a"), ITEM_LEASE.0 + 2);
     shard.finish(B, new, done("b"), ITEM_LEASE.0 + 3);
     assert_eq!(shard.results("1").len(), 1);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_run_that_is_spoken_of_keeps_its_lease() {
+fn reported_run_keeps_its_lease() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let run = shard.lease_one(A, 0);
@@ -227,12 +227,12 @@
 }
 
 #[test]
-fn an_item_is_given_up_after_the_failures_that_its_route_allows() {
+fn item_is_abandoned_after_the_allowed_failures() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let first = shard.lease_one(A, 0);
     shard.finish(A, first, RunEnd::Failed, 1);
-    // Told again: it must not count twice.
+    // A repeated report must not count twice.
     shard.finish(A, first, RunEnd::Failed, 2);
     for end in [RunEnd::NotRun, RunEnd::Unknown, RunEnd::Interrupted(Progress::default())] {
         let run = shard.lease_one(A, 3);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn an_impossible_item_is_given_up_at_once() {
+fn impossible_item_is_abandoned_at_once() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 2), 0));
     let run = shard.lease_one(A, 0);
@@ -255,13 +255,13 @@
 }
 
 #[test]
-fn what_waited_too_long_is_given_up_and_never_sooner() {
+fn items_are_abandoned_exactly_at_retention() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 2), 5));
     shard.tick(40_004);
     assert!(shard.results("1").is_empty());
-    // A successor goes on from the age that was last written.
-    shard.hand_over(7, 100);
+    // A new primary counts on from the age that was last written.
+    shard.fail_over(7, 100);
     shard.tick(40_099);
     assert!(shard.results("1").is_empty());
     shard.tick(40_100);
@@ -270,15 +270,15 @@
 }
 
 #[test]
-fn an_ended_batch_leases_nothing_and_keeps_what_was_listed() {
+fn ended_batch_leases_nothing_and_keeps_its_results() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 3), 0));
     let runs: Vec<Run> = shard.lease(A, 2, 1).iter().map(|leased| leased.run).collect();
     shard.finish(A, runs[0], done("x"), 2);
     let batch = BatchId::of_host(HOST, "1");
     for now_ms in [3, 4] {
-        let changes = shard.batches.end_any(batch, at(now_ms)).expect("it is known");
-        shard.keep(changes);
+        let changes = shard.batches.end_any(batch, at(now_ms)).expect("the batch exists");
+        shard.commit(changes);
     }
     assert!(shard.batches.end_any(BatchId::of_host(HOST, "2"), at(5)).is_none());
     shard.finish(A, runs[1], done("late"), 6);
@@ -287,13 +287,13 @@
     assert_eq!(shard.results("1").len(), 1);
     assert_eq!(shard.batches.routed.waiting_cost(), Tokens(0));
     assert!(routed::body(&shard.copy, batch, "1-2").is_none());
-    shard.hand_over(7, 10);
+    shard.fail_over(7, 10);
     assert!(shard.lease(B, 9, 11).is_empty());
     assert_eq!(routed::results(&shard.copy, batch, 0).map(|(total, _)| total), Some(3));
 }
 
 #[test]
-fn what_is_due_sooner_goes_first_and_what_is_late_goes_last() {
+fn earlier_due_items_go_first_and_late_items_last() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     assert!(shard.submit(&routed_batch("2", 1), 2_000));
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_broken_run_is_taken_up_where_it_was_furthest() {
+fn interrupted_run_resumes_from_the_furthest_progress() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let far = Progress { last_event: Some(5), text: "to five".to_owned() };
@@ -317,34 +317,34 @@
 }
 
 #[test]
-fn a_body_is_given_until_its_item_has_a_result() {
+fn body_is_available_until_its_item_has_a_result() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 2), 0));
     let batch = BatchId::of_host(HOST, "1");
     let body = |shard: &Shard| routed::body(&shard.copy, batch, "1-1");
     assert_eq!(body(&shard).as_deref(), Some(&b"body of 1-1"[..]));
     let leased = shard.lease(A, 2, 1);
-    let run = leased.iter().find(|l| l.run.item == ItemNumber(1)).expect("it waits").run;
+    let run = leased.iter().find(|l| l.run.item == ItemNumber(1)).expect("the item is leased").run;
     shard.finish(A, run, done("x"), 2);
     assert!(body(&shard).is_none());
 }
 
 #[test]
-fn a_batch_is_kept_while_it_is_open_and_leaves_no_row() {
+fn open_batch_is_kept_and_a_deleted_batch_leaves_no_rows() {
     let mut shard = Shard::new();
-    let keep = DurationMs(1_000);
+    let retention = DurationMs(1_000);
     assert!(shard.submit(&routed_batch("1", 1), 0));
     let run = shard.lease_one(A, 0);
-    assert!(shard.batches.routed.remove_expired(keep, at(9_000)).is_empty());
+    assert!(shard.batches.routed.remove_expired(retention, at(9_000)).is_empty());
     shard.finish(A, run, done("x"), 9_001);
-    let changes = shard.batches.routed.remove_expired(keep, at(9_002));
-    shard.keep(changes);
+    let changes = shard.batches.routed.remove_expired(retention, at(9_002));
+    shard.commit(changes);
     assert!(shard.copy.rows().is_empty());
     assert_eq!(shard.batches.routed.bytes(), 0);
 }
 
 #[test]
-fn a_page_is_bounded_and_holds_one_result_at_least() {
+fn page_is_bounded_and_has_at_least_one_result() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("1", 3), 0));
     let runs: Vec<Run> = shard.lease(A, 3, 1).iter().map(|leased| leased.run).collect();
@@ -353,14 +353,14 @@
     }
     let batch = BatchId::of_host(HOST, "1");
     for after in 0..3 {
-        let (total, page) = routed::results(&shard.copy, batch, after).expect("it is known");
+        let (total, page) = routed::results(&shard.copy, batch, after).expect("the batch exists");
         assert_eq!((total, page.len(), page[0].position), (3, 1, after + 1));
     }
     assert_eq!(routed::results(&shard.copy, batch, 3), Some((3, Vec::new())));
 }
 
 #[test]
-fn kept_batches_and_their_open_items_are_counted() {
+fn batches_and_open_items_are_counted() {
     let mut shard = Shard::new();
     let counts = |shard: &Shard| (shard.batches.routed.count(), shard.batches.routed.open_items());
     assert_eq!(counts(&shard), (0, 0));
@@ -370,26 +370,26 @@
     let run = shard.lease_one(A, 1);
     shard.finish(A, run, done("x"), 2);
     assert_eq!(counts(&shard), (2, 4));
-    shard.hand_over(4, 3);
+    shard.fail_over(4, 3);
     assert_eq!(counts(&shard), (2, 4));
 }
 
-// Else nobody hears that a result or an item is missing before its client does.
+// Guards against a missing result or item being noticed by its client first.
 #[test]
-fn a_batch_that_lacks_a_result_or_an_item_is_a_violation() {
+fn batch_without_a_result_or_item_row_violates_the_invariant() {
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("a", 2), 0));
     let run = shard.lease_one(A, 0);
     shard.finish(A, run, RunEnd::StreamComplete { text: "out".to_owned() }, 10);
-    shard.hand_over(4, 20);
+    shard.fail_over(4, 20);
     assert_eq!(violations(Invariant::BatchIsWhole), 0);
-    for (seen, kind) in [(1, "result/"), (2, "work/")] {
+    for (expected, prefix) in [(1, "result/"), (2, "work/")] {
         let lost: Vec<String> =
-            shard.copy.with_prefix(kind).map(|(key, _)| key.to_owned()).collect();
+            shard.copy.with_prefix(prefix).map(|(key, _)| key.to_owned()).collect();
         assert_eq!(lost.len(), 1);
         let mut rows = shard.copy.rows().clone();
         rows.retain(|key, _| !lost.contains(key));
         Shard::of(&Copy::from_rows(rows), 5, 30);
-        assert_eq!(violations(Invariant::BatchIsWhole), seen, "{kind}");
+        assert_eq!(violations(Invariant::BatchIsWhole), expected, "{prefix}");
     }
 }
--- a/programs/topazyard-storage/tests/storage_node/mod.rs
+++ b/programs/topazyard-storage/tests/storage_node/mod.rs
@@ -1,4 +1,4 @@
-//! A storage node's machine, and what control tells it, as several tests play them.
+//! A storage node's machine and the updates of control, shared by several tests.
 
 use topazyard_storage::StorageMachine;
 use topazyard_types::{Epoch, LogPosition, NodeId, Sequence, ShardId};
@@ -8,16 +8,16 @@
 use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::message::membership::{Member, MemberRole};
 
-/// The control node that tells of records.
+/// The control node that publishes the records.
 pub const CONTROL: u64 = 9;
 
-/// A node at an address of its own.
+/// A node with an address of its own.
 pub fn node(id: u64) -> CoreNode {
     CoreNode { id: NodeId(id), address: ([127, 0, 0, 1], id as u16).into() }
 }
 
 /// A storage node that starts with an empty disk.
-pub fn blank(id: u64) -> StorageMachine {
+pub fn storage_node(id: u64) -> StorageMachine {
     let member = Member {
         id: NodeId(id),
         name: None,
@@ -37,16 +37,16 @@
     })
 }
 
-/// Which asking of the feed was sent last.
-pub fn asked(sent: &[Message]) -> Option<u64> {
+/// The nonce of the last feed request.
+pub fn last_feed_nonce(sent: &[Message]) -> Option<u64> {
     sent.iter().rev().find_map(|message| match message {
         Message::Feed(FeedMessage::Request { nonce, .. }) => Some(*nonce),
         _ => None,
     })
 }
 
-/// Control's answer to an asking: everything, which is that record.
-pub fn news_of(nonce: u64, shard: ShardId, sequence: u64, record: &ShardRecord) -> Message {
+/// Control's response to a feed request: a snapshot with only this record.
+pub fn feed_update(nonce: u64, shard: ShardId, sequence: u64, record: &ShardRecord) -> Message {
     let key = topazyard_wire::state::shard_key(shard);
     let content = UpdateContent::Snapshot(vec![(key, topazyard_wire::rows::encode(record))]);
     let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
