--- a/programs/topazyard-control/src/machine/claim.rs
+++ b/programs/topazyard-control/src/machine/claim.rs
@@ -119,8 +119,8 @@
     /// own where that can be. Gives none where too few are heard.
     fn choose_learners(&self, claim: &Claim, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
-            let known = self.membership.remembered().find(|known| known.latest.member.id == id);
-            known.map(|known| known.latest.member.zone.clone())
+            let known = self.membership.remembered().find(|known| known.update.member.id == id);
+            known.map(|known| known.update.member.zone.clone())
         };
         let mut zones = vec![self.membership.own_zone().clone()];
         let mut others: Vec<CoreNode> = self.others_heard(now).collect();
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -83,7 +83,7 @@
     follower: FeedFollower,
     pub(crate) fleet: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
-    loaded: topazyard_wire::rows::Loaded,
+    loaded: topazyard_wire::rows::LoadedRows,
     /// Shards in which this node has stopped serving, up to the given epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
     requests_after_write: std::collections::BTreeMap<u64, ShardChangeRequest>,
