--- a/programs/topazyard-storage/src/batches/rows.rs
+++ b/programs/topazyard-storage/src/batches/rows.rs
@@ -41,7 +41,7 @@
 }
 
 /// Whether a row belongs to the batch.
-pub(crate) fn is_of(key: &str, number: u64) -> bool {
+pub(crate) fn belongs_to_batch(key: &str, number: u64) -> bool {
     key.split('/').nth(1).and_then(|hex| u64::from_str_radix(hex, 16).ok()) == Some(number)
 }
 
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -25,7 +25,7 @@
 struct HoldEntry {
     hold: Hold,
     charge: Tokens,
-    expires: MonotonicMs,
+    expires_at: MonotonicMs,
 }
 
 /// A shard's report of its waiting cost.
@@ -114,7 +114,7 @@
         // A cost above the whole limit counts as the limit, so that it runs alone rather than
         // never.
         let charge = Tokens(hold.cost.0.min(hold.terms.limit.0));
-        let expires = now.plus(hold.terms.expiry);
+        let expires_at = now.plus(hold.terms.expiry);
         self.remove(relay, hold.id);
         let usage = self.usage.entry(hold.pool.clone()).or_default();
         match hold.kind {
@@ -122,7 +122,7 @@
             HoldKind::Item => usage.add_item(hold.engines.first(), charge),
             HoldKind::Block => usage.add_block(relay, charge),
         }
-        self.holds.insert((relay, hold.id), HoldEntry { hold, charge, expires });
+        self.holds.insert((relay, hold.id), HoldEntry { hold, charge, expires_at });
     }
 
     /// Removes a hold and its charge; returns whether it existed.
@@ -170,7 +170,7 @@
             let percent = if gathering { GATHERING_PERCENT } else { 100 };
             let item_limit = hold.terms.part.0 * percent / 100;
             let items = usage.items();
-            // A single item larger than the whole item limit may run alone, for the same reason.
+            // A single item larger than the whole item limit runs alone rather than never.
             item_limit > 0 && (items == Tokens(0) || items.plus(charge).0 <= item_limit)
         };
         if !fits || !within_item_limit {
@@ -203,12 +203,12 @@
         relay: NodeId,
         up_to: HoldId,
         holds: &[Hold],
-        requested: &[HoldId],
+        pending: &[HoldId],
         now: MonotonicMs,
     ) -> Vec<RowChange> {
         self.leases.insert(relay, now.plus(RELAY_LEASE));
         let listed: std::collections::BTreeSet<HoldId> =
-            holds.iter().map(|hold| hold.id).chain(requested.iter().copied()).collect();
+            holds.iter().map(|hold| hold.id).chain(pending.iter().copied()).collect();
         let gone: Vec<HoldId> = self
             .holds
             .range((relay, HoldId(0))..=(relay, up_to))
@@ -220,7 +220,7 @@
         for hold in holds {
             // Added even above the limit: the requests of these holds already run.
             match self.holds.get_mut(&(relay, hold.id)) {
-                Some(held) => held.expires = now.plus(hold.terms.expiry),
+                Some(entry) => entry.expires_at = now.plus(hold.terms.expiry),
                 None => {
                     changes.push(rows::hold(relay, hold));
                     self.insert(relay, hold.clone(), now);
@@ -250,9 +250,9 @@
         let due: Vec<(NodeId, HoldId)> = self
             .holds
             .iter()
-            .filter(|((relay, _), held)| {
-                let lapses = held.hold.kind != HoldKind::Block && expired.contains(relay);
-                lapses || now >= held.expires
+            .filter(|((relay, _), entry)| {
+                let lease_expired = entry.hold.kind != HoldKind::Block && expired.contains(relay);
+                lease_expired || now >= entry.expires_at
             })
             .map(|(key, _)| *key)
             .collect();
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -15,7 +15,7 @@
 /// Interval of queries while reads wait.
 const QUERY_INTERVAL: DurationMs = DurationMs(50);
 /// How long a read waits for the control primary before the backups are queried.
-const PRIMARY_TIMEOUT: DurationMs = DurationMs(75);
+const CONTROL_PRIMARY_TIMEOUT: DurationMs = DurationMs(75);
 /// Maximum number of queries whose responses are still accepted.
 const MAX_PENDING_QUERIES: usize = 16;
 
@@ -53,7 +53,7 @@
         self.record_queries.last_sent = Some(now);
         let by_feed = self.follower.confirmed_at();
         let primary_timed_out =
-            |since| now.since(since) >= PRIMARY_TIMEOUT && by_feed <= Some(since);
+            |since| now.since(since) >= CONTROL_PRIMARY_TIMEOUT && by_feed <= Some(since);
         let mut reads = self.hosted.values().flat_map(|hosted| &hosted.replica_reads);
         if reads.any(|read| primary_timed_out(read.received_at)) {
             let nonce = self.record_queries.start(now);
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -454,7 +454,7 @@
                 Message::Core(_) | Message::ShardChangeRequest(_) | Message::Operate(_) => {}
             },
         }
-        self.proceed(now, &mut effects);
+        self.start_next_batches(now, &mut effects);
         self.watch_writes(&effects, now);
         effects
     }
--- a/programs/topazyard-storage/src/machine/replica_reads.rs
+++ b/programs/topazyard-storage/src/machine/replica_reads.rs
@@ -68,8 +68,8 @@
 /// Whether everything that this node's copy has of a batch is certainly committed.
 fn is_known_committed(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
     let replica = &hosted.replica;
-    let is_of_batch = |key| crate::batches::rows::is_of(key, batch.number);
-    let changed_last = || replica.copy().last_changed_keys().any(is_of_batch);
+    let is_of_batch = |key| crate::batches::rows::belongs_to_batch(key, batch.number);
+    let in_last_batch = || replica.copy().last_changed_keys().any(is_of_batch);
     let synced_by_all = || {
         let others_have = hosted.all_have_synced(other_backups(record, me));
         let primary_has = replica.primary_synced_last_batch();
@@ -80,7 +80,7 @@
         // It is on one disk more than the number of losses that the record tolerates. The primary's
         // memory alone is not enough: it may lose power while the others lose their disks.
         (Uncommitted::LastBatch, false) if synced_by_all() => true,
-        (Uncommitted::LastBatch, _) => !changed_last(),
+        (Uncommitted::LastBatch, _) => !in_last_batch(),
         (Uncommitted::UnknownBatch | Uncommitted::All, _) => false,
     }
 }
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    fn host(&mut self, shard: ShardId) -> &mut Hosted {
+    fn host_shard(&mut self, shard: ShardId) -> &mut Hosted {
         let boot_id = self.boot_id;
         let loaded = self.loaded.remove(&Group::Shard(shard)).unwrap_or_default();
         let last_write = self.deletion_writes.get(&shard).copied().unwrap_or_default();
@@ -80,7 +80,7 @@
         );
         effects.push(Effect::Note { grave: false, text });
         let stopped = self.stopped.get(&shard).is_some_and(|epoch| *epoch >= record.epoch);
-        let hosted = self.host(shard);
+        let hosted = self.host_shard(shard);
         hosted.change_request = None;
         hosted.synced_by.clear();
         let has_restarted = !hosted.replica.has_role()
@@ -179,7 +179,7 @@
                     }
                 }
                 ReplicaOutput::OutcomeUnknown(tickets) => {
-                    // Callers retry; their changes are in the copies or nowhere.
+                    // Callers retry: their changes are either in the copies or lost.
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
                         tickets.iter().for_each(|ticket| drop(hosted.waiters.remove(ticket)));
                         hosted.serving_state = ServingState::None;
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -63,16 +63,16 @@
                     return false;
                 }
                 // A repeated submission: the latest call gets the response.
-                match queue.iter_mut().find(|waiting| waiting.batch == batch) {
-                    Some(waiting) => {
-                        (waiting.caller, waiting.ceiling, waiting.last_heard) =
+                match queue.iter_mut().find(|pending| pending.batch == batch) {
+                    Some(pending) => {
+                        (pending.caller, pending.ceiling, pending.last_heard) =
                             (caller, ceiling, now);
                     }
                     None => {
                         let (received_at, last_heard) = (now, now);
-                        let new =
+                        let submission =
                             Submission { caller, batch, items, ceiling, received_at, last_heard };
-                        queue.push_back(new);
+                        queue.push_back(submission);
                     }
                 }
                 return true;
@@ -223,7 +223,7 @@
     }
 
     /// Starts the next change batch of every shard.
-    pub(super) fn proceed(&mut self, now: MonotonicMs, effects: &mut Effects) {
+    pub(super) fn start_next_batches(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in shards {
             if let Some(hosted) = self.hosted.get_mut(&shard) {
