--- a/programs/topazyard-storage/src/batches/changes.rs
+++ b/programs/topazyard-storage/src/batches/changes.rs
@@ -178,8 +178,7 @@
             }
             RunEnd::NotRun => self.requeue(run, may_have_run, now),
             _ if repeatable => self.requeue(run, true, now),
-            // The other ends belong to routed items; for this item they tell no more than
-            // `Unknown`.
+            // The other ends belong to routed items; here they mean the same as `Unknown`.
             _ => self.record_result(run.batch, run.item, ItemEnd::OutcomeUnknown, now),
         }
     }
--- a/programs/topazyard-storage/src/batches/mod.rs
+++ b/programs/topazyard-storage/src/batches/mod.rs
@@ -12,7 +12,7 @@
 
 pub use read::{results, status, waiting_cost};
 
-/// How long a relay may take to start a leased item.
+/// How long a relay may take to start a leased item, or to report a routed run as still running.
 pub const ITEM_LEASE: DurationMs = DurationMs(2_500);
 /// Time without a report of a run after which its outcome counts as unknown.
 const RUN_TIMEOUT: DurationMs = DurationMs(5_000);
--- a/programs/topazyard-storage/tests/counter.rs
+++ b/programs/topazyard-storage/tests/counter.rs
@@ -147,7 +147,7 @@
     block.terms.expiry = DurationMs(12_000);
     assert!(is_added(&counter.add(RELAY, &block, NOW)));
     assert!(is_added(&counter.add(RELAY, &hold(2, 100, HoldKind::Live), NOW)));
-    assert_eq!(counter.tick(NOW.plus(RELAY_LEASE)).len(), 1, "only the live hold lapses");
+    assert_eq!(counter.tick(NOW.plus(RELAY_LEASE)).len(), 1, "only the live hold expires");
     assert_eq!(counter.held(&"main".into()), Tokens(500));
     assert_eq!(counter.tick(MonotonicMs(NOW.0 + 11_999)).len(), 0);
     assert_eq!(counter.tick(MonotonicMs(NOW.0 + 12_000)).len(), 1);
--- a/programs/topazyard-storage/tests/replica_reads.rs
+++ b/programs/topazyard-storage/tests/replica_reads.rs
@@ -311,8 +311,8 @@
     storage.receive_record_of(ShardId::COUNTER, &record(1));
     let drops = |storage: &Storage| {
         storage.sent.iter().any(|(_, message)| match message {
-            Message::ShardChangeRequest(wish) => {
-                wish.change == ShardChange::DropBackups(vec![NodeId(BACKUP)])
+            Message::ShardChangeRequest(request) => {
+                request.change == ShardChange::DropBackups(vec![NodeId(BACKUP)])
             }
             _ => false,
         })
