--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/watch.rs
@@ -73,7 +73,7 @@
             let weighed = self.weighed.get(&shard).filter(|(place, _)| *place == copy.position());
             let waiting = match weighed {
                 Some((_, waiting)) => *waiting,
-                None => topazyard_storage::batches::waiting(copy).0,
+                None => topazyard_storage::batches::waiting_cost(copy).0,
             };
             self.weighed.insert(shard, (copy.position(), waiting));
             all += waiting;
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub enum ControlTask {
     /// Ask engines for their load and report it.
-    AskLoads(Vec<topazyard_spec::Engine>),
+    FetchLoads(Vec<topazyard_spec::Engine>),
     /// Read the platform's list of engines and report it.
     ListEngines,
 }
