--- a/libraries/topazyard-membership/src/gossip.rs
+++ b/libraries/topazyard-membership/src/gossip.rs
@@ -3,33 +3,33 @@
 use topazyard_wire::message::membership::News;
 
 /// Pieces of news in one message.
-const PIECES: usize = 8;
+const MAX_UPDATES_PER_MESSAGE: usize = 8;
 
 /// News that still travels.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Gossip {
-    travelling: Vec<(News, u32)>,
+    pending: Vec<(News, u32)>,
 }
 
 impl Gossip {
     /// Lets news travel, in place of older news of the same member.
-    pub(crate) fn spread(&mut self, news: News, fleet_size: usize) {
-        let times = 3 * (usize::BITS - fleet_size.max(1).leading_zeros()) + 1;
-        self.travelling.retain(|(other, _)| other.member.id != news.member.id);
-        self.travelling.insert(0, (news, times));
+    pub(crate) fn broadcast(&mut self, news: News, fleet_size: usize) {
+        let transmissions = 3 * (usize::BITS - fleet_size.max(1).leading_zeros()) + 1;
+        self.pending.retain(|(other, _)| other.member.id != news.member.id);
+        self.pending.insert(0, (news, transmissions));
     }
 
     /// What goes with the next message: what has travelled least goes first.
     pub(crate) fn next(&mut self) -> Vec<News> {
-        self.travelling.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
-        let taken = self.travelling.iter_mut().take(PIECES);
+        self.pending.sort_by_key(|(_, remaining)| std::cmp::Reverse(*remaining));
+        let taken = self.pending.iter_mut().take(MAX_UPDATES_PER_MESSAGE);
         let news = taken
-            .map(|(news, left)| {
-                *left -= 1;
+            .map(|(news, remaining)| {
+                *remaining -= 1;
                 news.clone()
             })
             .collect();
-        self.travelling.retain(|(_, left)| *left > 0);
+        self.pending.retain(|(_, remaining)| *remaining > 0);
         news
     }
 }
--- a/libraries/topazyard-membership/src/lib.rs
+++ b/libraries/topazyard-membership/src/lib.rs
@@ -2,8 +2,8 @@
 //! only after a suspicion that nobody refuted.
 
 mod gossip;
+mod member_table;
 mod membership;
-mod roll;
 
 pub use membership::{Membership, Outgoing};
 
@@ -25,4 +25,4 @@
         topazyard_wire::Effect::Send { to, message }
     })
 }
-pub use roll::KnownMember;
+pub use member_table::KnownMember;
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/member_table.rs
@@ -9,7 +9,7 @@
     /// The newest news of it.
     pub latest: News,
     /// Since when it stands so.
-    pub since: MonotonicMs,
+    pub status_since: MonotonicMs,
 }
 
 /// Whether news goes before what is known.
@@ -19,26 +19,27 @@
 
 /// All members known, in the order in which they were learned.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Roll {
+pub(crate) struct MemberTable {
     pub(crate) members: indexmap::IndexMap<NodeId, KnownMember>,
 }
 
-impl Roll {
+impl MemberTable {
     /// Takes news; gives whether it was new.
-    pub(crate) fn take(&mut self, news: &News, now: MonotonicMs) -> bool {
+    pub(crate) fn merge(&mut self, news: &News, now: MonotonicMs) -> bool {
         if let Some(known) = self.members.get_mut(&news.member.id) {
             if !is_newer(news, &known.latest) {
                 return false;
             }
-            *known = KnownMember { latest: news.clone(), since: now };
+            *known = KnownMember { latest: news.clone(), status_since: now };
         } else {
-            self.members.insert(news.member.id, KnownMember { latest: news.clone(), since: now });
+            self.members
+                .insert(news.member.id, KnownMember { latest: news.clone(), status_since: now });
         }
         true
     }
 
     /// Members at the same address under another id: an address has one process at a time.
-    pub(crate) fn overtaken_by(&self, news: &News) -> Vec<NodeId> {
+    pub(crate) fn replaced_by(&self, news: &News) -> Vec<NodeId> {
         self.members
             .values()
             .map(|known| &known.latest)
@@ -52,7 +53,7 @@
     }
 
     /// Changes how a member stands within its incarnation; gives the news of it.
-    pub(crate) fn restand(
+    pub(crate) fn set_status(
         &mut self,
         id: NodeId,
         standing: Standing,
@@ -63,7 +64,7 @@
             return None;
         }
         known.latest.standing = standing;
-        known.since = now;
+        known.status_since = now;
         Some(known.latest.clone())
     }
 
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -1,29 +1,29 @@
 //! The membership machine.
 
 use crate::gossip::Gossip;
-use crate::roll::{KnownMember, Roll};
+use crate::member_table::{KnownMember, MemberTable};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
 use topazyard_types::{DurationMs, Incarnation, MonotonicMs, NodeId};
 use topazyard_wire::message::membership::{Duty, Member, MembershipMessage, News, Standing};
 
 /// How often a member probes another.
-const PROBE_EVERY: DurationMs = DurationMs(400);
+const PROBE_INTERVAL: DurationMs = DurationMs(400);
 /// After how long without a return others are asked for a second opinion.
-const SECOND_OPINION: DurationMs = DurationMs(200);
+const INDIRECT_PROBE_DELAY: DurationMs = DurationMs(200);
 /// After how long without any return a member is suspected.
-const SUSPECT_AFTER: DurationMs = DurationMs(600);
+const PROBE_TIMEOUT: DurationMs = DurationMs(600);
 /// After how long a suspicion that was not refuted removes a member.
-const REMOVE_AFTER: DurationMs = DurationMs(2_000);
+const SUSPICION_TIMEOUT: DurationMs = DurationMs(2_000);
 /// For how long a removed member is remembered, so that old news can't bring it back.
-const REMEMBER: DurationMs = DurationMs(60_000);
+const REMOVED_RETENTION: DurationMs = DurationMs(60_000);
 /// How often one that knows nobody asks its seeds.
-const JOIN_ALONE: DurationMs = DurationMs(500);
+const JOIN_RETRY_INTERVAL: DurationMs = DurationMs(500);
 /// How often one that knows others asks a seed or a lost member, so that splits heal.
-const JOIN_AGAIN: DurationMs = DurationMs(3_000);
+const REJOIN_INTERVAL: DurationMs = DurationMs(3_000);
 /// The most addresses that are kept to join by.
-const SEEDS_KEPT: usize = 32;
+const MAX_SEEDS: usize = 32;
 /// How many are asked for a second opinion.
-const OPINIONS: usize = 2;
+const INDIRECT_PROBES: usize = 2;
 
 /// A message and where it goes.
 pub type Outgoing = (std::net::SocketAddr, MembershipMessage);
@@ -33,33 +33,33 @@
     nonce: u64,
     target: NodeId,
     address: std::net::SocketAddr,
-    sent: MonotonicMs,
-    others_asked: bool,
+    sent_at: MonotonicMs,
+    indirect_probes_sent: bool,
 }
 
 /// A probe made for another member.
 #[derive(Debug, Clone)]
-struct Errand {
+struct RelayedProbe {
     nonce: u64,
-    asker: std::net::SocketAddr,
-    asker_nonce: u64,
-    sent: MonotonicMs,
+    requester: std::net::SocketAddr,
+    requester_nonce: u64,
+    sent_at: MonotonicMs,
 }
 
 /// What one node knows of the fleet.
 #[derive(Debug, Clone)]
 pub struct Membership {
     own: News,
-    roll: Roll,
+    table: MemberTable,
     gossip: Gossip,
     seeds: Vec<std::net::SocketAddr>,
     rng: rand::rngs::StdRng,
-    turn: Vec<NodeId>,
+    probe_order: Vec<NodeId>,
     probe: Option<Probe>,
-    errands: Vec<Errand>,
+    relayed_probes: Vec<RelayedProbe>,
     last_nonce: u64,
-    last_probe: MonotonicMs,
-    last_join: Option<MonotonicMs>,
+    last_probe_at: MonotonicMs,
+    last_join_at: Option<MonotonicMs>,
 }
 
 impl Membership {
@@ -79,27 +79,27 @@
         let own = News { member: own, incarnation: Incarnation(0), standing: Standing::Alive };
         Self {
             own,
-            roll: Roll::default(),
+            table: MemberTable::default(),
             gossip: Gossip::default(),
             seeds,
             rng: rand::rngs::StdRng::seed_from_u64(seed),
-            turn: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            errands: Vec::new(),
+            relayed_probes: Vec::new(),
             last_nonce: topazyard_types::Life(seed).first_number(),
-            last_probe: MonotonicMs(0),
-            last_join: None,
+            last_probe_at: MonotonicMs(0),
+            last_join_at: None,
         }
     }
 
     /// The members that are not removed, this node not among them.
     pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
-        self.roll.present()
+        self.table.present()
     }
 
     /// Every member remembered, the removed ones too.
     pub fn remembered(&self) -> impl Iterator<Item = &KnownMember> {
-        self.roll.members.values()
+        self.table.members.values()
     }
 
     /// The zone that this member stands in.
@@ -112,7 +112,7 @@
         if id == self.own.member.id {
             return Some(Standing::Alive);
         }
-        self.roll.members.get(&id).map(|known| known.latest.standing)
+        self.table.members.get(&id).map(|known| known.latest.standing)
     }
 
     /// Where the members of a duty take frames.
@@ -126,8 +126,8 @@
     pub fn probe_next(&mut self, id: NodeId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target == id);
         let is_alive = self.status(id) == Some(Standing::Alive);
-        if is_alive && !is_probed && self.turn.last() != Some(&id) {
-            self.turn.push(id);
+        if is_alive && !is_probed && self.probe_order.last() != Some(&id) {
+            self.probe_order.push(id);
         }
     }
 
@@ -135,7 +135,7 @@
     pub fn add_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let before = self.seeds.iter().copied().filter(|old| !seeds.contains(old));
         // What is older than two exchanges of all seeds is let go.
-        let kept: Vec<_> = seeds.iter().copied().chain(before).take(SEEDS_KEPT).collect();
+        let kept: Vec<_> = seeds.iter().copied().chain(before).take(MAX_SEEDS).collect();
         self.seeds = kept;
     }
 
@@ -144,7 +144,7 @@
         self.last_nonce
     }
 
-    fn news_to_send(&mut self) -> Vec<News> {
+    fn updates_to_send(&mut self) -> Vec<News> {
         let mut news = self.gossip.next();
         news.push(self.own.clone());
         news
@@ -152,46 +152,46 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<Outgoing> {
-        let mut out = Vec::new();
-        self.join_if_due(now, &mut out);
-        self.follow_up_probe(now, &mut out);
-        if now.since(self.last_probe) >= PROBE_EVERY && self.probe.is_none() {
-            self.last_probe = now;
-            self.begin_probe(now, &mut out);
+        let mut outgoing = Vec::new();
+        self.join_if_due(now, &mut outgoing);
+        self.check_probe(now, &mut outgoing);
+        if now.since(self.last_probe_at) >= PROBE_INTERVAL && self.probe.is_none() {
+            self.last_probe_at = now;
+            self.begin_probe(now, &mut outgoing);
         }
         self.remove_unrefuted(now);
-        self.errands.retain(|errand| now.since(errand.sent) < SUSPECT_AFTER);
-        out
+        self.relayed_probes.retain(|relayed| now.since(relayed.sent_at) < PROBE_TIMEOUT);
+        outgoing
     }
 
-    fn join_if_due(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
-        let alone = self.roll.present().next().is_none();
-        let every = if alone { JOIN_ALONE } else { JOIN_AGAIN };
-        if self.last_join.is_some_and(|at| now.since(at) < every) {
+    fn join_if_due(&mut self, now: MonotonicMs, outgoing: &mut Vec<Outgoing>) {
+        let is_alone = self.table.present().next().is_none();
+        let interval = if is_alone { JOIN_RETRY_INTERVAL } else { REJOIN_INTERVAL };
+        if self.last_join_at.is_some_and(|at| now.since(at) < interval) {
             return;
         }
-        self.last_join = Some(now);
+        self.last_join_at = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.roll.members.values().filter(|k| k.latest.standing == Standing::Removed);
-        let mut ask: Vec<std::net::SocketAddr> =
+        let lost = self.table.members.values().filter(|k| k.latest.standing == Standing::Removed);
+        let mut targets: Vec<std::net::SocketAddr> =
             self.seeds.iter().copied().chain(lost.map(|k| k.latest.member.address)).collect();
-        ask.retain(|address| *address != own_address);
-        if !alone {
-            ask = ask.choose(&mut self.rng).copied().into_iter().collect();
+        targets.retain(|address| *address != own_address);
+        if !is_alone {
+            targets = targets.choose(&mut self.rng).copied().into_iter().collect();
         }
-        out.extend(
-            ask.into_iter().map(|to| (to, MembershipMessage::Join { news: self.own.clone() })),
+        outgoing.extend(
+            targets.into_iter().map(|to| (to, MembershipMessage::Join { news: self.own.clone() })),
         );
     }
 
-    fn begin_probe(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
-        if self.turn.is_empty() {
-            self.turn = self.roll.present().map(|known| known.latest.member.id).collect();
-            self.turn.shuffle(&mut self.rng);
+    fn begin_probe(&mut self, now: MonotonicMs, outgoing: &mut Vec<Outgoing>) {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.table.present().map(|known| known.latest.member.id).collect();
+            self.probe_order.shuffle(&mut self.rng);
         }
         let target = loop {
-            let Some(id) = self.turn.pop() else { return };
-            match self.roll.members.get(&id) {
+            let Some(id) = self.probe_order.pop() else { return };
+            match self.table.members.get(&id) {
                 Some(known) if known.latest.standing != Standing::Removed => {
                     break known.latest.clone();
                 }
@@ -204,37 +204,38 @@
             nonce,
             target: target.member.id,
             address,
-            sent: now,
-            others_asked: false,
+            sent_at: now,
+            indirect_probes_sent: false,
         });
-        let mut news = self.news_to_send();
+        let mut news = self.updates_to_send();
         // A suspect is told, so that it can refute.
         if target.standing == Standing::Suspect {
             news.push(target);
         }
-        out.push((address, MembershipMessage::Probe { nonce, news }));
+        outgoing.push((address, MembershipMessage::Probe { nonce, news }));
     }
 
-    fn follow_up_probe(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
+    fn check_probe(&mut self, now: MonotonicMs, outgoing: &mut Vec<Outgoing>) {
         let Some(probe) = &mut self.probe else { return };
         let (nonce, target, address) = (probe.nonce, probe.target, probe.address);
-        let waited = now.since(probe.sent);
-        if waited >= SUSPECT_AFTER {
+        let waited = now.since(probe.sent_at);
+        if waited >= PROBE_TIMEOUT {
             self.probe = None;
-            if let Some(news) = self.roll.restand(target, Standing::Suspect, now) {
-                self.gossip.spread(news, self.roll.members.len());
+            if let Some(news) = self.table.set_status(target, Standing::Suspect, now) {
+                self.gossip.broadcast(news, self.table.members.len());
             }
-        } else if waited >= SECOND_OPINION && !probe.others_asked {
-            probe.others_asked = true;
+        } else if waited >= INDIRECT_PROBE_DELAY && !probe.indirect_probes_sent {
+            probe.indirect_probes_sent = true;
             let others: Vec<std::net::SocketAddr> = self
-                .roll
+                .table
                 .present()
                 .map(|known| &known.latest)
                 .filter(|news| news.member.id != target && news.standing == Standing::Alive)
                 .map(|news| news.member.address)
                 .collect();
-            let chosen: Vec<_> = others.choose_multiple(&mut self.rng, OPINIONS).copied().collect();
-            out.extend(
+            let chosen: Vec<_> =
+                others.choose_multiple(&mut self.rng, INDIRECT_PROBES).copied().collect();
+            outgoing.extend(
                 chosen
                     .into_iter()
                     .map(|to| (to, MembershipMessage::ProbeFor { nonce, target: address })),
@@ -244,21 +245,23 @@
 
     fn remove_unrefuted(&mut self, now: MonotonicMs) {
         let due: Vec<NodeId> = self
-            .roll
+            .table
             .members
             .values()
             .filter(|k| {
-                k.latest.standing == Standing::Suspect && now.since(k.since) >= REMOVE_AFTER
+                k.latest.standing == Standing::Suspect
+                    && now.since(k.status_since) >= SUSPICION_TIMEOUT
             })
             .map(|known| known.latest.member.id)
             .collect();
         for id in due {
-            if let Some(news) = self.roll.restand(id, Standing::Removed, now) {
-                self.gossip.spread(news, self.roll.members.len());
+            if let Some(news) = self.table.set_status(id, Standing::Removed, now) {
+                self.gossip.broadcast(news, self.table.members.len());
             }
         }
-        self.roll.members.retain(|_, known| {
-            known.latest.standing != Standing::Removed || now.since(known.since) < REMEMBER
+        self.table.members.retain(|_, known| {
+            known.latest.standing != Standing::Removed
+                || now.since(known.status_since) < REMOVED_RETENTION
         });
     }
 
@@ -269,72 +272,76 @@
         message: MembershipMessage,
         now: MonotonicMs,
     ) -> Vec<Outgoing> {
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         match message {
             MembershipMessage::Probe { nonce, news } => {
-                self.take_news(news, now);
-                let news = self.news_to_send();
-                out.push((from, MembershipMessage::ProbeReturn { nonce, news }));
+                self.apply_updates(news, now);
+                let news = self.updates_to_send();
+                outgoing.push((from, MembershipMessage::ProbeReturn { nonce, news }));
             }
             MembershipMessage::ProbeReturn { nonce, news } => {
-                self.take_news(news, now);
+                self.apply_updates(news, now);
                 self.probe.take_if(|probe| probe.nonce == nonce);
-                if let Some(at) = self.errands.iter().position(|errand| errand.nonce == nonce) {
-                    let errand = self.errands.swap_remove(at);
-                    let news = self.news_to_send();
-                    let nonce = errand.asker_nonce;
-                    out.push((errand.asker, MembershipMessage::ProbeReturn { nonce, news }));
+                if let Some(at) =
+                    self.relayed_probes.iter().position(|relayed| relayed.nonce == nonce)
+                {
+                    let relayed = self.relayed_probes.swap_remove(at);
+                    let news = self.updates_to_send();
+                    let nonce = relayed.requester_nonce;
+                    outgoing
+                        .push((relayed.requester, MembershipMessage::ProbeReturn { nonce, news }));
                 }
             }
             MembershipMessage::ProbeFor { nonce, target } => {
                 let own_nonce = self.next_nonce();
-                self.errands.push(Errand {
+                self.relayed_probes.push(RelayedProbe {
                     nonce: own_nonce,
-                    asker: from,
-                    asker_nonce: nonce,
-                    sent: now,
+                    requester: from,
+                    requester_nonce: nonce,
+                    sent_at: now,
                 });
-                let news = self.news_to_send();
-                out.push((target, MembershipMessage::Probe { nonce: own_nonce, news }));
+                let news = self.updates_to_send();
+                outgoing.push((target, MembershipMessage::Probe { nonce: own_nonce, news }));
             }
             MembershipMessage::Join { news } => {
-                self.take_news(vec![news], now);
+                self.apply_updates(vec![news], now);
                 let mut news: Vec<News> =
-                    self.roll.members.values().map(|known| known.latest.clone()).collect();
+                    self.table.members.values().map(|known| known.latest.clone()).collect();
                 news.push(self.own.clone());
-                out.push((from, MembershipMessage::Roster { news }));
+                outgoing.push((from, MembershipMessage::Roster { news }));
             }
-            MembershipMessage::Roster { news } => self.take_news(news, now),
+            MembershipMessage::Roster { news } => self.apply_updates(news, now),
         }
-        out
+        outgoing
     }
 
-    fn take_news(&mut self, all: Vec<News>, now: MonotonicMs) {
+    fn apply_updates(&mut self, all: Vec<News>, now: MonotonicMs) {
         for news in all {
             if news.member.id == self.own.member.id {
-                self.refute_if_doubted(&news);
+                self.refute_if_suspected(&news);
                 continue;
             }
-            if !self.roll.take(&news, now) {
+            if !self.table.merge(&news, now) {
                 continue;
             }
             if news.standing == Standing::Alive {
-                for id in self.roll.overtaken_by(&news) {
-                    if let Some(gone) = self.roll.restand(id, Standing::Removed, now) {
-                        self.gossip.spread(gone, self.roll.members.len());
+                for id in self.table.replaced_by(&news) {
+                    if let Some(gone) = self.table.set_status(id, Standing::Removed, now) {
+                        self.gossip.broadcast(gone, self.table.members.len());
                     }
                 }
             }
-            self.gossip.spread(news, self.roll.members.len());
+            self.gossip.broadcast(news, self.table.members.len());
         }
     }
 
     /// News that doubts this node is refuted under a higher incarnation.
-    fn refute_if_doubted(&mut self, news: &News) {
-        let doubted = news.standing != Standing::Alive || news.incarnation > self.own.incarnation;
-        if doubted && news.incarnation >= self.own.incarnation {
+    fn refute_if_suspected(&mut self, news: &News) {
+        let is_suspected =
+            news.standing != Standing::Alive || news.incarnation > self.own.incarnation;
+        if is_suspected && news.incarnation >= self.own.incarnation {
             self.own.incarnation = Incarnation(news.incarnation.0 + 1);
-            self.gossip.spread(self.own.clone(), self.roll.members.len());
+            self.gossip.broadcast(self.own.clone(), self.table.members.len());
         }
     }
 }
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -7,35 +7,35 @@
 pub const RANGE_COUNT: usize = 64;
 /// Batches remembered for followers, and the most bytes of rows in them. A follower that is further
 /// back is given everything.
-const REMEMBERED: usize = 1_024;
-const REMEMBERED_BYTES: usize = 4 * 1024 * 1024;
+const MAX_HISTORY_BATCHES: usize = 1_024;
+const MAX_HISTORY_BYTES: usize = 4 * 1024 * 1024;
 /// The row that holds the copy's place; it is not part of what is compared.
-const PLACE_KEY: &str = "\u{0}place";
+const POSITION_KEY: &str = "\u{0}place";
 
 /// One copy of a group's rows.
 #[derive(Clone)]
 pub struct Copy {
     rows: std::collections::BTreeMap<String, bytes::Bytes>,
     digests: Vec<Digest>,
-    place: Place,
+    position: Place,
     batches: std::collections::VecDeque<(Place, Vec<RowChange>)>,
-    batches_bytes: usize,
-    most_batches: usize,
+    batch_bytes: usize,
+    max_batches: usize,
 }
 
 /// Tells the rows by their digests: a copy may hold megabytes.
 impl std::fmt::Debug for Copy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let places: Vec<Place> = self.batches.iter().map(|(place, _)| *place).collect();
+        let positions: Vec<Place> = self.batches.iter().map(|(position, _)| *position).collect();
         f.debug_struct("Copy")
-            .field("place", &self.place)
+            .field("place", &self.position)
             .field("digests", &self.digests)
-            .field("batches", &places)
+            .field("batches", &positions)
             .finish_non_exhaustive()
     }
 }
 
-fn bytes_of(changes: &[RowChange]) -> usize {
+fn size_of_changes(changes: &[RowChange]) -> usize {
     let value = |change: &RowChange| change.value.as_ref().map_or(0, |value| value.len());
     changes.iter().map(|change| change.key.len() + value(change)).sum()
 }
@@ -45,25 +45,25 @@
         Self {
             rows: std::collections::BTreeMap::new(),
             digests: vec![Digest::default(); RANGE_COUNT],
-            place: Place::default(),
+            position: Place::default(),
             batches: std::collections::VecDeque::new(),
-            batches_bytes: 0,
-            most_batches: REMEMBERED,
+            batch_bytes: 0,
+            max_batches: MAX_HISTORY_BATCHES,
         }
     }
 }
 
-fn range_of(key: &str) -> usize {
+fn range_index(key: &str) -> usize {
     (Digest::of(&[key.as_bytes()]).0 % RANGE_COUNT as u128) as usize
 }
 
 /// The digest of a range that holds these rows.
 pub fn digest_of_rows(rows: &[(String, bytes::Bytes)]) -> Digest {
-    let digests = rows.iter().map(|(key, value)| digest_of(key, value));
+    let digests = rows.iter().map(|(key, value)| row_digest(key, value));
     digests.fold(Digest::default(), Digest::toggled)
 }
 
-fn digest_of(key: &str, value: &[u8]) -> Digest {
+fn row_digest(key: &str, value: &[u8]) -> Digest {
     Digest::of(&[key.as_bytes(), value])
 }
 
@@ -80,9 +80,9 @@
     /// assert_eq!(Copy::from_rows(rows).digests(), copy.digests());
     /// ```
     pub fn from_rows(mut rows: std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let place = rows.remove(PLACE_KEY);
-        let place = place.and_then(|value| topazyard_wire::rows::decode(&value));
-        let mut copy = Self { place: place.unwrap_or_default(), ..Self::default() };
+        let position = rows.remove(POSITION_KEY);
+        let position = position.and_then(|value| topazyard_wire::rows::decode(&value));
+        let mut copy = Self { position: position.unwrap_or_default(), ..Self::default() };
         for (key, value) in rows {
             copy.set(key, Some(value));
         }
@@ -90,13 +90,13 @@
     }
 
     fn set(&mut self, key: String, value: Option<bytes::Bytes>) {
-        let digest = &mut self.digests[range_of(&key)];
+        let digest = &mut self.digests[range_index(&key)];
         if let Some(old) = self.rows.get(&key) {
-            *digest = digest.toggled(digest_of(&key, old));
+            *digest = digest.toggled(row_digest(&key, old));
         }
         match value {
             Some(value) => {
-                *digest = digest.toggled(digest_of(&key, &value));
+                *digest = digest.toggled(row_digest(&key, &value));
                 self.rows.insert(key, value);
             }
             None => {
@@ -117,7 +117,7 @@
     /// assert_eq!(copy.changes_after(second), None);
     /// ```
     pub fn keep_only_last_batch(&mut self) {
-        self.most_batches = 1;
+        self.max_batches = 1;
     }
 
     /// Applies a batch and gives the rows to write, the new place among them.
@@ -130,18 +130,18 @@
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
-        self.place = Place { epoch, sequence };
-        self.batches_bytes += bytes_of(&changes);
-        self.batches.push_back((self.place, changes.clone()));
+        self.position = Place { epoch, sequence };
+        self.batch_bytes += size_of_changes(&changes);
+        self.batches.push_back((self.position, changes.clone()));
         // The last one is always known: what it touched may be in doubt.
         while self.batches.len() > 1
-            && (self.batches.len() > self.most_batches || self.batches_bytes > REMEMBERED_BYTES)
+            && (self.batches.len() > self.max_batches || self.batch_bytes > MAX_HISTORY_BYTES)
         {
             let Some((_, old)) = self.batches.pop_front() else { break };
-            self.batches_bytes -= bytes_of(&old);
+            self.batch_bytes -= size_of_changes(&old);
         }
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.place));
+        written.push(RowChange::put(POSITION_KEY, &self.position));
         written
     }
 
@@ -149,36 +149,36 @@
     pub fn difference(&self, range: usize, rows: Vec<(String, bytes::Bytes)>) -> Vec<RowChange> {
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
-        let in_range = self.rows.keys().filter(|key| range_of(key) == range);
-        let gone: Vec<RowChange> =
+        let in_range = self.rows.keys().filter(|key| range_index(key) == range);
+        let deletions: Vec<RowChange> =
             in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::gone).collect();
-        let differs =
+        let is_different =
             |(key, value): &(String, bytes::Bytes)| self.rows.get(key.as_str()) != Some(value);
-        let put = rows.into_iter().filter(differs);
-        let put = put.map(|(key, value)| RowChange { key, value: Some(value) });
-        gone.into_iter().chain(put).collect()
+        let puts = rows.into_iter().filter(is_different);
+        let puts = puts.map(|(key, value)| RowChange { key, value: Some(value) });
+        deletions.into_iter().chain(puts).collect()
     }
 
     /// Becomes equal to another copy by these changes, in one step: on disk as in memory this copy
     /// is either the old one whole or the new one whole. Gives the rows to write, the new place
     /// among them; they belong in one write.
-    pub fn replace(&mut self, place: Place, changes: Vec<RowChange>) -> Vec<RowChange> {
+    pub fn replace(&mut self, position: Place, changes: Vec<RowChange>) -> Vec<RowChange> {
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
         if !changes.is_empty() {
             self.batches.clear();
-            self.batches_bytes = 0;
+            self.batch_bytes = 0;
         }
-        self.place = place;
+        self.position = position;
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.place));
+        written.push(RowChange::put(POSITION_KEY, &self.position));
         written
     }
 
     /// How far this copy is.
     pub fn position(&self) -> Place {
-        self.place
+        self.position
     }
 
     /// The digest of each range.
@@ -188,13 +188,13 @@
 
     /// The rows of a range.
     pub fn range(&self, range: usize) -> Vec<(String, bytes::Bytes)> {
-        let in_range = self.rows.iter().filter(|(key, _)| range_of(key) == range);
+        let in_range = self.rows.iter().filter(|(key, _)| range_index(key) == range);
         in_range.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 
     /// The keys of everything this copy has on disk.
     pub fn keys_on_disk(&self) -> Vec<String> {
-        self.rows.keys().cloned().chain([PLACE_KEY.to_owned()]).collect()
+        self.rows.keys().cloned().chain([POSITION_KEY.to_owned()]).collect()
     }
 
     /// All rows.
@@ -226,11 +226,11 @@
 
     /// The changes after a place, if this copy remembers all of them.
     pub fn changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
-        if after == self.place {
+        if after == self.position {
             return Some(Vec::new());
         }
-        let from = self.batches.iter().position(|(place, _)| *place == after)?;
-        let later = self.batches.iter().skip(from + 1);
-        Some(later.flat_map(|(_, changes)| changes.iter().cloned()).collect())
+        let from = self.batches.iter().position(|(position, _)| *position == after)?;
+        let newer = self.batches.iter().skip(from + 1);
+        Some(newer.flat_map(|(_, changes)| changes.iter().cloned()).collect())
     }
 }
--- a/libraries/topazyard-replication/src/epoch/propose.rs
+++ b/libraries/topazyard-replication/src/epoch/propose.rs
@@ -4,16 +4,16 @@
 use topazyard_wire::message::control::{Ballot, CoreMessage, EpochRecord};
 
 /// After how long without a decision a higher ballot is called.
-const AGAIN: DurationMs = DurationMs(400);
+const BALLOT_RETRY_INTERVAL: DurationMs = DurationMs(400);
 
 /// A proposal that is under way.
 #[derive(Debug, Clone)]
 pub struct Proposal {
     me: NodeId,
     base: EpochRecord,
-    wanted: EpochRecord,
+    desired: EpochRecord,
     ballot: Ballot,
-    begun: MonotonicMs,
+    ballot_started_at: MonotonicMs,
     stage: Stage,
 }
 
@@ -46,18 +46,18 @@
         me: NodeId,
         life: Life,
         base: EpochRecord,
-        wanted: EpochRecord,
+        desired: EpochRecord,
         now: MonotonicMs,
     ) -> (Self, CoreMessage) {
         let mut proposal = Self {
             me,
             base,
-            wanted,
+            desired,
             ballot: Ballot { round: 0, proposer: me, life },
-            begun: now,
+            ballot_started_at: now,
             stage: Stage::Preparing { promised: Default::default(), accepted: None },
         };
-        let message = proposal.call(1, now);
+        let message = proposal.start_ballot(1, now);
         (proposal, message)
     }
 
@@ -66,9 +66,9 @@
         &self.base
     }
 
-    fn call(&mut self, round: u64, now: MonotonicMs) -> CoreMessage {
+    fn start_ballot(&mut self, round: u64, now: MonotonicMs) -> CoreMessage {
         self.ballot = Ballot { round, ..self.ballot };
-        self.begun = now;
+        self.ballot_started_at = now;
         self.stage = Stage::Preparing { promised: Default::default(), accepted: None };
         CoreMessage::Prepare { base: self.base.clone(), ballot: self.ballot }
     }
@@ -76,12 +76,12 @@
     /// Calls a higher ballot if no decision came. Proposers wait differently long, so that one
     /// of two gets through.
     pub fn tick(&mut self, now: MonotonicMs) -> ProposalStep {
-        let apart = DurationMs(AGAIN.0 + self.me.0 % 7 * 50);
-        if now.since(self.begun) < apart {
+        let timeout = DurationMs(BALLOT_RETRY_INTERVAL.0 + self.me.0 % 7 * 50);
+        if now.since(self.ballot_started_at) < timeout {
             return ProposalStep::Wait;
         }
         let round = self.ballot.round + 1;
-        ProposalStep::Broadcast(self.call(round, now))
+        ProposalStep::Broadcast(self.start_ballot(round, now))
     }
 
     fn majority(&self) -> usize {
@@ -114,15 +114,15 @@
                 }
                 let record = match accepted.take() {
                     Some((_, record)) => record,
-                    None => self.wanted.clone(),
+                    None => self.desired.clone(),
                 };
-                let say = CoreMessage::Accept {
+                let request = CoreMessage::Accept {
                     base: self.base.clone(),
                     ballot: self.ballot,
                     record: record.clone(),
                 };
                 self.stage = Stage::Accepting { record, accepted: Default::default() };
-                ProposalStep::Broadcast(say)
+                ProposalStep::Broadcast(request)
             }
             (CoreMessage::Accepted { epoch, ballot }, Stage::Accepting { record, accepted })
                 if *epoch == next && *ballot == self.ballot =>
@@ -136,7 +136,9 @@
             (CoreMessage::Outbid { epoch, promised }, _) if *epoch == next => {
                 // The next tick calls a ballot above the one that outbid this.
                 self.ballot.round = self.ballot.round.max(promised.round);
-                self.begun = self.begun.max(MonotonicMs(now.0.saturating_sub(AGAIN.0 / 2)));
+                self.ballot_started_at = self
+                    .ballot_started_at
+                    .max(MonotonicMs(now.0.saturating_sub(BALLOT_RETRY_INTERVAL.0 / 2)));
                 ProposalStep::Wait
             }
             _ => ProposalStep::Wait,
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -6,7 +6,7 @@
 
 const RECORD_KEY: &str = "record";
 const VOTE_KEY: &str = "vote";
-const GENESIS_KEY: &str = "genesis";
+const BOOTSTRAP_KEY: &str = "genesis";
 
 /// What a witness promised and accepted in the decision that is open.
 type Vote = (Ballot, Option<(Ballot, EpochRecord)>);
@@ -17,7 +17,7 @@
     record: Option<EpochRecord>,
     vote: Vote,
     /// What the first record of a fleet follows, if this witness may vote on it.
-    genesis: Option<EpochRecord>,
+    bootstrap_base: Option<EpochRecord>,
 }
 
 impl Witness {
@@ -28,27 +28,27 @@
     /// assert!(empty.record().is_none());
     /// ```
     pub fn from_rows(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let decode = |key: &str| rows.get(key);
-        let record = decode(RECORD_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        let vote = decode(VOTE_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        let genesis = decode(GENESIS_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        Self { record, vote: vote.unwrap_or_default(), genesis }
+        let row = |key: &str| rows.get(key);
+        let record = row(RECORD_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        let vote = row(VOTE_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        let bootstrap_base = row(BOOTSTRAP_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        Self { record, vote: vote.unwrap_or_default(), bootstrap_base }
     }
 
     /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
     /// not before. Only a witness whose disk is empty may be let.
-    pub fn allow_bootstrap(&mut self, genesis: EpochRecord) -> Option<RowChange> {
-        if self.genesis.is_some() || self.record.is_some() {
+    pub fn allow_bootstrap(&mut self, bootstrap_base: EpochRecord) -> Option<RowChange> {
+        if self.bootstrap_base.is_some() || self.record.is_some() {
             return None;
         }
-        let row = RowChange::put(GENESIS_KEY, &genesis);
-        self.genesis = Some(genesis);
+        let row = RowChange::put(BOOTSTRAP_KEY, &bootstrap_base);
+        self.bootstrap_base = Some(bootstrap_base);
         Some(row)
     }
 
     /// What the first record follows, if this witness may vote on it.
     pub fn bootstrap_base(&self) -> Option<&EpochRecord> {
-        self.genesis.as_ref()
+        self.bootstrap_base.as_ref()
     }
 
     /// The newest record known to be decided.
@@ -79,7 +79,7 @@
 
     /// Whether a proposal follows the record this witness knows; anything lower is refused.
     fn is_next(&self, base: &EpochRecord) -> bool {
-        self.record.as_ref().or(self.genesis.as_ref()).is_some_and(|known| known == base)
+        self.record.as_ref().or(self.bootstrap_base.as_ref()).is_some_and(|known| known == base)
     }
 
     /// Answers a prepare: what to write, and what to say once that is synced. The base was
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -11,24 +11,24 @@
 /// How often a follower asks.
 pub const REQUEST_INTERVAL: DurationMs = DurationMs(200);
 /// How often one asks for which something waits.
-const HURRIED_EVERY: DurationMs = DurationMs(50);
+const FAST_REQUEST_INTERVAL: DurationMs = DurationMs(50);
 /// How long it waits for a return before it asks elsewhere.
-const TIMEOUT: DurationMs = DurationMs(450);
+const RESPONSE_TIMEOUT: DurationMs = DurationMs(450);
 /// How long it waits, while it looks for the primary, for one that may not run: whoever is not the
 /// primary says so at once.
-const LOOKING_TIMEOUT: DurationMs = DurationMs(100);
+const DISCOVERY_TIMEOUT: DurationMs = DurationMs(100);
 /// After how long another is asked where one knew of no primary.
-const TURNED_AWAY: DurationMs = DurationMs(50);
+const NO_PRIMARY_RETRY_DELAY: DurationMs = DurationMs(50);
 /// After how many rounds of askings it looks less hurriedly.
-const HURRIED_ROUNDS: usize = 12;
+const MAX_FAST_ROUNDS: usize = 12;
 /// Askings whose return still counts, however late it comes.
-const MOST_ASKED: usize = 8;
+const MAX_PENDING_REQUESTS: usize = 8;
 
 /// An asking that waits for its return.
 #[derive(Debug, Clone)]
-struct Asked {
+struct PendingRequest {
     nonce: u64,
-    at: MonotonicMs,
+    sent_at: MonotonicMs,
 }
 
 /// Follows the feed from one of several nodes.
@@ -36,23 +36,23 @@
 pub struct FeedFollower {
     copy: crate::Copy,
     sources: Vec<std::net::SocketAddr>,
-    next_source: usize,
-    leader: Option<std::net::SocketAddr>,
+    source_index: usize,
+    primary: Option<std::net::SocketAddr>,
     /// Whether the leader has returned news, or was only named by another node.
-    leader_is_proven: bool,
+    primary_has_responded: bool,
     /// Askings without a return, the newest last: one that was given up may still be answered.
-    asked: std::collections::VecDeque<Asked>,
+    pending_requests: std::collections::VecDeque<PendingRequest>,
     /// Whether the newest asking still waits for its return.
-    waits: bool,
+    awaits_response: bool,
     /// How many askings had no return since the last news.
-    unanswered: usize,
-    last_asked: Option<MonotonicMs>,
+    unanswered_requests: usize,
+    last_request_at: Option<MonotonicMs>,
     last_nonce: u64,
-    confirmed: Option<MonotonicMs>,
+    confirmed_at: Option<MonotonicMs>,
     /// When the asking was sent that was last returned, with whatever.
-    heard: Option<MonotonicMs>,
-    fetch: Option<crate::snapshot::Fetch>,
-    hurried: bool,
+    last_heard: Option<MonotonicMs>,
+    download: Option<crate::snapshot::SnapshotDownload>,
+    fast_polling: bool,
 }
 
 /// What a return of the feed changed.
@@ -79,18 +79,18 @@
         Self {
             copy,
             sources,
-            next_source: 0,
-            leader: None,
-            leader_is_proven: false,
-            asked: std::collections::VecDeque::new(),
-            waits: false,
-            unanswered: 0,
-            last_asked: None,
+            source_index: 0,
+            primary: None,
+            primary_has_responded: false,
+            pending_requests: std::collections::VecDeque::new(),
+            awaits_response: false,
+            unanswered_requests: 0,
+            last_request_at: None,
             last_nonce: life.first_number(),
-            confirmed: None,
-            heard: None,
-            fetch: None,
-            hurried: false,
+            confirmed_at: None,
+            last_heard: None,
+            download: None,
+            fast_polling: false,
         }
     }
 
@@ -102,18 +102,18 @@
     /// When the asking was sent that was last returned: all that was acknowledged before then
     /// is in the copy.
     pub fn confirmed_at(&self) -> Option<MonotonicMs> {
-        self.confirmed
+        self.confirmed_at
     }
 
     /// The control primary, as far as this follower knows.
     pub fn primary(&self) -> Option<std::net::SocketAddr> {
-        self.leader
+        self.primary
     }
 
     /// Whether a snapshot is being fetched: then the next part is to be asked for at once rather
     /// than at the next tick.
     pub fn is_fetching(&self) -> bool {
-        self.fetch.is_some()
+        self.download.is_some()
     }
 
     /// Asks besides at these nodes, learned from the membership.
@@ -126,8 +126,8 @@
     }
 
     /// Asks more often while something waits for the next confirmation, or no longer.
-    pub fn set_fast_polling(&mut self, hurried: bool) {
-        self.hurried = hurried;
+    pub fn set_fast_polling(&mut self, fast_polling: bool) {
+        self.fast_polling = fast_polling;
     }
 
     /// Asks if it is time to.
@@ -139,22 +139,22 @@
         if !self.is_due(now) {
             return None;
         }
-        let silent = if self.waits { self.leader.take() } else { None };
-        self.unanswered += usize::from(self.waits);
-        let to = match self.leader {
-            Some(leader) => leader,
+        let silent = if self.awaits_response { self.primary.take() } else { None };
+        self.unanswered_requests += usize::from(self.awaits_response);
+        let to = match self.primary {
+            Some(primary) => primary,
             None => self.next_source(silent)?,
         };
         self.last_nonce += 1;
-        if self.asked.len() >= MOST_ASKED {
-            self.asked.pop_front();
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
         }
-        self.asked.push_back(Asked { nonce: self.last_nonce, at: now });
-        self.waits = true;
-        self.last_asked = Some(now);
+        self.pending_requests.push_back(PendingRequest { nonce: self.last_nonce, sent_at: now });
+        self.awaits_response = true;
+        self.last_request_at = Some(now);
         let after = self.copy.position();
-        let part = self.fetch.as_ref().and_then(crate::snapshot::Fetch::wanted);
-        let heard = self.heard.map(|at| now.since(at));
+        let part = self.download.as_ref().and_then(crate::snapshot::SnapshotDownload::next_request);
+        let heard = self.last_heard.map(|at| now.since(at));
         let nonce = self.last_nonce;
         Some((to, FeedMessage::Ask { nonce, after, part, heard, health: health() }))
     }
@@ -164,71 +164,74 @@
         &mut self,
         silent: Option<std::net::SocketAddr>,
     ) -> Option<std::net::SocketAddr> {
-        let known = self.sources.len().max(1);
-        self.next_source = (self.next_source + 1) % known;
-        if silent.is_some() && silent == self.sources.get(self.next_source).copied() {
-            self.next_source = (self.next_source + 1) % known;
+        let source_count = self.sources.len().max(1);
+        self.source_index = (self.source_index + 1) % source_count;
+        if silent.is_some() && silent == self.sources.get(self.source_index).copied() {
+            self.source_index = (self.source_index + 1) % source_count;
         }
-        self.sources.get(self.next_source).copied()
+        self.sources.get(self.source_index).copied()
     }
 
     /// Whether it is time to ask: the newest asking was returned a while ago, or waited long enough.
     fn is_due(&self, now: MonotonicMs) -> bool {
-        let looks = self.leader.is_none() || !self.leader_is_proven;
+        let is_searching = self.primary.is_none() || !self.primary_has_responded;
         let others = self.sources.len().saturating_sub(1);
-        let is_hurried = self.unanswered <= (HURRIED_ROUNDS * others).max(1);
-        let every = match (self.waits, looks) {
-            (true, true) if is_hurried => LOOKING_TIMEOUT,
-            (true, _) => TIMEOUT,
-            (false, true) => TURNED_AWAY,
-            (false, false) if self.hurried => HURRIED_EVERY,
+        let is_fast = self.unanswered_requests <= (MAX_FAST_ROUNDS * others).max(1);
+        let interval = match (self.awaits_response, is_searching) {
+            (true, true) if is_fast => DISCOVERY_TIMEOUT,
+            (true, _) => RESPONSE_TIMEOUT,
+            (false, true) => NO_PRIMARY_RETRY_DELAY,
+            (false, false) if self.fast_polling => FAST_REQUEST_INTERVAL,
             (false, false) => REQUEST_INTERVAL,
         };
-        self.last_asked.is_none_or(|at| now.since(at) >= every)
+        self.last_request_at.is_none_or(|at| now.since(at) >= interval)
     }
 
     /// Takes the asking of that nonce, and with it those before it.
-    fn take_asked(&mut self, nonce: u64) -> Option<Asked> {
-        let at = self.asked.iter().position(|asked| asked.nonce == nonce)?;
-        self.waits &= at + 1 < self.asked.len();
-        self.asked.drain(..=at).next_back()
+    fn take_request(&mut self, nonce: u64) -> Option<PendingRequest> {
+        let at = self.pending_requests.iter().position(|request| request.nonce == nonce)?;
+        self.awaits_response &= at + 1 < self.pending_requests.len();
+        self.pending_requests.drain(..=at).next_back()
     }
 
     /// Takes a return from a node.
     pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> FollowOutcome {
         match message {
             FeedMessage::News { nonce, place, matter } => {
-                let Some(asked) = self.take_asked(nonce) else { return FollowOutcome::Unchanged };
+                let Some(request) = self.take_request(nonce) else {
+                    return FollowOutcome::Unchanged;
+                };
                 // Never back: a lower place comes from a node that was overtaken.
                 if place < self.copy.position() {
-                    self.leader = None;
+                    self.primary = None;
                     return FollowOutcome::Unchanged;
                 }
-                self.leader = Some(from);
-                self.leader_is_proven = true;
+                self.primary = Some(from);
+                self.primary_has_responded = true;
                 // What was asked of others since needs no return any more.
-                self.waits = false;
-                self.unanswered = 0;
-                self.heard = Some(asked.at);
+                self.awaits_response = false;
+                self.unanswered_requests = 0;
+                self.last_heard = Some(request.sent_at);
                 let changes = match matter {
-                    Matter::Part(part) => return self.take_part(place, &part),
+                    Matter::Part(part) => return self.receive_part(place, &part),
                     Matter::Changes(changes) => changes,
-                    Matter::View(rows) => self.changes_to(rows),
+                    Matter::View(rows) => self.changes_to_match(rows),
                 };
-                self.fetch = None;
-                self.confirmed = Some(asked.at);
+                self.download = None;
+                self.confirmed_at = Some(request.sent_at);
                 self.apply(place, changes)
             }
             FeedMessage::Elsewhere { nonce, primary, .. } => {
-                let is_newest = self.asked.back().is_some_and(|asked| asked.nonce == nonce);
+                let is_newest =
+                    self.pending_requests.back().is_some_and(|request| request.nonce == nonce);
                 if is_newest {
-                    self.asked.pop_back();
-                    self.waits = false;
-                    self.leader = primary.filter(|primary| *primary != from);
-                    self.leader_is_proven = false;
-                    if self.leader.is_some() {
+                    self.pending_requests.pop_back();
+                    self.awaits_response = false;
+                    self.primary = primary.filter(|primary| *primary != from);
+                    self.primary_has_responded = false;
+                    if self.primary.is_some() {
                         // Ask there at once.
-                        self.last_asked = None;
+                        self.last_request_at = None;
                     }
                 }
                 FollowOutcome::Unchanged
@@ -239,32 +242,36 @@
 
     /// Takes a part of a snapshot, and the snapshot once it is whole. What comes next, another part
     /// or the changes after it, is asked for at once.
-    fn take_part(&mut self, place: topazyard_types::Place, part: &SnapshotPart) -> FollowOutcome {
-        let fetch = self.fetch.take().filter(|fetch| fetch.fits(place, part));
-        let fetch = fetch.or_else(|| crate::snapshot::Fetch::begin(place, part));
-        let Some(mut fetch) = fetch.filter(|fetch| fetch.fits(place, part)) else {
+    fn receive_part(
+        &mut self,
+        place: topazyard_types::Place,
+        part: &SnapshotPart,
+    ) -> FollowOutcome {
+        let download = self.download.take().filter(|download| download.is_next(place, part));
+        let download = download.or_else(|| crate::snapshot::SnapshotDownload::start(place, part));
+        let Some(mut download) = download.filter(|download| download.is_next(place, part)) else {
             return FollowOutcome::Unchanged;
         };
-        fetch.add(part);
-        if fetch.wanted().is_some() {
-            self.fetch = Some(fetch);
-            self.last_asked = None;
+        download.add(part);
+        if download.next_request().is_some() {
+            self.download = Some(download);
+            self.last_request_at = None;
             return FollowOutcome::Unchanged;
         }
-        let Some(rows) = fetch.rows() else { return FollowOutcome::Unchanged };
-        self.last_asked = None;
-        let changes = self.changes_to(rows);
+        let Some(rows) = download.rows() else { return FollowOutcome::Unchanged };
+        self.last_request_at = None;
+        let changes = self.changes_to_match(rows);
         self.apply(place, changes)
     }
 
     /// The changes that make the copy hold these rows and no others.
-    fn changes_to(&self, rows: Vec<crate::snapshot::Row>) -> Vec<RowChange> {
+    fn changes_to_match(&self, rows: Vec<crate::snapshot::Row>) -> Vec<RowChange> {
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
-        let old = self.copy.rows().keys().filter(|key| !keep.contains(key.as_str()));
-        let gone: Vec<RowChange> = old.map(RowChange::gone).collect();
-        let put = rows.into_iter().map(|(key, value)| RowChange { key, value: Some(value) });
-        gone.into_iter().chain(put).collect()
+        let stale = self.copy.rows().keys().filter(|key| !keep.contains(key.as_str()));
+        let deletions: Vec<RowChange> = stale.map(RowChange::gone).collect();
+        let puts = rows.into_iter().map(|(key, value)| RowChange { key, value: Some(value) });
+        deletions.into_iter().chain(puts).collect()
     }
 
     fn apply(&mut self, place: topazyard_types::Place, changes: Vec<RowChange>) -> FollowOutcome {
--- /dev/null
+++ b/libraries/topazyard-replication/src/replica/follower.rs
@@ -0,0 +1,303 @@
+//! The follower's side: a backup, or a learner that is to become one.
+
+use super::{MAX_UNSYNCED_WRITES, Replica, ReplicaOutput, Role, Sender, Uncommitted};
+use topazyard_types::{Digest, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_wire::message::replica::{RangePart, ReplicaBody};
+
+/// What a follower keeps of its primary.
+#[derive(Debug, Clone)]
+pub(super) struct FollowerState {
+    pub(super) primary: NodeId,
+    pub(super) last_heard: MonotonicMs,
+    comparison: Option<FollowerComparison>,
+    /// Appends that wait for the disk: (write, return address, round).
+    appends: Vec<(u64, std::net::SocketAddr, u64)>,
+    last_append_round: Option<u64>,
+    /// The last round that the primary said it has synced itself.
+    primary_synced_round: Option<u64>,
+    /// The write after which it may say that it is in step.
+    pending_in_sync: Option<(u64, std::net::SocketAddr, u64)>,
+    /// The comparison by which it came in step. A batch counts only from the same life of the
+    /// primary, so that a frame of a former life changes nothing.
+    sync_round: Option<u64>,
+}
+
+/// How many rounds one life of a primary gives out at the most, comparisons among them.
+const MAX_ROUNDS_PER_BOOT: u64 = 1 << 32;
+
+/// The primary's digests, while ranges are fetched. The copy itself stays as it is until all
+/// that differs is here: a copy that is half the old and half the new would pass for either.
+#[derive(Debug, Clone)]
+struct FollowerComparison {
+    round: u64,
+    sequence: Sequence,
+    digests: Vec<Digest>,
+    missing: std::collections::BTreeSet<u16>,
+    /// Ranges of which some parts are still under way.
+    partial_ranges: std::collections::BTreeMap<u16, PartialRange>,
+    fetched: std::collections::BTreeMap<u16, FetchedRange>,
+}
+
+/// The parts of one range that arrived.
+#[derive(Debug, Clone, Default)]
+struct PartialRange {
+    parts: std::collections::BTreeMap<u32, Vec<(String, bytes::Bytes)>>,
+}
+
+/// A range that arrived whole.
+#[derive(Debug, Clone)]
+struct FetchedRange {
+    /// The digest of what the primary holds there.
+    digest: Digest,
+    /// What is to change in this copy for it to hold the same.
+    changes: Vec<topazyard_wire::RowChange>,
+}
+
+impl FollowerState {
+    pub(super) fn new(primary: NodeId, now: MonotonicMs) -> Self {
+        Self {
+            primary,
+            last_heard: now,
+            comparison: None,
+            appends: Vec::new(),
+            last_append_round: None,
+            primary_synced_round: None,
+            pending_in_sync: None,
+            sync_round: None,
+        }
+    }
+
+    /// Whether the primary has said that it synced the batch that was taken last.
+    pub(super) fn primary_synced_last_batch(&self) -> bool {
+        self.last_append_round.is_some() && self.last_append_round == self.primary_synced_round
+    }
+
+    /// Whether a round was begun by the life of the primary that this copy was compared with.
+    fn is_round_of_synced_boot(&self, round: u64) -> bool {
+        self.sync_round.is_some_and(|comparison| is_later_round_of_same_boot(comparison, round))
+    }
+}
+
+/// Whether the second round comes after the first in the same life of a primary.
+fn is_later_round_of_same_boot(first: u64, second: u64) -> bool {
+    second.checked_sub(first).is_some_and(|rounds| rounds < MAX_ROUNDS_PER_BOOT)
+}
+
+impl FollowerState {
+    /// Takes the primary's digests. Ranges that were fetched for an earlier comparison and still
+    /// are what the primary holds need not be fetched again.
+    fn start_comparison(&mut self, round: u64, sequence: Sequence, digests: Vec<Digest>) {
+        let mut fetched = self.comparison.take().map(|old| old.fetched).unwrap_or_default();
+        fetched.retain(|range, fetched| digests.get(usize::from(*range)) == Some(&fetched.digest));
+        self.pending_in_sync = None;
+        self.comparison = Some(FollowerComparison {
+            round,
+            sequence,
+            digests,
+            missing: std::collections::BTreeSet::new(),
+            partial_ranges: std::collections::BTreeMap::new(),
+            fetched,
+        });
+    }
+}
+
+impl FollowerComparison {
+    /// The ranges in which this copy, with all that was fetched, is not what the primary holds.
+    fn differing(&self, own_digests: &[Digest]) -> std::collections::BTreeSet<u16> {
+        let ranges = (0_u16..).zip(self.digests.iter().zip(own_digests));
+        let differs = |(range, (primary_digest, own_digest)): &(u16, (&Digest, &Digest))| {
+            let fetched = self.fetched.get(range).map(|fetched| &fetched.digest);
+            *primary_digest != fetched.unwrap_or(own_digest)
+        };
+        ranges.filter(differs).map(|(range, _)| range).collect()
+    }
+
+    /// Takes a part of a range; gives the rows of the range once all its parts are here.
+    fn add_part(&mut self, part: RangePart) -> Option<Vec<(String, bytes::Bytes)>> {
+        let RangePart { round, range, part, rows } = part;
+        if self.round != round || !self.missing.contains(&range) {
+            return None;
+        }
+        let partial = self.partial_ranges.entry(range).or_default();
+        partial.parts.insert(part.number, rows);
+        if partial.parts.len() < part.of as usize {
+            return None;
+        }
+        self.missing.remove(&range);
+        let arrived = self.partial_ranges.remove(&range)?;
+        Some(arrived.parts.into_values().flatten().collect())
+    }
+}
+
+impl Replica {
+    pub(super) fn follower_receive(
+        &mut self,
+        from: Sender,
+        body: ReplicaBody,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let Role::Follower(follower) = &mut self.role else { return };
+        if follower.primary != from.id {
+            return;
+        }
+        follower.last_heard = now;
+        if self.unsynced_writes.len() >= MAX_UNSYNCED_WRITES {
+            // As if the frame had been lost: the primary sends it again.
+            return;
+        }
+        match body {
+            ReplicaBody::Append { round, sequence, changes } => {
+                self.receive_append(from, round, sequence, changes, now, outputs);
+            }
+            ReplicaBody::Digests { round, sequence, digests, .. } => {
+                follower.start_comparison(round, sequence, digests);
+                self.compare(from.address, now, outputs);
+            }
+            ReplicaBody::Range(part) => self.receive_range(from, part, now, outputs),
+            ReplicaBody::Synced { round } => follower.primary_synced_round = Some(round),
+            _ => {}
+        }
+    }
+
+    fn receive_append(
+        &mut self,
+        from: Sender,
+        round: u64,
+        sequence: Sequence,
+        changes: Vec<topazyard_wire::RowChange>,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let own_sequence = self.copy.position().sequence;
+        let in_sync = self.was_in_sync();
+        let Role::Follower(follower) = &mut self.role else { return };
+        if let Some(comparison) = &follower.comparison {
+            if is_later_round_of_same_boot(round, comparison.round) {
+                // It was sent before the comparison that is under way, which settles it too.
+                return;
+            }
+            // The comparison came late: the primary already goes on from here.
+            follower.comparison = None;
+        }
+        let in_sync = in_sync && follower.is_round_of_synced_boot(round);
+        let is_repeated = follower.last_append_round == Some(round);
+        let is_next = if changes.is_empty() {
+            sequence == own_sequence
+        } else {
+            sequence == own_sequence.next()
+        };
+        if !in_sync || !(is_next || is_repeated) {
+            self.send(from.address, ReplicaBody::OutOfStep, outputs);
+            return;
+        }
+        if is_repeated && follower.appends.iter().any(|(_, _, waiting)| *waiting == round) {
+            return;
+        }
+        follower.last_append_round = Some(round);
+        // A primary begins a round only once the one before is committed.
+        if !is_repeated {
+            self.uncommitted =
+                if changes.is_empty() { Uncommitted::Nothing } else { Uncommitted::LastBatch };
+            self.note_committed(own_sequence);
+        }
+        if changes.is_empty() || is_repeated {
+            self.send(from.address, ReplicaBody::Appended { round }, outputs);
+            return;
+        }
+        let rows = self.copy.apply(self.epoch, sequence, changes);
+        match self.write(rows, now, outputs) {
+            Some(write) => {
+                if let Role::Follower(follower) = &mut self.role {
+                    follower.appends.push((write, from.address, round));
+                }
+            }
+            None => self.send(from.address, ReplicaBody::Appended { round }, outputs),
+        }
+    }
+
+    /// Compares with the primary's digests: asks for what differs, or takes it all at once and
+    /// says that nothing does any more.
+    fn compare(
+        &mut self,
+        primary: std::net::SocketAddr,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        self.uncommitted = Uncommitted::All;
+        let own_digests = self.copy.digests();
+        let Role::Follower(follower) = &mut self.role else { return };
+        let Some(comparison) = &mut follower.comparison else { return };
+        comparison.missing = comparison.differing(own_digests);
+        if !comparison.missing.is_empty() {
+            let ranges = comparison.missing.iter().copied().collect();
+            let round = comparison.round;
+            self.send(primary, ReplicaBody::Differ { round, ranges }, outputs);
+            return;
+        }
+        let Some(comparison) = follower.comparison.take() else { return };
+        let (round, sequence) = (comparison.round, comparison.sequence);
+        let changes = comparison.fetched.into_values().flat_map(|range| range.changes).collect();
+        self.check_keeps_committed(sequence);
+        // Written even if nothing changed: the disk works in order, so all before it is synced too.
+        let rows = self.copy.replace(Place { epoch: self.epoch, sequence }, changes);
+        match self.write(rows, now, outputs) {
+            Some(write) => {
+                if let Role::Follower(follower) = &mut self.role {
+                    follower.pending_in_sync = Some((write, primary, round));
+                }
+            }
+            None => self.send_in_sync(primary, round, outputs),
+        }
+    }
+
+    fn receive_range(
+        &mut self,
+        from: Sender,
+        part: RangePart,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let Role::Follower(follower) = &mut self.role else { return };
+        let Some(comparison) = &mut follower.comparison else { return };
+        let range = part.range;
+        let Some(rows) = comparison.add_part(part) else { return };
+        let digest = crate::copy::digest_of_rows(&rows);
+        let changes = self.copy.difference(usize::from(range), rows);
+        comparison.fetched.insert(range, FetchedRange { digest, changes });
+        // A range that changed at the primary since it sent its digests is settled by its next ones.
+        if comparison.missing.is_empty() && comparison.differing(self.copy.digests()).is_empty() {
+            self.compare(from.address, now, outputs);
+        }
+    }
+
+    fn send_in_sync(
+        &mut self,
+        primary: std::net::SocketAddr,
+        round: u64,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let sequence = self.copy.position().sequence;
+        self.uncommitted = Uncommitted::UnknownBatch;
+        if let Role::Follower(follower) = &mut self.role {
+            follower.last_append_round = None;
+            follower.sync_round = Some(round);
+        }
+        self.send(primary, ReplicaBody::InStep { round, sequence }, outputs);
+    }
+
+    pub(super) fn follower_write_synced(&mut self, number: u64, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Follower(follower) = &mut self.role else { return };
+        let (done, waiting) = std::mem::take(&mut follower.appends)
+            .into_iter()
+            .partition::<Vec<_>, _>(|(write, _, _)| *write <= number);
+        follower.appends = waiting;
+        let in_sync = follower.pending_in_sync.take_if(|(write, _, _)| *write <= number);
+        for (_, to, round) in done {
+            self.send(to, ReplicaBody::Appended { round }, outputs);
+        }
+        if let Some((_, primary, round)) = in_sync {
+            self.send_in_sync(primary, round, outputs);
+        }
+    }
+}
--- a/libraries/topazyard-replication/src/replica/mod.rs
+++ b/libraries/topazyard-replication/src/replica/mod.rs
@@ -5,9 +5,9 @@
 //! One batch is under way at a time; what comes meanwhile forms the next. A read is a batch
 //! without changes, so that it is confirmed the same way.
 
-mod follow;
-mod lead;
+mod follower;
 mod parts;
+mod primary;
 mod progress;
 
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Sequence};
@@ -18,11 +18,11 @@
 use crate::invariants::{check_committed_stays, report};
 use topazyard_wire::invariants::Invariant;
 
-pub use lead::PrimaryState;
+pub use primary::PrimaryState;
 
 /// With so many writes that are not synced a follower takes nothing more. A whole copy comes in
 /// fewer.
-const MOST_UNSYNCED: usize = 2 * crate::copy::RANGE_COUNT;
+const MAX_UNSYNCED_WRITES: usize = 2 * crate::copy::RANGE_COUNT;
 
 /// Marks something submitted, so that the owner hears when it is committed.
 pub type WriteTicket = u64;
@@ -63,7 +63,7 @@
     /// It commits.
     Primary(Box<PrimaryState>),
     /// It follows a primary: as its backup or as its learner.
-    Follower(follow::Follow),
+    Follower(follower::FollowerState),
 }
 
 /// How much of a copy may never have been committed.
@@ -88,12 +88,12 @@
     copy: crate::Copy,
     role: Role,
     uncommitted: Uncommitted,
-    holds_learner: bool,
-    settled: bool,
+    learner_promotion_paused: bool,
+    has_role: bool,
     last_write: u64,
     /// The round given out last, in any role: none is given out twice in a life.
     last_round: u64,
-    writes: std::collections::BTreeMap<u64, MonotonicMs>,
+    unsynced_writes: std::collections::BTreeMap<u64, MonotonicMs>,
     /// On how many copies the last commit was synced, this one among them.
     synced_copies: usize,
     /// What this node knows to have been committed.
@@ -127,11 +127,11 @@
             copy,
             role: Role::Idle,
             uncommitted: Uncommitted::All,
-            holds_learner: false,
-            settled: false,
+            learner_promotion_paused: false,
+            has_role: false,
             last_write: 0,
             last_round: life.first_number(),
-            writes: std::collections::BTreeMap::new(),
+            unsynced_writes: std::collections::BTreeMap::new(),
             synced_copies: 0,
             committed: Sequence::default(),
         }
@@ -156,8 +156,8 @@
 
     /// Leaves a learner as it is while nobody could make it the backup: a primary that has one goes
     /// on with it rather than stop for a record that won't come.
-    pub fn set_learner_promotion_paused(&mut self, holds: bool) {
-        self.holds_learner = holds;
+    pub fn set_learner_promotion_paused(&mut self, paused: bool) {
+        self.learner_promotion_paused = paused;
     }
 
     /// On how many copies the last commit of this primary was synced, its own among them.
@@ -177,12 +177,12 @@
 
     /// Whether this node is the primary and all its backups confirm.
     pub fn is_serving(&self) -> bool {
-        matches!(&self.role, Role::Primary(lead) if lead.is_serving())
+        matches!(&self.role, Role::Primary(primary) if primary.is_serving())
     }
 
     /// Whether this node was given a role since it started.
     pub fn has_role(&self) -> bool {
-        self.settled
+        self.has_role
     }
 
     /// Whether this node is the primary, serving or not.
@@ -203,13 +203,13 @@
 
     /// Whether this node follows a primary that has said that it synced the batch taken last.
     pub fn primary_synced_last_batch(&self) -> bool {
-        matches!(&self.role, Role::Follower(follow) if follow.primary_synced_last_batch())
+        matches!(&self.role, Role::Follower(follower) if follower.primary_synced_last_batch())
     }
 
     /// The primary that this node follows, if it follows one.
     pub fn primary(&self) -> Option<NodeId> {
         match &self.role {
-            Role::Follower(follow) => Some(follow.primary),
+            Role::Follower(follower) => Some(follower.primary),
             _ => None,
         }
     }
@@ -217,7 +217,7 @@
     /// When this follower last heard its primary.
     pub fn primary_last_heard(&self) -> Option<MonotonicMs> {
         match &self.role {
-            Role::Follower(follow) => Some(follow.heard),
+            Role::Follower(follower) => Some(follower.last_heard),
             _ => None,
         }
     }
@@ -225,7 +225,7 @@
     /// Since when a backup owes the primary a confirmation, if one does.
     pub fn backup_silent_since(&self) -> Option<MonotonicMs> {
         match &self.role {
-            Role::Primary(lead) => lead.owing().map(|(_, since)| since).min(),
+            Role::Primary(primary) => primary.unconfirmed_backups().map(|(_, since)| since).min(),
             _ => None,
         }
     }
@@ -237,8 +237,9 @@
         now: MonotonicMs,
     ) -> Vec<NodeId> {
         match &self.role {
-            Role::Primary(lead) => {
-                let silent = lead.owing().filter(|(_, since)| now.since(*since) >= timeout);
+            Role::Primary(primary) => {
+                let silent =
+                    primary.unconfirmed_backups().filter(|(_, since)| now.since(*since) >= timeout);
                 silent.map(|(id, _)| id).collect()
             }
             _ => Vec::new(),
@@ -248,19 +249,19 @@
     /// The learners that hold everything.
     pub fn filled_learners(&self) -> Vec<NodeId> {
         match &self.role {
-            Role::Primary(lead) => lead.filled().collect(),
+            Role::Primary(primary) => primary.ready_learners().collect(),
             _ => Vec::new(),
         }
     }
 
     /// Whether all that was written is synced.
     pub fn is_synced(&self) -> bool {
-        self.writes.is_empty()
+        self.unsynced_writes.is_empty()
     }
 
     /// How long the oldest write not yet synced has taken.
     pub fn oldest_write(&self, now: MonotonicMs) -> topazyard_types::DurationMs {
-        let oldest = self.writes.values().next();
+        let oldest = self.unsynced_writes.values().next();
         oldest.map_or(topazyard_types::DurationMs(0), |since| now.since(*since))
     }
 
@@ -276,17 +277,17 @@
         followers: Followers,
         now: MonotonicMs,
     ) -> Vec<ReplicaOutput> {
-        let carried = match std::mem::replace(&mut self.role, Role::Idle) {
-            Role::Primary(lead) => Some(lead),
+        let previous = match std::mem::replace(&mut self.role, Role::Idle) {
+            Role::Primary(primary) => Some(primary),
             other => {
                 self.role = other;
                 None
             }
         };
-        let lead = PrimaryState::new(followers, carried, now);
-        let mut out = self.change_role(epoch, Role::Primary(Box::new(lead)));
-        self.lead_tick(now, &mut out);
-        out
+        let primary = PrimaryState::new(followers, previous, now);
+        let mut outputs = self.change_role(epoch, Role::Primary(Box::new(primary)));
+        self.primary_tick(now, &mut outputs);
+        outputs
     }
 
     /// Becomes a follower of that primary in an epoch.
@@ -296,26 +297,29 @@
         primary: NodeId,
         now: MonotonicMs,
     ) -> Vec<ReplicaOutput> {
-        if let Role::Follower(follow) = &self.role
+        if let Role::Follower(follower) = &self.role
             && self.epoch == epoch
-            && follow.primary == primary
+            && follower.primary == primary
         {
             return Vec::new();
         }
-        self.change_role(epoch, Role::Follower(follow::Follow::new(primary, now)))
+        self.change_role(epoch, Role::Follower(follower::FollowerState::new(primary, now)))
     }
 
     /// The one place where the role changes. What was under way in a lost role is unknown.
     fn change_role(&mut self, epoch: Epoch, role: Role) -> Vec<ReplicaOutput> {
         self.epoch = epoch;
-        self.settled = true;
-        let led = matches!(self.role, Role::Primary(_));
-        if led && !matches!(role, Role::Primary(_)) && self.uncommitted != Uncommitted::Nothing {
+        self.has_role = true;
+        let was_primary = matches!(self.role, Role::Primary(_));
+        if was_primary
+            && !matches!(role, Role::Primary(_))
+            && self.uncommitted != Uncommitted::Nothing
+        {
             // Nobody else may have what it began last.
             self.uncommitted = Uncommitted::All;
         }
         match std::mem::replace(&mut self.role, role) {
-            Role::Primary(lead) => match lead.all_tickets() {
+            Role::Primary(primary) => match primary.all_tickets() {
                 tickets if tickets.is_empty() => Vec::new(),
                 tickets => vec![ReplicaOutput::OutcomeUnknown(tickets)],
             },
@@ -331,16 +335,16 @@
         message: ReplicaMessage,
         now: MonotonicMs,
     ) -> Vec<ReplicaOutput> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         if message.epoch != self.epoch {
-            return out;
+            return outputs;
         }
         match &self.role {
             Role::Idle => {}
-            Role::Primary(_) => self.lead_receive(from, message.body, now, &mut out),
-            Role::Follower(_) => self.follow_receive(from, message.body, now, &mut out),
+            Role::Primary(_) => self.primary_receive(from, message.body, now, &mut outputs),
+            Role::Follower(_) => self.follower_receive(from, message.body, now, &mut outputs),
         }
-        out
+        outputs
     }
 
     /// Everything up to that sequence is known to be committed.
@@ -360,28 +364,28 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         if self.is_primary() {
-            self.lead_tick(now, &mut out);
+            self.primary_tick(now, &mut outputs);
         }
-        out
+        outputs
     }
 
     /// A write is synced.
     pub fn write_synced(&mut self, number: u64) -> Vec<ReplicaOutput> {
-        let mut out = Vec::new();
-        self.writes.remove(&number);
+        let mut outputs = Vec::new();
+        self.unsynced_writes.remove(&number);
         match &self.role {
             Role::Idle => {}
-            Role::Primary(_) => self.lead_written(number, &mut out),
-            Role::Follower(_) => self.follow_written(number, &mut out),
+            Role::Primary(_) => self.primary_write_synced(number, &mut outputs),
+            Role::Follower(_) => self.follower_write_synced(number, &mut outputs),
         }
-        out
+        outputs
     }
 
-    fn send(&self, to: std::net::SocketAddr, body: ReplicaBody, out: &mut Vec<ReplicaOutput>) {
+    fn send(&self, to: std::net::SocketAddr, body: ReplicaBody, outputs: &mut Vec<ReplicaOutput>) {
         let message = ReplicaMessage { group: self.group, epoch: self.epoch, body };
-        out.push(ReplicaOutput::Send(to, message));
+        outputs.push(ReplicaOutput::Send(to, message));
     }
 
     /// Writes rows, or gives none where the group is kept in memory only.
@@ -389,15 +393,15 @@
         &mut self,
         changes: Vec<RowChange>,
         now: MonotonicMs,
-        out: &mut Vec<ReplicaOutput>,
+        outputs: &mut Vec<ReplicaOutput>,
     ) -> Option<u64> {
         if !self.durable || changes.is_empty() {
             return None;
         }
         self.last_write += 1;
-        self.writes.insert(self.last_write, now);
+        self.unsynced_writes.insert(self.last_write, now);
         let token = WriteToken { group: self.group, number: self.last_write };
-        out.push(ReplicaOutput::Write(token, changes));
+        outputs.push(ReplicaOutput::Write(token, changes));
         Some(self.last_write)
     }
 }
--- a/libraries/topazyard-replication/src/replica/parts.rs
+++ b/libraries/topazyard-replication/src/replica/parts.rs
@@ -1,10 +1,10 @@
 //! Ranges that are sent in parts, so that none outgrows a frame.
 
 /// How much of a range goes into one frame.
-const PART_BYTES: u64 = 1024 * 1024;
+const MAX_PART_BYTES: u64 = 1024 * 1024;
 
 /// How large rows are.
-pub(super) fn bytes_of(rows: &[(String, bytes::Bytes)]) -> u64 {
+pub(super) fn size_of_rows(rows: &[(String, bytes::Bytes)]) -> u64 {
     rows.iter().map(|(key, value)| (key.len() + value.len()) as u64).sum()
 }
 
@@ -16,8 +16,8 @@
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     for row in rows {
-        let size = bytes_of(std::slice::from_ref(&row));
-        if bytes > 0 && bytes + size > PART_BYTES {
+        let size = size_of_rows(std::slice::from_ref(&row));
+        if bytes > 0 && bytes + size > MAX_PART_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
--- /dev/null
+++ b/libraries/topazyard-replication/src/replica/primary.rs
@@ -0,0 +1,482 @@
+//! The primary's side: batches, the comparisons that bring backups in step, and the learners.
+
+use super::parts::{size_of_rows, split_into_parts};
+use super::progress::{
+    Backup, BackupState, ChangeBatch, Comparison, Learner, LearnerState, is_due,
+};
+use super::{Followers, Replica, ReplicaOutput, Role, Sender, Uncommitted, WriteTicket};
+use topazyard_types::{DurationMs, MonotonicMs, NodeId, Sequence};
+use topazyard_wire::RowChange;
+use topazyard_wire::message::control::CoreNode;
+use topazyard_wire::message::replica::{Follows, Part, RangePart, ReplicaBody};
+
+/// After how long an append is sent again.
+const APPEND_RETRY_INTERVAL: DurationMs = DurationMs(100);
+/// How long an idle primary leaves its backups without a word.
+const HEARTBEAT_INTERVAL: DurationMs = DurationMs(200);
+/// How long new batches are held back for a learner's last comparison.
+const MAX_WRITE_PAUSE: DurationMs = DurationMs(1_500);
+
+/// Whether the primary may commit.
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum Phase {
+    /// It may not yet: a backup's copy is being compared, or backups are missing.
+    Comparing,
+    /// It may.
+    Serving,
+    /// It may no more in this epoch: another record was asked for.
+    Stopped,
+}
+
+/// What a primary keeps.
+#[derive(Debug, Clone)]
+pub struct PrimaryState {
+    backups: Vec<Backup>,
+    learners: Vec<Learner>,
+    /// Whether it may answer once all its backups are in step.
+    may_serve: bool,
+    phase: Phase,
+    in_flight: Option<ChangeBatch>,
+    queued_tickets: Vec<WriteTicket>,
+    queued_changes: Vec<RowChange>,
+    last_batch_at: MonotonicMs,
+}
+
+impl PrimaryState {
+    pub(super) fn new(followers: Followers, previous: Option<Box<Self>>, now: MonotonicMs) -> Self {
+        let (in_flight, queued_tickets, queued_changes) = match previous {
+            None => (None, Vec::new(), Vec::new()),
+            Some(old) => (old.in_flight, old.queued_tickets, old.queued_changes),
+        };
+        let state = || BackupState::Comparing(None, now);
+        let backup = |node| Backup { node, state: state(), confirmed_round: None };
+        let learner = |node| Learner { node, state: LearnerState::Fetching(None) };
+        Self {
+            backups: followers.backups.into_iter().map(backup).collect(),
+            learners: followers.learners.into_iter().map(learner).collect(),
+            may_serve: followers.may_serve,
+            phase: Phase::Comparing,
+            in_flight,
+            queued_tickets,
+            queued_changes,
+            last_batch_at: now,
+        }
+    }
+
+    pub(super) fn is_serving(&self) -> bool {
+        self.phase == Phase::Serving
+    }
+
+    pub(super) fn all_tickets(&self) -> Vec<WriteTicket> {
+        let in_flight = self.in_flight.iter().flat_map(|batch| batch.tickets.iter());
+        in_flight.chain(&self.queued_tickets).copied().collect()
+    }
+
+    /// The backups that owe a confirmation, each with since when.
+    pub(super) fn unconfirmed_backups(&self) -> impl Iterator<Item = (NodeId, MonotonicMs)> {
+        let batch = self.in_flight.as_ref();
+        let backups = self.backups.iter().filter(|_| self.phase != Phase::Stopped);
+        backups.filter_map(move |backup| Some((backup.node.id, backup.unconfirmed_since(batch)?)))
+    }
+
+    /// The learners that hold everything.
+    pub(super) fn ready_learners(&self) -> impl Iterator<Item = NodeId> {
+        let ready = |learner: &&Learner| matches!(learner.state, LearnerState::Ready(_));
+        self.learners.iter().filter(ready).map(|learner| learner.node.id)
+    }
+
+    fn backup_index(&self, id: NodeId) -> Option<usize> {
+        self.backups.iter().position(|backup| backup.node.id == id)
+    }
+
+    fn learner_index(&self, id: NodeId) -> Option<usize> {
+        self.learners.iter().position(|learner| learner.node.id == id)
+    }
+
+    fn all_in_sync(&self) -> bool {
+        self.backups.iter().all(Backup::is_in_sync)
+    }
+
+    fn are_writes_paused(&self) -> bool {
+        self.learners.iter().any(|l| !matches!(l.state, LearnerState::Fetching(_)))
+    }
+}
+
+impl Replica {
+    /// Submits changes; the ticket is committed once all copies have synced them. No changes
+    /// make it a confirmed read.
+    ///
+    /// Gives false, and does nothing, where this node is not the primary.
+    pub fn submit(&mut self, ticket: WriteTicket, changes: Vec<RowChange>) -> bool {
+        let Role::Primary(primary) = &mut self.role else { return false };
+        primary.queued_tickets.push(ticket);
+        primary.queued_changes.extend(changes);
+        true
+    }
+
+    /// Whether changes wait that are not committed yet.
+    pub fn has_changes_pending(&self) -> bool {
+        match &self.role {
+            Role::Primary(primary) => {
+                let in_flight = primary.in_flight.as_ref();
+                !primary.queued_changes.is_empty()
+                    || in_flight.is_some_and(|batch| !batch.changes.is_empty())
+            }
+            _ => false,
+        }
+    }
+
+    /// Answers nothing more in this epoch.
+    pub fn stop_serving(&mut self) {
+        if let Role::Primary(primary) = &mut self.role {
+            primary.phase = Phase::Stopped;
+        }
+    }
+
+    /// Begins the next batch, if there is one and none is under way. The owner calls this after
+    /// it has dealt with all that the replica put out, while the copy holds only what is committed.
+    pub fn start_next_batch(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
+        let mut outputs = Vec::new();
+        let Role::Primary(primary) = &mut self.role else { return outputs };
+        let idle = primary.queued_tickets.is_empty()
+            && now.since(primary.last_batch_at) < HEARTBEAT_INTERVAL;
+        if !primary.is_serving() || primary.in_flight.is_some() || idle {
+            return outputs;
+        }
+        // While a learner compares for the last time only confirmations go on, with no changes.
+        if primary.are_writes_paused() && !primary.queued_changes.is_empty() {
+            return outputs;
+        }
+        let tickets = std::mem::take(&mut primary.queued_tickets);
+        let changes = std::mem::take(&mut primary.queued_changes);
+        primary.last_batch_at = now;
+        self.last_round += 1;
+        let round = self.last_round;
+        let own_sequence = self.copy.position().sequence;
+        let sequence = if changes.is_empty() { own_sequence } else { own_sequence.next() };
+        let write = if changes.is_empty() {
+            None
+        } else {
+            let rows = self.copy.apply(self.epoch, sequence, changes.clone());
+            self.uncommitted = Uncommitted::LastBatch;
+            self.write(rows, now, &mut outputs)
+        };
+        if let Role::Primary(primary) = &mut self.role {
+            primary.in_flight = Some(ChangeBatch {
+                round,
+                sequence,
+                changes,
+                tickets,
+                write,
+                started_at: now,
+                sent_at: now,
+            });
+        }
+        self.send_append(&mut outputs);
+        // Where there are no backups nobody else has to confirm it.
+        self.commit_batch(&mut outputs);
+        outputs
+    }
+
+    /// Sends the batch under way to those backups in step that have not confirmed it.
+    fn send_append(&self, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &self.role else { return };
+        let Some(batch) = &primary.in_flight else { return };
+        let unconfirmed =
+            |backup: &&Backup| backup.is_in_sync() && backup.confirmed_round != Some(batch.round);
+        for backup in primary.backups.iter().filter(unconfirmed) {
+            let body = ReplicaBody::Append {
+                round: batch.round,
+                sequence: batch.sequence,
+                changes: batch.changes.clone(),
+            };
+            self.send(backup.node.address, body, outputs);
+        }
+    }
+
+    fn start_comparison(
+        &mut self,
+        with: CoreNode,
+        of: Follows,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) -> Option<Comparison> {
+        self.last_round += 1;
+        let round = self.last_round;
+        let body = ReplicaBody::Digests {
+            round,
+            sequence: self.copy.position().sequence,
+            digests: self.copy.digests().to_vec(),
+            of,
+        };
+        self.send(with.address, body, outputs);
+        Some(Comparison { round, started_at: now, requested_bytes: None })
+    }
+
+    pub(super) fn primary_tick(&mut self, now: MonotonicMs, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        if primary.phase != Phase::Stopped {
+            let due: Vec<(usize, CoreNode)> = primary
+                .backups
+                .iter()
+                .enumerate()
+                .filter(|(_, b)| matches!(&b.state, BackupState::Comparing(c, _) if is_due(c, now)))
+                .map(|(index, backup)| (index, backup.node))
+                .collect();
+            for (index, node) in due {
+                let started = self.start_comparison(node, Follows::AsBackup, now, outputs);
+                if let Role::Primary(primary) = &mut self.role
+                    && let BackupState::Comparing(comparison, _) = &mut primary.backups[index].state
+                {
+                    *comparison = started;
+                }
+            }
+            self.resend_batch(now, outputs);
+            self.serve_if_in_sync(outputs);
+        }
+        self.learners_tick(now, outputs);
+    }
+
+    fn resend_batch(&mut self, now: MonotonicMs, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        if let Some(batch) = &mut primary.in_flight
+            && now.since(batch.sent_at) >= APPEND_RETRY_INTERVAL
+        {
+            batch.sent_at = now;
+            self.send_append(outputs);
+        }
+    }
+
+    fn learners_tick(&mut self, now: MonotonicMs, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        // Where only a backup out of step keeps the primary from serving, that one comes first.
+        if primary.phase == Phase::Comparing && primary.may_serve {
+            return;
+        }
+        let stopped = primary.phase == Phase::Stopped;
+        let mut due = Vec::new();
+        for (index, learner) in primary.learners.iter_mut().enumerate() {
+            match &learner.state {
+                LearnerState::FinalComparison(_, since) | LearnerState::Ready(since)
+                    if !stopped && now.since(*since) >= MAX_WRITE_PAUSE =>
+                {
+                    learner.state = LearnerState::Fetching(None);
+                }
+                LearnerState::Fetching(comparison)
+                | LearnerState::FinalComparison(comparison, _)
+                    if is_due(comparison, now) =>
+                {
+                    due.push((index, learner.node));
+                }
+                _ => {}
+            }
+        }
+        for (index, node) in due {
+            let started = self.start_comparison(node, Follows::AsLearner, now, outputs);
+            if let Role::Primary(primary) = &mut self.role
+                && let LearnerState::Fetching(comparison)
+                | LearnerState::FinalComparison(comparison, _) =
+                    &mut primary.learners[index].state
+            {
+                *comparison = started;
+            }
+        }
+    }
+
+    pub(super) fn primary_receive(
+        &mut self,
+        from: Sender,
+        body: ReplicaBody,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        let (backup, learner) = (primary.backup_index(from.id), primary.learner_index(from.id));
+        match (body, backup, learner) {
+            (ReplicaBody::Appended { round }, Some(index), _) => {
+                let in_flight = primary.in_flight.as_ref().is_some_and(|b| b.round == round);
+                if in_flight && primary.backups[index].is_in_sync() {
+                    primary.backups[index].confirmed_round = Some(round);
+                }
+                self.commit_batch(outputs);
+            }
+            (ReplicaBody::OutOfStep, Some(index), _)
+                if primary.phase != Phase::Stopped && primary.backups[index].is_in_sync() =>
+            {
+                primary.backups[index].state = BackupState::Comparing(None, now);
+                primary.backups[index].confirmed_round = None;
+                primary.phase = Phase::Comparing;
+                self.primary_tick(now, outputs);
+            }
+            (ReplicaBody::Differ { round, ranges }, _, _) if backup.or(learner).is_some() => {
+                let requested =
+                    ranges.into_iter().filter(|r| usize::from(*r) < crate::copy::RANGE_COUNT);
+                let requested: Vec<_> =
+                    requested.map(|range| (range, self.copy.range(usize::from(range)))).collect();
+                let Some(comparison) = primary.comparison_of(round) else { return };
+                comparison.requested_bytes =
+                    Some(requested.iter().map(|(_, rows)| size_of_rows(rows)).sum());
+                for (range, rows) in requested {
+                    self.send_range(from.address, round, range, rows, outputs);
+                }
+            }
+            (ReplicaBody::InStep { round, sequence }, Some(index), _) => {
+                self.backup_in_sync(index, round, sequence, outputs);
+            }
+            (ReplicaBody::InStep { round, sequence }, _, Some(index)) => {
+                self.learner_in_sync(index, round, sequence, now, outputs);
+            }
+            _ => {}
+        }
+    }
+
+    /// Sends a range, in parts where it is large.
+    fn send_range(
+        &self,
+        to: std::net::SocketAddr,
+        round: u64,
+        range: u16,
+        rows: Vec<(String, bytes::Bytes)>,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let parts = split_into_parts(rows);
+        let of = u32::try_from(parts.len()).unwrap_or(u32::MAX);
+        for (number, rows) in (0..).zip(parts) {
+            let part = Part { number, of };
+            self.send(to, ReplicaBody::Range(RangePart { round, range, part, rows }), outputs);
+        }
+    }
+
+    fn backup_in_sync(
+        &mut self,
+        index: usize,
+        round: u64,
+        sequence: Sequence,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let own_sequence = self.copy.position().sequence;
+        let Role::Primary(primary) = &mut self.role else { return };
+        let backup = &mut primary.backups[index];
+        let is_expected =
+            matches!(&backup.state, BackupState::Comparing(Some(c), _) if c.round == round);
+        if primary.phase == Phase::Stopped || !is_expected || sequence != own_sequence {
+            return;
+        }
+        backup.state = BackupState::InSync;
+        // The copy compared holds the batch that was under way.
+        backup.confirmed_round = primary.in_flight.as_ref().map(|batch| batch.round);
+        self.serve_if_in_sync(outputs);
+    }
+
+    /// Begins to serve once all backups are in step and its own copy is synced: a successor may hold a
+    /// batch that its disk has not done yet, and what it then shows is on all copies but its own.
+    fn serve_if_in_sync(&mut self, outputs: &mut Vec<ReplicaOutput>) {
+        let is_synced = self.is_synced();
+        let Role::Primary(primary) = &mut self.role else { return };
+        if !is_synced
+            || primary.phase != Phase::Comparing
+            || !primary.may_serve
+            || !primary.all_in_sync()
+        {
+            return;
+        }
+        primary.phase = Phase::Serving;
+        if primary.in_flight.is_none() {
+            self.uncommitted = Uncommitted::Nothing;
+        }
+        outputs.push(ReplicaOutput::Serving);
+        self.commit_batch(outputs);
+    }
+
+    fn learner_in_sync(
+        &mut self,
+        index: usize,
+        round: u64,
+        sequence: Sequence,
+        now: MonotonicMs,
+        outputs: &mut Vec<ReplicaOutput>,
+    ) {
+        let own_sequence = self.copy.position().sequence;
+        let Role::Primary(primary) = &mut self.role else { return };
+        match &primary.learners[index].state {
+            LearnerState::Fetching(Some(c)) if c.round == round => {
+                if self.learner_promotion_paused && primary.may_serve {
+                    return;
+                }
+                primary.learners[index].state = LearnerState::FinalComparison(None, now);
+                self.learners_tick(now, outputs);
+            }
+            // A batch may be under way: it is in the copy, and from here on it is not answered
+            // before the next epoch.
+            LearnerState::FinalComparison(Some(c), since)
+                if c.round == round && sequence == own_sequence =>
+            {
+                primary.learners[index].state = LearnerState::Ready(*since);
+                if primary.ready_learners().count() == primary.learners.len() {
+                    primary.phase = Phase::Stopped;
+                    outputs.push(ReplicaOutput::LearnersReady);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn primary_write_synced(&mut self, number: u64, outputs: &mut Vec<ReplicaOutput>) {
+        if let Role::Primary(primary) = &mut self.role
+            && let Some(batch) = &mut primary.in_flight
+            && batch.write.take_if(|write| *write <= number).is_some()
+        {
+            let round = batch.round;
+            self.send_synced(round, outputs);
+        }
+        self.serve_if_in_sync(outputs);
+        self.commit_batch(outputs);
+    }
+
+    /// Tells the backups in step that this copy has synced a batch: with their own word that is all.
+    fn send_synced(&self, round: u64, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &self.role else { return };
+        for backup in primary.backups.iter().filter(|backup| backup.is_in_sync()) {
+            self.send(backup.node.address, ReplicaBody::Synced { round }, outputs);
+        }
+    }
+
+    /// The one place where something is said to be committed.
+    fn commit_batch(&mut self, outputs: &mut Vec<ReplicaOutput>) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        if !primary.is_serving() {
+            return;
+        }
+        let backups = &primary.backups;
+        let done = primary.in_flight.take_if(|batch| {
+            let confirmed = |backup: &Backup| backup.confirmed_round == Some(batch.round);
+            batch.write.is_none() && backups.iter().all(confirmed)
+        });
+        let Some(batch) = done else { return };
+        let confirmed = primary.backups.iter().filter(|backup| backup.has_synced(batch.round));
+        let confirmed = confirmed.count();
+        self.synced_copies = confirmed + usize::from(self.is_synced());
+        self.uncommitted = Uncommitted::Nothing;
+        self.note_committed(batch.sequence);
+        if !batch.tickets.is_empty() {
+            outputs.push(ReplicaOutput::Committed(batch.tickets));
+        }
+    }
+}
+
+impl PrimaryState {
+    /// The comparison of that round, if it is still under way.
+    fn comparison_of(&mut self, round: u64) -> Option<&mut Comparison> {
+        let backups = self.backups.iter_mut().filter_map(|backup| match &mut backup.state {
+            BackupState::Comparing(comparison, _) => comparison.as_mut(),
+            BackupState::InSync => None,
+        });
+        let learners = self.learners.iter_mut().filter_map(|learner| match &mut learner.state {
+            LearnerState::Fetching(comparison) | LearnerState::FinalComparison(comparison, _) => {
+                comparison.as_mut()
+            }
+            LearnerState::Ready(_) => None,
+        });
+        backups.chain(learners).find(|comparison| comparison.round == round)
+    }
+}
--- a/libraries/topazyard-replication/src/snapshot.rs
+++ b/libraries/topazyard-replication/src/snapshot.rs
@@ -7,7 +7,7 @@
 /// as after a restart of all, and what they are sent waits in memory.
 pub const PART_BYTES: usize = 128 * 1024;
 /// The most parts of a snapshot that a follower collects: 64 MB.
-const MOST_PARTS: u32 = 512;
+const MAX_PARTS: u32 = 512;
 
 /// A row of a snapshot.
 pub type Row = (String, bytes::Bytes);
@@ -50,22 +50,22 @@
 
 /// The parts of one snapshot that a follower has so far.
 #[derive(Debug, Clone)]
-pub(crate) struct Fetch {
+pub(crate) struct SnapshotDownload {
     place: Place,
     parts: u32,
     next: u32,
     bytes: Vec<u8>,
 }
 
-impl Fetch {
+impl SnapshotDownload {
     /// Begins with the first part of a snapshot.
-    pub(crate) fn begin(place: Place, first: &SnapshotPart) -> Option<Self> {
-        let fits = first.part == 0 && (1..=MOST_PARTS).contains(&first.parts);
-        fits.then(|| Self { place, parts: first.parts, next: 0, bytes: Vec::new() })
+    pub(crate) fn start(place: Place, first: &SnapshotPart) -> Option<Self> {
+        let is_valid = first.part == 0 && (1..=MAX_PARTS).contains(&first.parts);
+        is_valid.then(|| Self { place, parts: first.parts, next: 0, bytes: Vec::new() })
     }
 
     /// Whether this is the part that comes next.
-    pub(crate) fn fits(&self, place: Place, part: &SnapshotPart) -> bool {
+    pub(crate) fn is_next(&self, place: Place, part: &SnapshotPart) -> bool {
         let is_next = (self.place, self.parts, self.next) == (place, part.parts, part.part);
         is_next && part.bytes.len() <= PART_BYTES
     }
@@ -77,9 +77,9 @@
     }
 
     /// Which part is lacking next; none once the snapshot is whole.
-    pub(crate) fn wanted(&self) -> Option<PartWanted> {
-        let is_whole = self.next == self.parts;
-        (!is_whole).then_some(PartWanted { place: self.place, part: self.next })
+    pub(crate) fn next_request(&self) -> Option<PartWanted> {
+        let is_complete = self.next == self.parts;
+        (!is_complete).then_some(PartWanted { place: self.place, part: self.next })
     }
 
     /// The rows of a whole snapshot, if they can be read.
