--- a/libraries/topazyard-membership/src/member_table.rs
+++ b/libraries/topazyard-membership/src/member_table.rs
@@ -1,20 +1,20 @@
 //! What is known of each member.
 
 use topazyard_types::{MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{News, Standing};
+use topazyard_wire::message::membership::{MemberStatus, MemberUpdate};
 
 /// A member as it is known here.
 #[derive(Debug, Clone)]
 pub struct KnownMember {
     /// The newest news of it.
-    pub latest: News,
+    pub update: MemberUpdate,
     /// Since when it stands so.
     pub status_since: MonotonicMs,
 }
 
 /// Whether news goes before what is known.
-pub(crate) fn is_newer(news: &News, known: &News) -> bool {
-    (news.incarnation, news.standing) > (known.incarnation, known.standing)
+pub(crate) fn is_newer(update: &MemberUpdate, known: &MemberUpdate) -> bool {
+    (update.incarnation, update.status) > (known.incarnation, known.status)
 }
 
 /// All members known, in the order in which they were learned.
@@ -25,28 +25,30 @@
 
 impl MemberTable {
     /// Takes news; gives whether it was new.
-    pub(crate) fn merge(&mut self, news: &News, now: MonotonicMs) -> bool {
-        if let Some(known) = self.members.get_mut(&news.member.id) {
-            if !is_newer(news, &known.latest) {
+    pub(crate) fn merge(&mut self, update: &MemberUpdate, now: MonotonicMs) -> bool {
+        if let Some(known) = self.members.get_mut(&update.member.id) {
+            if !is_newer(update, &known.update) {
                 return false;
             }
-            *known = KnownMember { latest: news.clone(), status_since: now };
+            *known = KnownMember { update: update.clone(), status_since: now };
         } else {
-            self.members
-                .insert(news.member.id, KnownMember { latest: news.clone(), status_since: now });
+            self.members.insert(
+                update.member.id,
+                KnownMember { update: update.clone(), status_since: now },
+            );
         }
         true
     }
 
     /// Members at the same address under another id: an address has one process at a time.
-    pub(crate) fn replaced_by(&self, news: &News) -> Vec<NodeId> {
+    pub(crate) fn replaced_by(&self, update: &MemberUpdate) -> Vec<NodeId> {
         self.members
             .values()
-            .map(|known| &known.latest)
+            .map(|known| &known.update)
             .filter(|other| {
-                other.member.address == news.member.address
-                    && other.member.id != news.member.id
-                    && other.standing != Standing::Removed
+                other.member.address == update.member.address
+                    && other.member.id != update.member.id
+                    && other.status != MemberStatus::Removed
             })
             .map(|other| other.member.id)
             .collect()
@@ -56,20 +58,20 @@
     pub(crate) fn set_status(
         &mut self,
         id: NodeId,
-        standing: Standing,
+        status: MemberStatus,
         now: MonotonicMs,
-    ) -> Option<News> {
+    ) -> Option<MemberUpdate> {
         let known = self.members.get_mut(&id)?;
-        if known.latest.standing >= standing {
+        if known.update.status >= status {
             return None;
         }
-        known.latest.standing = standing;
+        known.update.status = status;
         known.status_since = now;
-        Some(known.latest.clone())
+        Some(known.update.clone())
     }
 
     /// Members that are not removed.
     pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
-        self.members.values().filter(|known| known.latest.standing != Standing::Removed)
+        self.members.values().filter(|known| known.update.status != MemberStatus::Removed)
     }
 }
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -4,7 +4,9 @@
 use crate::member_table::{KnownMember, MemberTable};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
 use topazyard_types::{DurationMs, Incarnation, MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{Duty, Member, MembershipMessage, News, Standing};
+use topazyard_wire::message::membership::{
+    Member, MemberRole, MemberStatus, MemberUpdate, MembershipMessage,
+};
 
 /// How often a member probes another.
 const PROBE_INTERVAL: DurationMs = DurationMs(400);
@@ -49,7 +51,7 @@
 /// What one node knows of the fleet.
 #[derive(Debug, Clone)]
 pub struct Membership {
-    own: News,
+    own: MemberUpdate,
     table: MemberTable,
     gossip: Gossip,
     seeds: Vec<std::net::SocketAddr>,
@@ -68,15 +70,16 @@
     /// ```
     /// use topazyard_membership::Membership;
     /// use topazyard_types::{MonotonicMs, NodeId};
-    /// use topazyard_wire::message::membership::{Duty, Member};
+    /// use topazyard_wire::message::membership::{MemberRole, Member};
     /// let own = Member { id: NodeId(1), name: None, address: "127.0.0.1:1".parse().unwrap(),
-    ///     http: None, duty: Duty::Control, zone: "north".into() };
+    ///     http: None, role: MemberRole::Control, zone: "north".into() };
     /// let mut membership = Membership::new(own, vec!["127.0.0.1:2".parse().unwrap()], 7);
     /// assert_eq!(membership.tick(MonotonicMs(1_000)).len(), 1); // asks its seed for the roster
     /// ```
     pub fn new(own: Member, seeds: Vec<std::net::SocketAddr>, seed: u64) -> Self {
         use rand::SeedableRng as _;
-        let own = News { member: own, incarnation: Incarnation(0), standing: Standing::Alive };
+        let own =
+            MemberUpdate { member: own, incarnation: Incarnation(0), status: MemberStatus::Alive };
         Self {
             own,
             table: MemberTable::default(),
@@ -86,7 +89,7 @@
             probe_order: Vec::new(),
             probe: None,
             relayed_probes: Vec::new(),
-            last_nonce: topazyard_types::Life(seed).first_number(),
+            last_nonce: topazyard_types::BootId(seed).first_number(),
             last_probe_at: MonotonicMs(0),
             last_join_at: None,
         }
@@ -108,24 +111,24 @@
     }
 
     /// How a member stands, if it is known.
-    pub fn status(&self, id: NodeId) -> Option<Standing> {
+    pub fn status(&self, id: NodeId) -> Option<MemberStatus> {
         if id == self.own.member.id {
-            return Some(Standing::Alive);
+            return Some(MemberStatus::Alive);
         }
-        self.table.members.get(&id).map(|known| known.latest.standing)
+        self.table.members.get(&id).map(|known| known.update.status)
     }
 
     /// Where the members of a duty take frames.
-    pub fn addresses(&self, duty: Duty) -> impl Iterator<Item = std::net::SocketAddr> {
+    pub fn addresses(&self, role: MemberRole) -> impl Iterator<Item = std::net::SocketAddr> {
         self.present()
-            .filter(move |known| known.latest.member.duty == duty)
-            .map(|known| known.latest.member.address)
+            .filter(move |known| known.update.member.role == role)
+            .map(|known| known.update.member.address)
     }
 
     /// Probes a member next, as somebody has cause to doubt it.
     pub fn probe_next(&mut self, id: NodeId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target == id);
-        let is_alive = self.status(id) == Some(Standing::Alive);
+        let is_alive = self.status(id) == Some(MemberStatus::Alive);
         if is_alive && !is_probed && self.probe_order.last() != Some(&id) {
             self.probe_order.push(id);
         }
@@ -144,10 +147,10 @@
         self.last_nonce
     }
 
-    fn updates_to_send(&mut self) -> Vec<News> {
-        let mut news = self.gossip.next();
-        news.push(self.own.clone());
-        news
+    fn updates_to_send(&mut self) -> Vec<MemberUpdate> {
+        let mut updates = self.gossip.next();
+        updates.push(self.own.clone());
+        updates
     }
 
     /// Time has passed.
@@ -172,28 +175,30 @@
         }
         self.last_join_at = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.table.members.values().filter(|k| k.latest.standing == Standing::Removed);
+        let lost = self.table.members.values().filter(|k| k.update.status == MemberStatus::Removed);
         let mut targets: Vec<std::net::SocketAddr> =
-            self.seeds.iter().copied().chain(lost.map(|k| k.latest.member.address)).collect();
+            self.seeds.iter().copied().chain(lost.map(|k| k.update.member.address)).collect();
         targets.retain(|address| *address != own_address);
         if !is_alone {
             targets = targets.choose(&mut self.rng).copied().into_iter().collect();
         }
         outgoing.extend(
-            targets.into_iter().map(|to| (to, MembershipMessage::Join { news: self.own.clone() })),
+            targets
+                .into_iter()
+                .map(|to| (to, MembershipMessage::Join { update: self.own.clone() })),
         );
     }
 
     fn begin_probe(&mut self, now: MonotonicMs, outgoing: &mut Vec<Outgoing>) {
         if self.probe_order.is_empty() {
-            self.probe_order = self.table.present().map(|known| known.latest.member.id).collect();
+            self.probe_order = self.table.present().map(|known| known.update.member.id).collect();
             self.probe_order.shuffle(&mut self.rng);
         }
         let target = loop {
             let Some(id) = self.probe_order.pop() else { return };
             match self.table.members.get(&id) {
-                Some(known) if known.latest.standing != Standing::Removed => {
-                    break known.latest.clone();
+                Some(known) if known.update.status != MemberStatus::Removed => {
+                    break known.update.clone();
                 }
                 _ => {}
             }
@@ -207,12 +212,12 @@
             sent_at: now,
             indirect_probes_sent: false,
         });
-        let mut news = self.updates_to_send();
+        let mut updates = self.updates_to_send();
         // A suspect is told, so that it can refute.
-        if target.standing == Standing::Suspect {
-            news.push(target);
+        if target.status == MemberStatus::Suspect {
+            updates.push(target);
         }
-        outgoing.push((address, MembershipMessage::Probe { nonce, news }));
+        outgoing.push((address, MembershipMessage::Probe { nonce, updates }));
     }
 
     fn check_probe(&mut self, now: MonotonicMs, outgoing: &mut Vec<Outgoing>) {
@@ -221,24 +226,24 @@
         let waited = now.since(probe.sent_at);
         if waited >= PROBE_TIMEOUT {
             self.probe = None;
-            if let Some(news) = self.table.set_status(target, Standing::Suspect, now) {
-                self.gossip.broadcast(news, self.table.members.len());
+            if let Some(update) = self.table.set_status(target, MemberStatus::Suspect, now) {
+                self.gossip.broadcast(update, self.table.members.len());
             }
         } else if waited >= INDIRECT_PROBE_DELAY && !probe.indirect_probes_sent {
             probe.indirect_probes_sent = true;
             let others: Vec<std::net::SocketAddr> = self
                 .table
                 .present()
-                .map(|known| &known.latest)
-                .filter(|news| news.member.id != target && news.standing == Standing::Alive)
-                .map(|news| news.member.address)
+                .map(|known| &known.update)
+                .filter(|update| update.member.id != target && update.status == MemberStatus::Alive)
+                .map(|update| update.member.address)
                 .collect();
             let chosen: Vec<_> =
                 others.choose_multiple(&mut self.rng, INDIRECT_PROBES).copied().collect();
             outgoing.extend(
                 chosen
                     .into_iter()
-                    .map(|to| (to, MembershipMessage::ProbeFor { nonce, target: address })),
+                    .map(|to| (to, MembershipMessage::IndirectProbe { nonce, target: address })),
             );
         }
     }
@@ -249,18 +254,18 @@
             .members
             .values()
             .filter(|k| {
-                k.latest.standing == Standing::Suspect
+                k.update.status == MemberStatus::Suspect
                     && now.since(k.status_since) >= SUSPICION_TIMEOUT
             })
-            .map(|known| known.latest.member.id)
+            .map(|known| known.update.member.id)
             .collect();
         for id in due {
-            if let Some(news) = self.table.set_status(id, Standing::Removed, now) {
-                self.gossip.broadcast(news, self.table.members.len());
+            if let Some(update) = self.table.set_status(id, MemberStatus::Removed, now) {
+                self.gossip.broadcast(update, self.table.members.len());
             }
         }
         self.table.members.retain(|_, known| {
-            known.latest.standing != Standing::Removed
+            known.update.status != MemberStatus::Removed
                 || now.since(known.status_since) < REMOVED_RETENTION
         });
     }
@@ -274,25 +279,25 @@
     ) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         match message {
-            MembershipMessage::Probe { nonce, news } => {
-                self.apply_updates(news, now);
-                let news = self.updates_to_send();
-                outgoing.push((from, MembershipMessage::ProbeReturn { nonce, news }));
+            MembershipMessage::Probe { nonce, updates } => {
+                self.apply_updates(updates, now);
+                let updates = self.updates_to_send();
+                outgoing.push((from, MembershipMessage::ProbeAck { nonce, updates }));
             }
-            MembershipMessage::ProbeReturn { nonce, news } => {
-                self.apply_updates(news, now);
+            MembershipMessage::ProbeAck { nonce, updates } => {
+                self.apply_updates(updates, now);
                 self.probe.take_if(|probe| probe.nonce == nonce);
                 if let Some(at) =
                     self.relayed_probes.iter().position(|relayed| relayed.nonce == nonce)
                 {
                     let relayed = self.relayed_probes.swap_remove(at);
-                    let news = self.updates_to_send();
+                    let updates = self.updates_to_send();
                     let nonce = relayed.requester_nonce;
                     outgoing
-                        .push((relayed.requester, MembershipMessage::ProbeReturn { nonce, news }));
+                        .push((relayed.requester, MembershipMessage::ProbeAck { nonce, updates }));
                 }
             }
-            MembershipMessage::ProbeFor { nonce, target } => {
+            MembershipMessage::IndirectProbe { nonce, target } => {
                 let own_nonce = self.next_nonce();
                 self.relayed_probes.push(RelayedProbe {
                     nonce: own_nonce,
@@ -300,47 +305,47 @@
                     requester_nonce: nonce,
                     sent_at: now,
                 });
-                let news = self.updates_to_send();
-                outgoing.push((target, MembershipMessage::Probe { nonce: own_nonce, news }));
+                let updates = self.updates_to_send();
+                outgoing.push((target, MembershipMessage::Probe { nonce: own_nonce, updates }));
             }
-            MembershipMessage::Join { news } => {
-                self.apply_updates(vec![news], now);
-                let mut news: Vec<News> =
-                    self.table.members.values().map(|known| known.latest.clone()).collect();
-                news.push(self.own.clone());
-                outgoing.push((from, MembershipMessage::Roster { news }));
+            MembershipMessage::Join { update } => {
+                self.apply_updates(vec![update], now);
+                let mut updates: Vec<MemberUpdate> =
+                    self.table.members.values().map(|known| known.update.clone()).collect();
+                updates.push(self.own.clone());
+                outgoing.push((from, MembershipMessage::MemberList { updates }));
             }
-            MembershipMessage::Roster { news } => self.apply_updates(news, now),
+            MembershipMessage::MemberList { updates } => self.apply_updates(updates, now),
         }
         outgoing
     }
 
-    fn apply_updates(&mut self, all: Vec<News>, now: MonotonicMs) {
-        for news in all {
-            if news.member.id == self.own.member.id {
-                self.refute_if_suspected(&news);
+    fn apply_updates(&mut self, all: Vec<MemberUpdate>, now: MonotonicMs) {
+        for update in all {
+            if update.member.id == self.own.member.id {
+                self.refute_if_suspected(&update);
                 continue;
             }
-            if !self.table.merge(&news, now) {
+            if !self.table.merge(&update, now) {
                 continue;
             }
-            if news.standing == Standing::Alive {
-                for id in self.table.replaced_by(&news) {
-                    if let Some(gone) = self.table.set_status(id, Standing::Removed, now) {
+            if update.status == MemberStatus::Alive {
+                for id in self.table.replaced_by(&update) {
+                    if let Some(gone) = self.table.set_status(id, MemberStatus::Removed, now) {
                         self.gossip.broadcast(gone, self.table.members.len());
                     }
                 }
             }
-            self.gossip.broadcast(news, self.table.members.len());
+            self.gossip.broadcast(update, self.table.members.len());
         }
     }
 
     /// News that doubts this node is refuted under a higher incarnation.
-    fn refute_if_suspected(&mut self, news: &News) {
+    fn refute_if_suspected(&mut self, update: &MemberUpdate) {
         let is_suspected =
-            news.standing != Standing::Alive || news.incarnation > self.own.incarnation;
-        if is_suspected && news.incarnation >= self.own.incarnation {
-            self.own.incarnation = Incarnation(news.incarnation.0 + 1);
+            update.status != MemberStatus::Alive || update.incarnation > self.own.incarnation;
+        if is_suspected && update.incarnation >= self.own.incarnation {
+            self.own.incarnation = Incarnation(update.incarnation.0 + 1);
             self.gossip.broadcast(self.own.clone(), self.table.members.len());
         }
     }
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -1,6 +1,6 @@
 //! One copy of a group's rows, with a digest kept for each of its ranges.
 
-use topazyard_types::{Digest, Epoch, Place, Sequence};
+use topazyard_types::{Digest, Epoch, LogPosition, Sequence};
 use topazyard_wire::RowChange;
 
 /// Into how many ranges a copy is split for comparing.
@@ -17,8 +17,8 @@
 pub struct Copy {
     rows: std::collections::BTreeMap<String, bytes::Bytes>,
     digests: Vec<Digest>,
-    position: Place,
-    batches: std::collections::VecDeque<(Place, Vec<RowChange>)>,
+    position: LogPosition,
+    batches: std::collections::VecDeque<(LogPosition, Vec<RowChange>)>,
     batch_bytes: usize,
     max_batches: usize,
 }
@@ -26,7 +26,8 @@
 /// Tells the rows by their digests: a copy may hold megabytes.
 impl std::fmt::Debug for Copy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let positions: Vec<Place> = self.batches.iter().map(|(position, _)| *position).collect();
+        let positions: Vec<LogPosition> =
+            self.batches.iter().map(|(position, _)| *position).collect();
         f.debug_struct("Copy")
             .field("place", &self.position)
             .field("digests", &self.digests)
@@ -45,7 +46,7 @@
         Self {
             rows: std::collections::BTreeMap::new(),
             digests: vec![Digest::default(); RANGE_COUNT],
-            position: Place::default(),
+            position: LogPosition::default(),
             batches: std::collections::VecDeque::new(),
             batch_bytes: 0,
             max_batches: MAX_HISTORY_BATCHES,
@@ -109,11 +110,11 @@
     ///
     /// ```
     /// use topazyard_replication::Copy;
-    /// use topazyard_types::{Epoch, Place, Sequence};
+    /// use topazyard_types::{Epoch, LogPosition, Sequence};
     /// let mut copy = Copy::default();
     /// copy.keep_only_last_batch();
     /// (1..=3).for_each(|n| drop(copy.apply(Epoch(1), Sequence(n), Vec::new())));
-    /// let second = Place { epoch: Epoch(1), sequence: Sequence(2) };
+    /// let second = LogPosition { epoch: Epoch(1), sequence: Sequence(2) };
     /// assert_eq!(copy.changes_after(second), None);
     /// ```
     pub fn keep_only_last_batch(&mut self) {
@@ -130,7 +131,7 @@
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
-        self.position = Place { epoch, sequence };
+        self.position = LogPosition { epoch, sequence };
         self.batch_bytes += size_of_changes(&changes);
         self.batches.push_back((self.position, changes.clone()));
         // The last one is always known: what it touched may be in doubt.
@@ -151,7 +152,7 @@
             rows.iter().map(|(key, _)| key.as_str()).collect();
         let in_range = self.rows.keys().filter(|key| range_index(key) == range);
         let deletions: Vec<RowChange> =
-            in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::gone).collect();
+            in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::delete).collect();
         let is_different =
             |(key, value): &(String, bytes::Bytes)| self.rows.get(key.as_str()) != Some(value);
         let puts = rows.into_iter().filter(is_different);
@@ -162,7 +163,7 @@
     /// Becomes equal to another copy by these changes, in one step: on disk as in memory this copy
     /// is either the old one whole or the new one whole. Gives the rows to write, the new place
     /// among them; they belong in one write.
-    pub fn replace(&mut self, position: Place, changes: Vec<RowChange>) -> Vec<RowChange> {
+    pub fn replace(&mut self, position: LogPosition, changes: Vec<RowChange>) -> Vec<RowChange> {
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
@@ -177,7 +178,7 @@
     }
 
     /// How far this copy is.
-    pub fn position(&self) -> Place {
+    pub fn position(&self) -> LogPosition {
         self.position
     }
 
@@ -225,7 +226,7 @@
     }
 
     /// The changes after a place, if this copy remembers all of them.
-    pub fn changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
+    pub fn changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         if after == self.position {
             return Some(Vec::new());
         }
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -3,10 +3,10 @@
 //! A snapshot that comes in parts is applied once all of them are there, and confirms nothing: the
 //! changes after it are asked for at once.
 
-use topazyard_types::{DurationMs, Life, MonotonicMs};
+use topazyard_types::{BootId, DurationMs, MonotonicMs};
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter, SnapshotPart};
+use topazyard_wire::message::feed::{FeedMessage, Health, SnapshotPart, UpdateContent};
 
 /// How often a follower asks.
 pub const REQUEST_INTERVAL: DurationMs = DurationMs(200);
@@ -68,12 +68,12 @@
     /// Follows from any of these; they say where the primary is.
     ///
     /// ```
-    /// use topazyard_types::Life;
+    /// use topazyard_types::BootId;
     /// let sources = vec!["127.0.0.1:9000".parse().unwrap()];
-    /// let follower = topazyard_replication::FeedFollower::new(sources, Life(1));
+    /// let follower = topazyard_replication::FeedFollower::new(sources, BootId(1));
     /// assert!(follower.confirmed_at().is_none());
     /// ```
-    pub fn new(sources: Vec<std::net::SocketAddr>, life: Life) -> Self {
+    pub fn new(sources: Vec<std::net::SocketAddr>, boot_id: BootId) -> Self {
         let mut copy = crate::Copy::default();
         copy.keep_only_last_batch();
         Self {
@@ -86,7 +86,7 @@
             awaits_response: false,
             unanswered_requests: 0,
             last_request_at: None,
-            last_nonce: life.first_number(),
+            last_nonce: boot_id.first_number(),
             confirmed_at: None,
             last_heard: None,
             download: None,
@@ -154,9 +154,9 @@
         self.last_request_at = Some(now);
         let after = self.copy.position();
         let part = self.download.as_ref().and_then(crate::snapshot::SnapshotDownload::next_request);
-        let heard = self.last_heard.map(|at| now.since(at));
+        let last_response_age = self.last_heard.map(|at| now.since(at));
         let nonce = self.last_nonce;
-        Some((to, FeedMessage::Ask { nonce, after, part, heard, health: health() }))
+        Some((to, FeedMessage::Request { nonce, after, part, last_response_age, health: health() }))
     }
 
     /// The node to ask next, which is another one than the leader that was just silent.
@@ -197,12 +197,12 @@
     /// Takes a return from a node.
     pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> FollowOutcome {
         match message {
-            FeedMessage::News { nonce, place, matter } => {
+            FeedMessage::Update { nonce, position, content } => {
                 let Some(request) = self.take_request(nonce) else {
                     return FollowOutcome::Unchanged;
                 };
                 // Never back: a lower place comes from a node that was overtaken.
-                if place < self.copy.position() {
+                if position < self.copy.position() {
                     self.primary = None;
                     return FollowOutcome::Unchanged;
                 }
@@ -212,16 +212,16 @@
                 self.awaits_response = false;
                 self.unanswered_requests = 0;
                 self.last_heard = Some(request.sent_at);
-                let changes = match matter {
-                    Matter::Part(part) => return self.receive_part(place, &part),
-                    Matter::Changes(changes) => changes,
-                    Matter::View(rows) => self.changes_to_match(rows),
+                let changes = match content {
+                    UpdateContent::Part(part) => return self.receive_part(position, &part),
+                    UpdateContent::Changes(changes) => changes,
+                    UpdateContent::Snapshot(rows) => self.changes_to_match(rows),
                 };
                 self.download = None;
                 self.confirmed_at = Some(request.sent_at);
-                self.apply(place, changes)
+                self.apply(position, changes)
             }
-            FeedMessage::Elsewhere { nonce, primary, .. } => {
+            FeedMessage::Redirect { nonce, primary, .. } => {
                 let is_newest =
                     self.pending_requests.back().is_some_and(|request| request.nonce == nonce);
                 if is_newest {
@@ -236,7 +236,7 @@
                 }
                 FollowOutcome::Unchanged
             }
-            FeedMessage::Ask { .. } => FollowOutcome::Unchanged,
+            FeedMessage::Request { .. } => FollowOutcome::Unchanged,
         }
     }
 
@@ -244,12 +244,14 @@
     /// or the changes after it, is asked for at once.
     fn receive_part(
         &mut self,
-        place: topazyard_types::Place,
+        position: topazyard_types::LogPosition,
         part: &SnapshotPart,
     ) -> FollowOutcome {
-        let download = self.download.take().filter(|download| download.is_next(place, part));
-        let download = download.or_else(|| crate::snapshot::SnapshotDownload::start(place, part));
-        let Some(mut download) = download.filter(|download| download.is_next(place, part)) else {
+        let download = self.download.take().filter(|download| download.is_next(position, part));
+        let download =
+            download.or_else(|| crate::snapshot::SnapshotDownload::start(position, part));
+        let Some(mut download) = download.filter(|download| download.is_next(position, part))
+        else {
             return FollowOutcome::Unchanged;
         };
         download.add(part);
@@ -261,7 +263,7 @@
         let Some(rows) = download.rows() else { return FollowOutcome::Unchanged };
         self.last_request_at = None;
         let changes = self.changes_to_match(rows);
-        self.apply(place, changes)
+        self.apply(position, changes)
     }
 
     /// The changes that make the copy hold these rows and no others.
@@ -269,21 +271,25 @@
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
         let stale = self.copy.rows().keys().filter(|key| !keep.contains(key.as_str()));
-        let deletions: Vec<RowChange> = stale.map(RowChange::gone).collect();
+        let deletions: Vec<RowChange> = stale.map(RowChange::delete).collect();
         let puts = rows.into_iter().map(|(key, value)| RowChange { key, value: Some(value) });
         deletions.into_iter().chain(puts).collect()
     }
 
-    fn apply(&mut self, place: topazyard_types::Place, changes: Vec<RowChange>) -> FollowOutcome {
-        let is_repeated = place == self.copy.position();
+    fn apply(
+        &mut self,
+        position: topazyard_types::LogPosition,
+        changes: Vec<RowChange>,
+    ) -> FollowOutcome {
+        let is_repeated = position == self.copy.position();
         if changes.is_empty() && is_repeated {
             return FollowOutcome::Unchanged;
         }
         // Of two askings that were both returned the later brings what is here already.
         let before = is_repeated.then(|| self.copy.digests().to_vec());
-        self.copy.apply(place.epoch, place.sequence, changes);
+        self.copy.apply(position.epoch, position.sequence, changes);
         let is_same = before.is_none_or(|digests| digests == self.copy.digests());
-        invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={place}"));
+        invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={position}"));
         FollowOutcome::Changed
     }
 }
--- a/libraries/topazyard-replication/src/replica/follower.rs
+++ b/libraries/topazyard-replication/src/replica/follower.rs
@@ -1,7 +1,7 @@
 //! The follower's side: a backup, or a learner that is to become one.
 
 use super::{MAX_UNSYNCED_WRITES, Replica, ReplicaOutput, Role, Sender, Uncommitted};
-use topazyard_types::{Digest, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{Digest, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::replica::{RangePart, ReplicaBody};
 
 /// What a follower keeps of its primary.
@@ -188,7 +188,7 @@
             sequence == own_sequence.next()
         };
         if !in_sync || !(is_next || is_repeated) {
-            self.send(from.address, ReplicaBody::OutOfStep, outputs);
+            self.send(from.address, ReplicaBody::OutOfSync, outputs);
             return;
         }
         if is_repeated && follower.appends.iter().any(|(_, _, waiting)| *waiting == round) {
@@ -240,7 +240,7 @@
         let changes = comparison.fetched.into_values().flat_map(|range| range.changes).collect();
         self.check_keeps_committed(sequence);
         // Written even if nothing changed: the disk works in order, so all before it is synced too.
-        let rows = self.copy.replace(Place { epoch: self.epoch, sequence }, changes);
+        let rows = self.copy.replace(LogPosition { epoch: self.epoch, sequence }, changes);
         match self.write(rows, now, outputs) {
             Some(write) => {
                 if let Role::Follower(follower) = &mut self.role {
@@ -283,7 +283,7 @@
             follower.last_append_round = None;
             follower.sync_round = Some(round);
         }
-        self.send(primary, ReplicaBody::InStep { round, sequence }, outputs);
+        self.send(primary, ReplicaBody::InSync { round, sequence }, outputs);
     }
 
     pub(super) fn follower_write_synced(&mut self, number: u64, outputs: &mut Vec<ReplicaOutput>) {
--- a/libraries/topazyard-replication/src/replica/primary.rs
+++ b/libraries/topazyard-replication/src/replica/primary.rs
@@ -8,7 +8,7 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::CoreNode;
-use topazyard_wire::message::replica::{Follows, Part, RangePart, ReplicaBody};
+use topazyard_wire::message::replica::{FollowerRole, Part, RangePart, ReplicaBody};
 
 /// After how long an append is sent again.
 const APPEND_RETRY_INTERVAL: DurationMs = DurationMs(100);
@@ -197,7 +197,7 @@
     fn start_comparison(
         &mut self,
         with: CoreNode,
-        of: Follows,
+        of: FollowerRole,
         now: MonotonicMs,
         outputs: &mut Vec<ReplicaOutput>,
     ) -> Option<Comparison> {
@@ -224,7 +224,7 @@
                 .map(|(index, backup)| (index, backup.node))
                 .collect();
             for (index, node) in due {
-                let started = self.start_comparison(node, Follows::AsBackup, now, outputs);
+                let started = self.start_comparison(node, FollowerRole::Backup, now, outputs);
                 if let Role::Primary(primary) = &mut self.role
                     && let BackupState::Comparing(comparison, _) = &mut primary.backups[index].state
                 {
@@ -272,7 +272,7 @@
             }
         }
         for (index, node) in due {
-            let started = self.start_comparison(node, Follows::AsLearner, now, outputs);
+            let started = self.start_comparison(node, FollowerRole::Learner, now, outputs);
             if let Role::Primary(primary) = &mut self.role
                 && let LearnerState::Fetching(comparison)
                 | LearnerState::FinalComparison(comparison, _) =
@@ -300,7 +300,7 @@
                 }
                 self.commit_batch(outputs);
             }
-            (ReplicaBody::OutOfStep, Some(index), _)
+            (ReplicaBody::OutOfSync, Some(index), _)
                 if primary.phase != Phase::Stopped && primary.backups[index].is_in_sync() =>
             {
                 primary.backups[index].state = BackupState::Comparing(None, now);
@@ -320,10 +320,10 @@
                     self.send_range(from.address, round, range, rows, outputs);
                 }
             }
-            (ReplicaBody::InStep { round, sequence }, Some(index), _) => {
+            (ReplicaBody::InSync { round, sequence }, Some(index), _) => {
                 self.backup_in_sync(index, round, sequence, outputs);
             }
-            (ReplicaBody::InStep { round, sequence }, _, Some(index)) => {
+            (ReplicaBody::InSync { round, sequence }, _, Some(index)) => {
                 self.learner_in_sync(index, round, sequence, now, outputs);
             }
             _ => {}
--- a/libraries/topazyard-replication/src/snapshot.rs
+++ b/libraries/topazyard-replication/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot of a copy's rows for a follower, in parts of which each fits in a small frame.
 
-use topazyard_types::Place;
-use topazyard_wire::message::feed::{PartWanted, SnapshotPart};
+use topazyard_types::LogPosition;
+use topazyard_wire::message::feed::{PartRequest, SnapshotPart};
 
 /// How many bytes a follower is answered at once, at the most. Many followers ask at the same time,
 /// as after a restart of all, and what they are sent waits in memory.
@@ -15,7 +15,7 @@
 /// The rows at one place, encoded once for all followers.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    place: Place,
+    position: LogPosition,
     bytes: bytes::Bytes,
 }
 
@@ -29,13 +29,13 @@
     /// assert_eq!((part.part, part.parts), (0, 1));
     /// assert!(snapshot.part(1).is_none());
     /// ```
-    pub fn of(place: Place, rows: &Vec<Row>) -> Self {
-        Self { place, bytes: topazyard_wire::rows::encode(rows) }
+    pub fn of(position: LogPosition, rows: &Vec<Row>) -> Self {
+        Self { position, bytes: topazyard_wire::rows::encode(rows) }
     }
 
     /// The place of its rows.
-    pub fn position(&self) -> Place {
-        self.place
+    pub fn position(&self) -> LogPosition {
+        self.position
     }
 
     /// A part, if it has so many. The parts share the bytes of the snapshot.
@@ -51,7 +51,7 @@
 /// The parts of one snapshot that a follower has so far.
 #[derive(Debug, Clone)]
 pub(crate) struct SnapshotDownload {
-    place: Place,
+    position: LogPosition,
     parts: u32,
     next: u32,
     bytes: Vec<u8>,
@@ -59,14 +59,14 @@
 
 impl SnapshotDownload {
     /// Begins with the first part of a snapshot.
-    pub(crate) fn start(place: Place, first: &SnapshotPart) -> Option<Self> {
+    pub(crate) fn start(position: LogPosition, first: &SnapshotPart) -> Option<Self> {
         let is_valid = first.part == 0 && (1..=MAX_PARTS).contains(&first.parts);
-        is_valid.then(|| Self { place, parts: first.parts, next: 0, bytes: Vec::new() })
+        is_valid.then(|| Self { position, parts: first.parts, next: 0, bytes: Vec::new() })
     }
 
     /// Whether this is the part that comes next.
-    pub(crate) fn is_next(&self, place: Place, part: &SnapshotPart) -> bool {
-        let is_next = (self.place, self.parts, self.next) == (place, part.parts, part.part);
+    pub(crate) fn is_next(&self, position: LogPosition, part: &SnapshotPart) -> bool {
+        let is_next = (self.position, self.parts, self.next) == (position, part.parts, part.part);
         is_next && part.bytes.len() <= PART_BYTES
     }
 
@@ -77,9 +77,9 @@
     }
 
     /// Which part is lacking next; none once the snapshot is whole.
-    pub(crate) fn next_request(&self) -> Option<PartWanted> {
+    pub(crate) fn next_request(&self) -> Option<PartRequest> {
         let is_complete = self.next == self.parts;
-        (!is_complete).then_some(PartWanted { place: self.place, part: self.next })
+        (!is_complete).then_some(PartRequest { position: self.position, part: self.next })
     }
 
     /// The rows of a whole snapshot, if they can be read.
--- a/programs/topazyard-control/src/machine/claim.rs
+++ b/programs/topazyard-control/src/machine/claim.rs
@@ -40,7 +40,7 @@
     /// Whether this node, being primary or backup, has cause to ask for the next epoch.
     fn wants_claim(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let Some(turn) = record.turn(self.me.id) else { return false };
+        let Some(turn) = record.rank(self.me.id) else { return false };
         let is_primary = turn == 0;
         let timeout = DurationMs(
             self.timeouts.primary.0 + self.timeouts.turn.0 * turn.saturating_sub(1) as u64,
@@ -119,8 +119,8 @@
     /// own where that can be. Gives none where too few are heard.
     fn choose_learners(&self, claim: &Claim, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
-            let known = self.membership.remembered().find(|known| known.latest.member.id == id);
-            known.map(|known| known.latest.member.zone.clone())
+            let known = self.membership.remembered().find(|known| known.update.member.id == id);
+            known.map(|known| known.update.member.zone.clone())
         };
         let mut zones = vec![self.membership.own_zone().clone()];
         let mut others: Vec<CoreNode> = self.others_heard(now).collect();
@@ -238,7 +238,7 @@
         let witnesses = self.next_witnesses(&base, &backups, now);
         let witnesses = witnesses.unwrap_or_else(|| base.witnesses.clone());
         let wanted = EpochRecord { epoch: base.epoch.next(), primary: self.me, backups, witnesses };
-        let (proposal, message) = Proposal::begin(self.me.id, self.life, base, wanted, now);
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, base, wanted, now);
         if let Some(claim) = &mut self.claim {
             claim.proposal = Some(proposal);
         }
@@ -284,7 +284,7 @@
         out: &mut Out,
     ) {
         let Some(record) = self.witness.record() else { return };
-        let Some(turn) = record.turn(sender) else { return };
+        let Some(turn) = record.rank(sender) else { return };
         let claims = message.epoch == record.epoch.next()
             && matches!(message.body, ReplicaBody::Digests { .. });
         if !claims || sender == self.me.id || self.disk.is_full() {
@@ -292,7 +292,7 @@
         }
         if let Some(claim) = &self.claim {
             // Two claim: the later in turn yields, unless it already asks the witnesses.
-            let is_ahead = record.turn(self.me.id).is_none_or(|own| turn < own);
+            let is_ahead = record.rank(self.me.id).is_none_or(|own| turn < own);
             if claim.proposal.is_some() || !is_ahead {
                 return;
             }
@@ -322,7 +322,7 @@
         let is_filling = self.replica.epoch() == epoch
             && heard.is_some_and(|at| now.since(at) < self.timeouts.learner)
             && self.core.is_heard_by(source);
-        let is_earlier = record.turn(asks) < record.turn(source) && self.core.is_heard_by(asks);
+        let is_earlier = record.rank(asks) < record.rank(source) && self.core.is_heard_by(asks);
         is_filling && !is_earlier
     }
 }
--- a/programs/topazyard-control/src/machine/founding.rs
+++ b/programs/topazyard-control/src/machine/founding.rs
@@ -32,7 +32,7 @@
         }
         let Some(wanted) = self.first_record(now) else { return };
         let Some(genesis) = self.witness.bootstrap_base().cloned() else { return };
-        let (proposal, message) = Proposal::begin(self.me.id, self.life, genesis, wanted, now);
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, genesis, wanted, now);
         self.founding = Some(proposal);
         self.ask_seeds(&message, out);
     }
