--- a/libraries/topazyard-membership/src/lib.rs
+++ b/libraries/topazyard-membership/src/lib.rs
@@ -1,5 +1,5 @@
-//! Membership of the fleet: who is there, told by probes and by second opinions, and forgotten
-//! only after a suspicion that nobody refuted.
+//! Membership of the fleet: members are detected by direct and indirect probes, and removed only
+//! after a suspicion that was not refuted in time.
 
 mod gossip;
 mod member_table;
@@ -7,7 +7,7 @@
 
 pub use membership::{Membership, Outgoing};
 
-/// The effects that send a membership's messages, for any machine that has a membership.
+/// The effects that send the messages of a membership, for any state machine that has one.
 ///
 /// ```
 /// use topazyard_wire::message::membership::MembershipMessage;
--- a/libraries/topazyard-membership/src/member_table.rs
+++ b/libraries/topazyard-membership/src/member_table.rs
@@ -1,30 +1,30 @@
-//! What is known of each member.
+//! What this node knows of each member.
 
 use topazyard_types::{MonotonicMs, NodeId};
 use topazyard_wire::message::membership::{MemberStatus, MemberUpdate};
 
-/// A member as it is known here.
+/// A member as this node knows it.
 #[derive(Debug, Clone)]
 pub struct KnownMember {
-    /// The newest news of it.
+    /// The newest update about it.
     pub update: MemberUpdate,
-    /// Since when it stands so.
+    /// Since when it has had its status.
     pub status_since: MonotonicMs,
 }
 
-/// Whether news goes before what is known.
+/// Whether an update takes precedence over what is known.
 pub(crate) fn is_newer(update: &MemberUpdate, known: &MemberUpdate) -> bool {
     (update.incarnation, update.status) > (known.incarnation, known.status)
 }
 
-/// All members known, in the order in which they were learned.
+/// All known members, in the order in which this node learned of them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MemberTable {
     pub(crate) members: indexmap::IndexMap<NodeId, KnownMember>,
 }
 
 impl MemberTable {
-    /// Takes news; gives whether it was new.
+    /// Applies an update and returns whether it was new.
     pub(crate) fn merge(&mut self, update: &MemberUpdate, now: MonotonicMs) -> bool {
         if let Some(known) = self.members.get_mut(&update.member.id) {
             if !is_newer(update, &known.update) {
@@ -40,7 +40,7 @@
         true
     }
 
-    /// Members at the same address under another id: an address has one process at a time.
+    /// Other members at the same address: an address belongs to one process at a time.
     pub(crate) fn replaced_by(&self, update: &MemberUpdate) -> Vec<NodeId> {
         self.members
             .values()
@@ -54,7 +54,8 @@
             .collect()
     }
 
-    /// Changes how a member stands within its incarnation; gives the news of it.
+    /// Changes the status of a member within its incarnation and returns the update about it, or
+    /// `None` if the member is unknown or already has this status or a later one.
     pub(crate) fn set_status(
         &mut self,
         id: NodeId,
@@ -70,7 +71,7 @@
         Some(known.update.clone())
     }
 
-    /// Members that are not removed.
+    /// The members that are not removed.
     pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.members.values().filter(|known| known.update.status != MemberStatus::Removed)
     }
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership machine.
+//! The membership state machine.
 
 use crate::gossip::Gossip;
 use crate::member_table::{KnownMember, MemberTable};
@@ -8,26 +8,27 @@
     Member, MemberRole, MemberStatus, MemberUpdate, MembershipMessage,
 };
 
-/// How often a member probes another.
+/// Interval between probes.
 const PROBE_INTERVAL: DurationMs = DurationMs(400);
-/// After how long without a return others are asked for a second opinion.
+/// Time without a response after which other members are requested to probe the target too.
 const INDIRECT_PROBE_DELAY: DurationMs = DurationMs(200);
-/// After how long without any return a member is suspected.
+/// Time without any response after which a member is suspected.
 const PROBE_TIMEOUT: DurationMs = DurationMs(600);
-/// After how long a suspicion that was not refuted removes a member.
+/// Time after which a suspected member is removed unless it refutes the suspicion.
 const SUSPICION_TIMEOUT: DurationMs = DurationMs(2_000);
-/// For how long a removed member is remembered, so that old news can't bring it back.
+/// How long a removed member is remembered, so that old updates can't bring it back.
 const REMOVED_RETENTION: DurationMs = DurationMs(60_000);
-/// How often one that knows nobody asks its seeds.
+/// Interval at which a node that knows no other member contacts its seeds.
 const JOIN_RETRY_INTERVAL: DurationMs = DurationMs(500);
-/// How often one that knows others asks a seed or a lost member, so that splits heal.
+/// Interval at which a node that knows others contacts a seed or a removed member, so that network
+/// partitions heal.
 const REJOIN_INTERVAL: DurationMs = DurationMs(3_000);
-/// The most addresses that are kept to join by.
+/// Maximum number of seed addresses to keep.
 const MAX_SEEDS: usize = 32;
-/// How many are asked for a second opinion.
+/// Number of members requested to probe the target too.
 const INDIRECT_PROBES: usize = 2;
 
-/// A message and where it goes.
+/// A message and its destination.
 pub type Outgoing = (std::net::SocketAddr, MembershipMessage);
 
 #[derive(Debug, Clone)]
@@ -39,7 +40,7 @@
     indirect_probes_sent: bool,
 }
 
-/// A probe made for another member.
+/// A probe sent on behalf of another member.
 #[derive(Debug, Clone)]
 struct RelayedProbe {
     nonce: u64,
@@ -65,7 +66,7 @@
 }
 
 impl Membership {
-    /// A node that knows only its seeds, and addresses it remembered.
+    /// Creates the membership of a node that knows only its seeds, remembered addresses included.
     ///
     /// ```
     /// use topazyard_membership::Membership;
@@ -74,7 +75,7 @@
     /// let own = Member { id: NodeId(1), name: None, address: "127.0.0.1:1".parse().unwrap(),
     ///     http: None, role: MemberRole::Control, zone: "north".into() };
     /// let mut membership = Membership::new(own, vec!["127.0.0.1:2".parse().unwrap()], 7);
-    /// assert_eq!(membership.tick(MonotonicMs(1_000)).len(), 1); // asks its seed for the roster
+    /// assert_eq!(membership.tick(MonotonicMs(1_000)).len(), 1); // joins through its seed
     /// ```
     pub fn new(own: Member, seeds: Vec<std::net::SocketAddr>, seed: u64) -> Self {
         use rand::SeedableRng as _;
@@ -95,22 +96,22 @@
         }
     }
 
-    /// The members that are not removed, this node not among them.
+    /// The members that are not removed, without this node.
     pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.table.present()
     }
 
-    /// Every member remembered, the removed ones too.
+    /// All known members, including removed ones that are still remembered.
     pub fn remembered(&self) -> impl Iterator<Item = &KnownMember> {
         self.table.members.values()
     }
 
-    /// The zone that this member stands in.
+    /// The zone of this node.
     pub fn own_zone(&self) -> &topazyard_types::ZoneName {
         &self.own.member.zone
     }
 
-    /// How a member stands, if it is known.
+    /// The status of a member, if it is known.
     pub fn status(&self, id: NodeId) -> Option<MemberStatus> {
         if id == self.own.member.id {
             return Some(MemberStatus::Alive);
@@ -118,14 +119,14 @@
         self.table.members.get(&id).map(|known| known.update.status)
     }
 
-    /// Where the members of a duty take frames.
+    /// The addresses at which the members with a role receive frames.
     pub fn addresses(&self, role: MemberRole) -> impl Iterator<Item = std::net::SocketAddr> {
         self.present()
             .filter(move |known| known.update.member.role == role)
             .map(|known| known.update.member.address)
     }
 
-    /// Probes a member next, as somebody has cause to doubt it.
+    /// Makes a member the next one to be probed, because a caller suspects it.
     pub fn probe_next(&mut self, id: NodeId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target == id);
         let is_alive = self.status(id) == Some(MemberStatus::Alive);
@@ -134,10 +135,10 @@
         }
     }
 
-    /// Joins by these from now on, besides the ones it was given before.
+    /// Adds seeds; the newest ones come first.
     pub fn add_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let before = self.seeds.iter().copied().filter(|old| !seeds.contains(old));
-        // What is older than two exchanges of all seeds is let go.
+        // Seeds older than the last two complete replacements are dropped.
         let kept: Vec<_> = seeds.iter().copied().chain(before).take(MAX_SEEDS).collect();
         self.seeds = kept;
     }
@@ -153,7 +154,7 @@
         updates
     }
 
-    /// Time has passed.
+    /// Sends whatever is due as time passes.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.join_if_due(now, &mut outgoing);
@@ -213,7 +214,7 @@
             indirect_probes_sent: false,
         });
         let mut updates = self.updates_to_send();
-        // A suspect is told, so that it can refute.
+        // Tell a suspect that it is suspected, so that it can refute this.
         if target.status == MemberStatus::Suspect {
             updates.push(target);
         }
@@ -270,7 +271,7 @@
         });
     }
 
-    /// Takes a message.
+    /// Handles a message.
     pub fn receive(
         &mut self,
         from: std::net::SocketAddr,
@@ -340,7 +341,7 @@
         }
     }
 
-    /// News that doubts this node is refuted under a higher incarnation.
+    /// Refutes an update that suspects this node by a higher incarnation.
     fn refute_if_suspected(&mut self, update: &MemberUpdate) {
         let is_suspected =
             update.status != MemberStatus::Alive || update.incarnation > self.own.incarnation;
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -1,18 +1,18 @@
-//! One copy of a group's rows, with a digest kept for each of its ranges.
+//! One copy of a group's rows, with a digest of each range of keys.
 
 use topazyard_types::{Digest, Epoch, LogPosition, Sequence};
 use topazyard_wire::RowChange;
 
-/// Into how many ranges a copy is split for comparing.
+/// Number of ranges that the keys are hashed into; two copies are compared range by range.
 pub const RANGE_COUNT: usize = 64;
-/// Batches remembered for followers, and the most bytes of rows in them. A follower that is further
-/// back is given everything.
+/// Limits of the batch history kept for followers, in batches and in bytes of rows. A follower that
+/// is further behind receives a full snapshot.
 const MAX_HISTORY_BATCHES: usize = 1_024;
 const MAX_HISTORY_BYTES: usize = 4 * 1024 * 1024;
-/// The row that holds the copy's place; it is not part of what is compared.
+/// Key of the row that stores the log position; it is not part of the compared rows.
 const POSITION_KEY: &str = "\u{0}place";
 
-/// One copy of a group's rows.
+/// One copy of a group's rows at a log position.
 #[derive(Clone)]
 pub struct Copy {
     rows: std::collections::BTreeMap<String, bytes::Bytes>,
@@ -23,7 +23,7 @@
     max_batches: usize,
 }
 
-/// Tells the rows by their digests: a copy may hold megabytes.
+/// Prints the digests in place of the rows, which may be megabytes.
 impl std::fmt::Debug for Copy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let positions: Vec<LogPosition> =
@@ -58,7 +58,7 @@
     (Digest::of(&[key.as_bytes()]).0 % RANGE_COUNT as u128) as usize
 }
 
-/// The digest of a range that holds these rows.
+/// The digest of a range that holds exactly these rows.
 pub fn digest_of_rows(rows: &[(String, bytes::Bytes)]) -> Digest {
     let digests = rows.iter().map(|(key, value)| row_digest(key, value));
     digests.fold(Digest::default(), Digest::toggled)
@@ -69,7 +69,7 @@
 }
 
 impl Copy {
-    /// The copy that a disk held.
+    /// Loads a copy from the rows found on disk.
     ///
     /// ```
     /// use topazyard_replication::Copy;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Remembers the last batch alone: nobody reads on from here.
+    /// Keeps only the last batch in the history, for a copy that no follower reads from.
     ///
     /// ```
     /// use topazyard_replication::Copy;
@@ -121,7 +121,7 @@
         self.max_batches = 1;
     }
 
-    /// Applies a batch and gives the rows to write, the new place among them.
+    /// Applies a batch and returns the rows to write, including the new log position.
     pub fn apply(
         &mut self,
         epoch: Epoch,
@@ -134,7 +134,7 @@
         self.position = LogPosition { epoch, sequence };
         self.batch_bytes += size_of_changes(&changes);
         self.batches.push_back((self.position, changes.clone()));
-        // The last one is always known: what it touched may be in doubt.
+        // The last batch always stays, because callers need its keys while it may be uncommitted.
         while self.batches.len() > 1
             && (self.batches.len() > self.max_batches || self.batch_bytes > MAX_HISTORY_BYTES)
         {
@@ -146,7 +146,7 @@
         written
     }
 
-    /// The changes after which a range of this copy holds these rows and no others.
+    /// The changes that make the rows of a range equal to `rows`.
     pub fn difference(&self, range: usize, rows: Vec<(String, bytes::Bytes)>) -> Vec<RowChange> {
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
@@ -160,9 +160,9 @@
         deletions.into_iter().chain(puts).collect()
     }
 
-    /// Becomes equal to another copy by these changes, in one step: on disk as in memory this copy
-    /// is either the old one whole or the new one whole. Gives the rows to write, the new place
-    /// among them; they belong in one write.
+    /// Makes this copy equal to another one in a single step and returns the rows to write,
+    /// including the new log position. The caller must write them atomically, so that both in
+    /// memory and on disk the copy is either entirely old or entirely new.
     pub fn replace(&mut self, position: LogPosition, changes: Vec<RowChange>) -> Vec<RowChange> {
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
@@ -177,12 +177,12 @@
         written
     }
 
-    /// How far this copy is.
+    /// The log position up to which batches were applied.
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// The digest of each range.
+    /// The digests of all ranges, in order.
     pub fn digests(&self) -> &[Digest] {
         &self.digests
     }
@@ -193,7 +193,7 @@
         in_range.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 
-    /// The keys of everything this copy has on disk.
+    /// All keys that this copy has on disk, including that of the log position.
     pub fn keys_on_disk(&self) -> Vec<String> {
         self.rows.keys().cloned().chain([POSITION_KEY.to_owned()]).collect()
     }
@@ -203,7 +203,7 @@
         &self.rows
     }
 
-    /// The rows whose keys start so.
+    /// The rows whose keys start with `prefix`.
     pub fn with_prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -214,18 +214,18 @@
             .map(|(key, value)| (key.as_str(), value))
     }
 
-    /// A row's value, decoded.
+    /// The decoded value of a row.
     pub fn get<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<T> {
         topazyard_wire::rows::decode(self.rows.get(key)?)
     }
 
-    /// The keys changed by the batch applied last, as far as it is remembered.
+    /// The keys changed by the last applied batch, if it is still in the history.
     pub fn last_changed_keys(&self) -> impl Iterator<Item = &str> {
         let last = self.batches.back().into_iter();
         last.flat_map(|(_, changes)| changes.iter().map(|change| change.key.as_str()))
     }
 
-    /// The changes after a place, if this copy remembers all of them.
+    /// The changes after a log position; `None` if the history does not reach back that far.
     pub fn changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         if after == self.position {
             return Some(Vec::new());
--- a/libraries/topazyard-replication/src/epoch/mod.rs
+++ b/libraries/topazyard-replication/src/epoch/mod.rs
@@ -1,5 +1,5 @@
-//! Who holds an epoch: decided once for each epoch by a majority of the witnesses that the epoch
-//! before named. Witnesses keep epochs only, never the state itself.
+//! Agreement on the next epoch. A majority of the witnesses named by the current epoch decides each
+//! record exactly once. Witnesses store epoch records and votes only, never the replicated state.
 
 pub mod propose;
 pub mod witness;
--- a/libraries/topazyard-replication/src/epoch/propose.rs
+++ b/libraries/topazyard-replication/src/epoch/propose.rs
@@ -1,12 +1,13 @@
-//! The proposer: a member of the old replica that asks the old witnesses for the next record.
+//! The proposer: a member of the current group that asks the current witnesses to accept the next
+//! epoch record.
 
 use topazyard_types::{BootId, DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{Ballot, CoreMessage, EpochRecord};
 
-/// After how long without a decision a higher ballot is called.
+/// Time without a decision after which the proposer starts a higher ballot.
 const BALLOT_RETRY_INTERVAL: DurationMs = DurationMs(400);
 
-/// A proposal that is under way.
+/// A proposal in progress.
 #[derive(Debug, Clone)]
 pub struct Proposal {
     me: NodeId,
@@ -29,19 +30,19 @@
     },
 }
 
-/// What comes of a step of the proposal.
+/// The result of a tick or a received message.
 #[derive(Debug)]
 pub enum ProposalStep {
-    /// Nothing yet.
+    /// Nothing to do.
     Wait,
-    /// Say this to every witness of the base.
+    /// Send this message to every witness of the base record.
     Broadcast(CoreMessage),
-    /// Decided, maybe for another's proposal.
+    /// A record was decided, possibly that of another proposer.
     Decided(EpochRecord),
 }
 
 impl Proposal {
-    /// Begins to ask for `wanted` after `base`.
+    /// Starts a proposal of `desired` as the record that follows `base`.
     pub fn begin(
         me: NodeId,
         boot_id: BootId,
@@ -61,7 +62,7 @@
         (proposal, message)
     }
 
-    /// The record whose witnesses are asked.
+    /// The record whose witnesses decide.
     pub fn base(&self) -> &EpochRecord {
         &self.base
     }
@@ -73,8 +74,8 @@
         CoreMessage::Prepare { base: self.base.clone(), ballot: self.ballot }
     }
 
-    /// Calls a higher ballot if no decision came. Proposers wait differently long, so that one
-    /// of two gets through.
+    /// Starts a higher ballot if there is no decision yet. The timeout depends on the node id, so
+    /// that one of two competing proposers wins.
     pub fn tick(&mut self, now: MonotonicMs) -> ProposalStep {
         let timeout = DurationMs(BALLOT_RETRY_INTERVAL.0 + self.me.0 % 7 * 50);
         if now.since(self.ballot_started_at) < timeout {
@@ -88,7 +89,7 @@
         self.base.witnesses.len() / 2 + 1
     }
 
-    /// Takes what a witness said.
+    /// Handles the response of a witness.
     pub fn receive(
         &mut self,
         witness: NodeId,
@@ -134,7 +135,7 @@
                 ProposalStep::Decided(record.clone())
             }
             (CoreMessage::Rejected { epoch, promised }, _) if *epoch == next => {
-                // The next tick calls a ballot above the one that outbid this.
+                // The next tick starts a ballot higher than the one that won over this one.
                 self.ballot.round = self.ballot.round.max(promised.round);
                 self.ballot_started_at = self
                     .ballot_started_at
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -1,4 +1,4 @@
-//! The witness: what it promised and accepted for the epoch after the one it knows.
+//! The witness: what it has promised and accepted for the epoch after the newest one it knows.
 
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{self, Invariant};
@@ -8,20 +8,20 @@
 const VOTE_KEY: &str = "vote";
 const BOOTSTRAP_KEY: &str = "genesis";
 
-/// What a witness promised and accepted in the decision that is open.
+/// The promised ballot, and the accepted ballot with its record, in the open decision.
 type Vote = (Ballot, Option<(Ballot, EpochRecord)>);
 
-/// A witness. All it says must wait until what it wrote is synced.
+/// A witness. Its responses must be held back until the rows it returned with them are synced.
 #[derive(Debug, Clone, Default)]
 pub struct Witness {
     record: Option<EpochRecord>,
     vote: Vote,
-    /// What the first record of a fleet follows, if this witness may vote on it.
+    /// The record that the first record of a fleet follows, if this witness may vote on that one.
     bootstrap_base: Option<EpochRecord>,
 }
 
 impl Witness {
-    /// The witness that a disk held.
+    /// Loads a witness from the rows found on disk.
     ///
     /// ```
     /// let empty = topazyard_replication::Witness::from_rows(&Default::default());
@@ -35,8 +35,9 @@
         Self { record, vote: vote.unwrap_or_default(), bootstrap_base }
     }
 
-    /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
-    /// not before. Only a witness whose disk is empty may be let.
+    /// Allows this witness to vote on the first record of a fleet. Returns the row to write, or
+    /// `None` if it was allowed before or already knows a record. Only a witness with an empty disk
+    /// may be allowed this.
     pub fn allow_bootstrap(&mut self, bootstrap_base: EpochRecord) -> Option<RowChange> {
         if self.bootstrap_base.is_some() || self.record.is_some() {
             return None;
@@ -46,7 +47,7 @@
         Some(row)
     }
 
-    /// What the first record follows, if this witness may vote on it.
+    /// The record that the first record follows, if this witness may vote on that one.
     pub fn bootstrap_base(&self) -> Option<&EpochRecord> {
         self.bootstrap_base.as_ref()
     }
@@ -56,14 +57,14 @@
         self.record.as_ref()
     }
 
-    /// Whether this witness knows that epoch as the newest one and has accepted none after it. As
-    /// long as a majority of its witnesses say so, the next epoch is not decided.
+    /// Whether `epoch` is the newest one known to this witness and it has accepted no later record.
+    /// As long as a majority of the epoch's witnesses confirms this, the next epoch is not decided.
     pub fn confirms(&self, epoch: topazyard_types::Epoch) -> bool {
         let is_newest = self.record.as_ref().is_some_and(|known| known.epoch == epoch);
         is_newest && self.vote.1.is_none()
     }
 
-    /// Learns a decided record; gives the rows to write if it is newer.
+    /// Learns a decided record and returns the rows to write, or `None` if it is not newer.
     pub fn learn(&mut self, record: &EpochRecord) -> Option<Vec<RowChange>> {
         if let Some(known) = self.record.as_ref().filter(|known| known.epoch >= record.epoch) {
             let is_same = known.epoch > record.epoch || known == record;
@@ -77,13 +78,14 @@
         Some(vec![RowChange::put(RECORD_KEY, record), RowChange::put(VOTE_KEY, &self.vote)])
     }
 
-    /// Whether a proposal follows the record this witness knows; anything lower is refused.
+    /// Whether `base` is the newest record known to this witness; proposals on any other are
+    /// ignored.
     fn is_next(&self, base: &EpochRecord) -> bool {
         self.record.as_ref().or(self.bootstrap_base.as_ref()).is_some_and(|known| known == base)
     }
 
-    /// Answers a prepare: what to write, and what to say once that is synced. The base was
-    /// learned first, if it was news.
+    /// Handles a prepare request: returns the rows to write and the response to send once they are
+    /// synced. If `base` was new to this witness, the caller has let it learn that record first.
     pub fn prepare(
         &mut self,
         base: &EpochRecord,
@@ -102,7 +104,7 @@
         Some((vec![RowChange::put(VOTE_KEY, &self.vote)], promise))
     }
 
-    /// Answers an accept, likewise.
+    /// Handles an accept request in the same way.
     pub fn accept(
         &mut self,
         base: &EpochRecord,
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -1,30 +1,30 @@
-//! A follower of the feed: it reads on from its place and never goes back.
+//! A follower of the configuration feed. It reads on from its log position and never goes back.
 //!
-//! A snapshot that comes in parts is applied once all of them are there, and confirms nothing: the
-//! changes after it are asked for at once.
+//! A snapshot that comes in parts is applied once all of them have arrived. It confirms nothing by
+//! itself: the follower requests the changes after it at once.
 
 use topazyard_types::{BootId, DurationMs, MonotonicMs};
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::feed::{FeedMessage, Health, SnapshotPart, UpdateContent};
 
-/// How often a follower asks.
+/// Interval between requests.
 pub const REQUEST_INTERVAL: DurationMs = DurationMs(200);
-/// How often one asks for which something waits.
+/// Interval between requests while an operation waits for the next confirmation.
 const FAST_REQUEST_INTERVAL: DurationMs = DurationMs(50);
-/// How long it waits for a return before it asks elsewhere.
+/// Time to wait for a response before trying another node.
 const RESPONSE_TIMEOUT: DurationMs = DurationMs(450);
-/// How long it waits, while it looks for the primary, for one that may not run: whoever is not the
-/// primary says so at once.
+/// Time to wait for a response while searching for the primary. The node may be down; a running
+/// node that is not the primary redirects at once.
 const DISCOVERY_TIMEOUT: DurationMs = DurationMs(100);
-/// After how long another is asked where one knew of no primary.
+/// Delay before trying another node after one that knew of no primary.
 const NO_PRIMARY_RETRY_DELAY: DurationMs = DurationMs(50);
-/// After how many rounds of askings it looks less hurriedly.
+/// Number of rounds over all sources after which the search uses the longer timeout.
 const MAX_FAST_ROUNDS: usize = 12;
-/// Askings whose return still counts, however late it comes.
+/// Maximum number of unanswered requests to remember; a late response to any of them still counts.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// An asking that waits for its return.
+/// A request that has not been answered yet.
 #[derive(Debug, Clone)]
 struct PendingRequest {
     nonce: u64,
@@ -38,34 +38,34 @@
     sources: Vec<std::net::SocketAddr>,
     source_index: usize,
     primary: Option<std::net::SocketAddr>,
-    /// Whether the leader has returned news, or was only named by another node.
+    /// Whether the primary has responded itself, or was only named by another node.
     primary_has_responded: bool,
-    /// Askings without a return, the newest last: one that was given up may still be answered.
+    /// Unanswered requests, the newest last. One that timed out may still be answered.
     pending_requests: std::collections::VecDeque<PendingRequest>,
-    /// Whether the newest asking still waits for its return.
+    /// Whether the newest request is still unanswered.
     awaits_response: bool,
-    /// How many askings had no return since the last news.
+    /// Number of requests that timed out since the last update.
     unanswered_requests: usize,
     last_request_at: Option<MonotonicMs>,
     last_nonce: u64,
     confirmed_at: Option<MonotonicMs>,
-    /// When the asking was sent that was last returned, with whatever.
+    /// Send time of the last request that was answered with an update, snapshot parts included.
     last_heard: Option<MonotonicMs>,
     download: Option<crate::snapshot::SnapshotDownload>,
     fast_polling: bool,
 }
 
-/// What a return of the feed changed.
+/// The effect of a message on the follower's copy.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FollowOutcome {
-    /// Nothing.
+    /// No row changed.
     Unchanged,
     /// Rows changed.
     Changed,
 }
 
 impl FeedFollower {
-    /// Follows from any of these; they say where the primary is.
+    /// Follows the feed from any of `sources`; a source that is not the primary redirects to it.
     ///
     /// ```
     /// use topazyard_types::BootId;
@@ -94,29 +94,29 @@
         }
     }
 
-    /// What was read so far.
+    /// The rows read so far.
     pub fn copy(&self) -> &crate::Copy {
         &self.copy
     }
 
-    /// When the asking was sent that was last returned: all that was acknowledged before then
-    /// is in the copy.
+    /// Send time of the last request whose response brought the copy up to date. Everything
+    /// acknowledged before that time is in the copy.
     pub fn confirmed_at(&self) -> Option<MonotonicMs> {
         self.confirmed_at
     }
 
-    /// The control primary, as far as this follower knows.
+    /// The control primary, if known.
     pub fn primary(&self) -> Option<std::net::SocketAddr> {
         self.primary
     }
 
-    /// Whether a snapshot is being fetched: then the next part is to be asked for at once rather
-    /// than at the next tick.
+    /// Whether a snapshot download is in progress. The next part should then be requested at once
+    /// rather than at the next tick.
     pub fn is_fetching(&self) -> bool {
         self.download.is_some()
     }
 
-    /// Asks besides at these nodes, learned from the membership.
+    /// Adds sources learned from the membership.
     pub fn add_sources(&mut self, more: impl Iterator<Item = std::net::SocketAddr>) {
         for source in more {
             if !self.sources.contains(&source) {
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Asks more often while something waits for the next confirmation, or no longer.
+    /// Switches to the shorter request interval while an operation waits for the next confirmation.
     pub fn set_fast_polling(&mut self, fast_polling: bool) {
         self.fast_polling = fast_polling;
     }
 
-    /// Asks if it is time to.
+    /// Sends a request if one is due.
     pub fn tick(
         &mut self,
         now: MonotonicMs,
@@ -159,7 +159,7 @@
         Some((to, FeedMessage::Request { nonce, after, part, last_response_age, health: health() }))
     }
 
-    /// The node to ask next, which is another one than the leader that was just silent.
+    /// The next node to try, skipping the primary that has just timed out.
     fn next_source(
         &mut self,
         silent: Option<std::net::SocketAddr>,
@@ -172,7 +172,7 @@
         self.sources.get(self.source_index).copied()
     }
 
-    /// Whether it is time to ask: the newest asking was returned a while ago, or waited long enough.
+    /// Whether a request is due: the interval since the last one has passed, or it timed out.
     fn is_due(&self, now: MonotonicMs) -> bool {
         let is_searching = self.primary.is_none() || !self.primary_has_responded;
         let others = self.sources.len().saturating_sub(1);
@@ -187,28 +187,28 @@
         self.last_request_at.is_none_or(|at| now.since(at) >= interval)
     }
 
-    /// Takes the asking of that nonce, and with it those before it.
+    /// Removes the request with this nonce and all older ones, and returns it.
     fn take_request(&mut self, nonce: u64) -> Option<PendingRequest> {
         let at = self.pending_requests.iter().position(|request| request.nonce == nonce)?;
         self.awaits_response &= at + 1 < self.pending_requests.len();
         self.pending_requests.drain(..=at).next_back()
     }
 
-    /// Takes a return from a node.
+    /// Handles a message from a node.
     pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> FollowOutcome {
         match message {
             FeedMessage::Update { nonce, position, content } => {
                 let Some(request) = self.take_request(nonce) else {
                     return FollowOutcome::Unchanged;
                 };
-                // Never back: a lower place comes from a node that was overtaken.
+                // Never go back: a lower position comes from a primary that has been replaced.
                 if position < self.copy.position() {
                     self.primary = None;
                     return FollowOutcome::Unchanged;
                 }
                 self.primary = Some(from);
                 self.primary_has_responded = true;
-                // What was asked of others since needs no return any more.
+                // Responses to later requests sent to other nodes are no longer needed.
                 self.awaits_response = false;
                 self.unanswered_requests = 0;
                 self.last_heard = Some(request.sent_at);
@@ -230,7 +230,7 @@
                     self.primary = primary.filter(|primary| *primary != from);
                     self.primary_has_responded = false;
                     if self.primary.is_some() {
-                        // Ask there at once.
+                        // Send a request to it at once.
                         self.last_request_at = None;
                     }
                 }
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Takes a part of a snapshot, and the snapshot once it is whole. What comes next, another part
-    /// or the changes after it, is asked for at once.
+    /// Adds a part of a snapshot and applies the snapshot once it is complete. The next part, or
+    /// the changes after the snapshot, are then requested at once.
     fn receive_part(
         &mut self,
         position: topazyard_types::LogPosition,
@@ -266,7 +266,7 @@
         self.apply(position, changes)
     }
 
-    /// The changes that make the copy hold these rows and no others.
+    /// The changes that make the copy hold exactly these rows.
     fn changes_to_match(&self, rows: Vec<crate::snapshot::Row>) -> Vec<RowChange> {
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
@@ -285,7 +285,8 @@
         if changes.is_empty() && is_repeated {
             return FollowOutcome::Unchanged;
         }
-        // Of two askings that were both returned the later brings what is here already.
+        // The second of two responses to requests sent from the same position repeats these
+        // changes.
         let before = is_repeated.then(|| self.copy.digests().to_vec());
         self.copy.apply(position.epoch, position.sequence, changes);
         let is_same = before.is_none_or(|digests| digests == self.copy.digests());
--- a/libraries/topazyard-replication/src/invariants.rs
+++ b/libraries/topazyard-replication/src/invariants.rs
@@ -1,12 +1,12 @@
-//! What must hold of copies while they run: a check for each, and the one place that reports.
+//! Invariants of replication: a check for each, and the function that reports a violation.
 //!
-//! A check is a plain function over what the copy itself knows, so that a test can ask it too.
+//! Each check is a plain function of what the replica itself knows, so tests can call it directly.
 
 use topazyard_types::Sequence;
 use topazyard_wire::invariants::{self, Invariant};
 
-/// Whether what is acknowledged is synced on as many copies as its record asks for: one more than may
-/// be lost.
+/// Whether an acknowledged batch is synced on as many copies as the epoch record requires, which is
+/// one more than the number of nodes that may be lost.
 ///
 /// ```
 /// use topazyard_replication::invariants::check_acknowledged_on_enough;
@@ -17,8 +17,9 @@
     synced_copies >= needed
 }
 
-/// Whether a copy that comes to a sequence keeps what was committed on it. Sequences go on from epoch
-/// to epoch, and whoever leads holds all that was committed.
+/// Whether a copy that moves to sequence `now` keeps everything that it knows to be committed.
+/// Sequences continue across epochs, and every primary holds all committed batches, so the sequence
+/// of a copy never drops below a committed one.
 ///
 /// ```
 /// use topazyard_replication::invariants::check_committed_stays;
@@ -30,11 +31,11 @@
     now >= committed
 }
 
-/// Counts and logs an invariant that does not hold.
+/// Counts and logs a violation if the invariant does not hold.
 ///
 /// # Panics
-/// Without optimisations for release an invariant that does not hold ends the process: tests and the
-/// simulator see it at once.
+/// Panics on a violation in builds with debug assertions, so that tests and the simulator notice it
+/// at once.
 pub fn report(holds: bool, invariant: Invariant, details: impl Fn() -> String) {
     invariants::check(holds, invariant, &details);
     debug_assert!(holds, "{invariant}: {}", details());
--- a/libraries/topazyard-replication/src/lib.rs
+++ b/libraries/topazyard-replication/src/lib.rs
@@ -1,5 +1,5 @@
-//! Copies of rows, the primary that keeps several of them in step, the witness that decides epochs, and
-//! the follower that reads the feed.
+//! Replication of a group's rows: the data itself, the primary that keeps its backups in sync, the
+//! witnesses that decide epochs, and the follower of the configuration feed.
 
 pub mod copy;
 pub mod epoch;
--- a/libraries/topazyard-replication/src/replica/follower.rs
+++ b/libraries/topazyard-replication/src/replica/follower.rs
@@ -1,55 +1,56 @@
-//! The follower's side: a backup, or a learner that is to become one.
+//! The follower role: a backup, or a learner that is to become one.
 
 use super::{MAX_UNSYNCED_WRITES, Replica, ReplicaOutput, Role, Sender, Uncommitted};
 use topazyard_types::{Digest, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::replica::{RangePart, ReplicaBody};
 
-/// What a follower keeps of its primary.
+/// What a follower keeps about its primary.
 #[derive(Debug, Clone)]
 pub(super) struct FollowerState {
     pub(super) primary: NodeId,
     pub(super) last_heard: MonotonicMs,
     comparison: Option<FollowerComparison>,
-    /// Appends that wait for the disk: (write, return address, round).
+    /// Appends that wait for the disk, as (write number, response address, round).
     appends: Vec<(u64, std::net::SocketAddr, u64)>,
     last_append_round: Option<u64>,
-    /// The last round that the primary said it has synced itself.
+    /// The last round that the primary reported as synced on its own disk.
     primary_synced_round: Option<u64>,
-    /// The write after which it may say that it is in step.
+    /// The write after which this follower may report that it is in sync, as (write number,
+    /// response address, round).
     pending_in_sync: Option<(u64, std::net::SocketAddr, u64)>,
-    /// The comparison by which it came in step. A batch counts only from the same life of the
-    /// primary, so that a frame of a former life changes nothing.
+    /// Round of the comparison after which this copy was in sync. Appends count only from the same
+    /// boot of the primary: a delayed frame from an earlier boot is ignored.
     sync_round: Option<u64>,
 }
 
-/// How many rounds one life of a primary gives out at the most, comparisons among them.
+/// Maximum number of rounds that a primary starts during one boot, comparisons included.
 const MAX_ROUNDS_PER_BOOT: u64 = 1 << 32;
 
-/// The primary's digests, while ranges are fetched. The copy itself stays as it is until all
-/// that differs is here: a copy that is half the old and half the new would pass for either.
+/// The primary's digests while differing ranges are fetched. The copy stays unchanged until all of
+/// them have arrived: a partly updated copy could be taken for either the old or the new one.
 #[derive(Debug, Clone)]
 struct FollowerComparison {
     round: u64,
     sequence: Sequence,
     digests: Vec<Digest>,
     missing: std::collections::BTreeSet<u16>,
-    /// Ranges of which some parts are still under way.
+    /// Ranges of which only some parts have arrived.
     partial_ranges: std::collections::BTreeMap<u16, PartialRange>,
     fetched: std::collections::BTreeMap<u16, FetchedRange>,
 }
 
-/// The parts of one range that arrived.
+/// The parts of one range that have arrived.
 #[derive(Debug, Clone, Default)]
 struct PartialRange {
     parts: std::collections::BTreeMap<u32, Vec<(String, bytes::Bytes)>>,
 }
 
-/// A range that arrived whole.
+/// A range that has arrived completely.
 #[derive(Debug, Clone)]
 struct FetchedRange {
-    /// The digest of what the primary holds there.
+    /// Digest of the primary's rows in this range.
     digest: Digest,
-    /// What is to change in this copy for it to hold the same.
+    /// The changes that make the range of this copy equal to the primary's.
     changes: Vec<topazyard_wire::RowChange>,
 }
 
@@ -67,25 +68,25 @@
         }
     }
 
-    /// Whether the primary has said that it synced the batch that was taken last.
+    /// Whether the primary has reported that it synced the last batch received from it.
     pub(super) fn primary_synced_last_batch(&self) -> bool {
         self.last_append_round.is_some() && self.last_append_round == self.primary_synced_round
     }
 
-    /// Whether a round was begun by the life of the primary that this copy was compared with.
+    /// Whether a round belongs to the boot of the primary that this copy was last in sync with.
     fn is_round_of_synced_boot(&self, round: u64) -> bool {
         self.sync_round.is_some_and(|comparison| is_later_round_of_same_boot(comparison, round))
     }
 }
 
-/// Whether the second round comes after the first in the same life of a primary.
+/// Whether `second` is the same as or later than `first` in the same boot of a primary.
 fn is_later_round_of_same_boot(first: u64, second: u64) -> bool {
     second.checked_sub(first).is_some_and(|rounds| rounds < MAX_ROUNDS_PER_BOOT)
 }
 
 impl FollowerState {
-    /// Takes the primary's digests. Ranges that were fetched for an earlier comparison and still
-    /// are what the primary holds need not be fetched again.
+    /// Handles the primary's digests. Ranges fetched for an earlier comparison are kept if they
+    /// still match the primary's digests.
     fn start_comparison(&mut self, round: u64, sequence: Sequence, digests: Vec<Digest>) {
         let mut fetched = self.comparison.take().map(|old| old.fetched).unwrap_or_default();
         fetched.retain(|range, fetched| digests.get(usize::from(*range)) == Some(&fetched.digest));
@@ -102,7 +103,7 @@
 }
 
 impl FollowerComparison {
-    /// The ranges in which this copy, with all that was fetched, is not what the primary holds.
+    /// The ranges that still differ from the primary's, counting all that was fetched.
     fn differing(&self, own_digests: &[Digest]) -> std::collections::BTreeSet<u16> {
         let ranges = (0_u16..).zip(self.digests.iter().zip(own_digests));
         let differs = |(range, (primary_digest, own_digest)): &(u16, (&Digest, &Digest))| {
@@ -112,7 +113,7 @@
         ranges.filter(differs).map(|(range, _)| range).collect()
     }
 
-    /// Takes a part of a range; gives the rows of the range once all its parts are here.
+    /// Adds a part of a range and returns the rows of the range once all its parts have arrived.
     fn add_part(&mut self, part: RangePart) -> Option<Vec<(String, bytes::Bytes)>> {
         let RangePart { round, range, part, rows } = part;
         if self.round != round || !self.missing.contains(&range) {
@@ -143,7 +144,7 @@
         }
         follower.last_heard = now;
         if self.unsynced_writes.len() >= MAX_UNSYNCED_WRITES {
-            // As if the frame had been lost: the primary sends it again.
+            // Treat the frame as lost; the primary sends it again.
             return;
         }
         match body {
@@ -174,10 +175,11 @@
         let Role::Follower(follower) = &mut self.role else { return };
         if let Some(comparison) = &follower.comparison {
             if is_later_round_of_same_boot(round, comparison.round) {
-                // It was sent before the comparison that is under way, which settles it too.
+                // Sent before the comparison in progress, which will cover it too.
                 return;
             }
-            // The comparison came late: the primary already goes on from here.
+            // A delayed comparison: the primary has already continued from the position of this
+            // copy.
             follower.comparison = None;
         }
         let in_sync = in_sync && follower.is_round_of_synced_boot(round);
@@ -195,7 +197,7 @@
             return;
         }
         follower.last_append_round = Some(round);
-        // A primary begins a round only once the one before is committed.
+        // A primary starts a round only once the previous one is committed.
         if !is_repeated {
             self.uncommitted =
                 if changes.is_empty() { Uncommitted::Nothing } else { Uncommitted::LastBatch };
@@ -216,8 +218,8 @@
         }
     }
 
-    /// Compares with the primary's digests: asks for what differs, or takes it all at once and
-    /// says that nothing does any more.
+    /// Compares with the primary's digests. Requests the ranges that differ; if none do, applies
+    /// everything that was fetched in one step and reports that the copy is in sync.
     fn compare(
         &mut self,
         primary: std::net::SocketAddr,
@@ -239,7 +241,8 @@
         let (round, sequence) = (comparison.round, comparison.sequence);
         let changes = comparison.fetched.into_values().flat_map(|range| range.changes).collect();
         self.check_keeps_committed(sequence);
-        // Written even if nothing changed: the disk works in order, so all before it is synced too.
+        // Written even if nothing changed: the disk syncs in order, so everything before is synced
+        // too.
         let rows = self.copy.replace(LogPosition { epoch: self.epoch, sequence }, changes);
         match self.write(rows, now, outputs) {
             Some(write) => {
@@ -265,7 +268,8 @@
         let digest = crate::copy::digest_of_rows(&rows);
         let changes = self.copy.difference(usize::from(range), rows);
         comparison.fetched.insert(range, FetchedRange { digest, changes });
-        // A range that changed at the primary since it sent its digests is settled by its next ones.
+        // If the range changed at the primary after it sent its digests, the next digests settle
+        // it.
         if comparison.missing.is_empty() && comparison.differing(self.copy.digests()).is_empty() {
             self.compare(from.address, now, outputs);
         }
--- a/libraries/topazyard-replication/src/replica/mod.rs
+++ b/libraries/topazyard-replication/src/replica/mod.rs
@@ -1,9 +1,9 @@
-//! A primary and its backups: nothing is answered that not all of them have confirmed in the same
-//! epoch.
+//! Primary-backup replication of a group: nothing is acknowledged until all backups have confirmed
+//! it in the same epoch.
 //!
-//! The owner tells the replica which role it has in which epoch; the replica keeps the copies in step.
-//! One batch is under way at a time; what comes meanwhile forms the next. A read is a batch
-//! without changes, so that it is confirmed the same way.
+//! The owner assigns the role of each epoch, and the replica keeps the copies in sync. One batch is
+//! in flight at a time; changes submitted meanwhile form the next one. A read is a batch without
+//! changes, so that it is confirmed in the same way.
 
 mod follower;
 mod parts;
@@ -20,66 +20,67 @@
 
 pub use primary::PrimaryState;
 
-/// With so many writes that are not synced a follower takes nothing more. A whole copy comes in
-/// fewer.
+/// Number of unsynced writes at which a follower ignores further messages. A full synchronization
+/// needs fewer.
 const MAX_UNSYNCED_WRITES: usize = 2 * crate::copy::RANGE_COUNT;
 
-/// Marks something submitted, so that the owner hears when it is committed.
+/// Identifies a submission, so that the owner learns when it is committed.
 pub type WriteTicket = u64;
 
-/// What the replica wants done or has to say.
+/// An action or a report of the replica for its owner.
 #[derive(Debug)]
 pub enum ReplicaOutput {
-    /// Send.
+    /// Send this message.
     Send(std::net::SocketAddr, ReplicaMessage),
-    /// Write and sync.
+    /// Write and sync these changes.
     Write(WriteToken, Vec<RowChange>),
-    /// These tickets are committed, in the order they came.
+    /// These submissions are committed, in the order in which they came.
     Committed(Vec<WriteTicket>),
-    /// These tickets were under way when the role was lost: their outcome is unknown.
+    /// These submissions were pending when the primary role ended; their outcome is unknown.
     OutcomeUnknown(Vec<WriteTicket>),
     /// The primary now serves in its epoch.
     Serving,
-    /// All learners hold everything, and nothing is answered until the epoch changes.
+    /// All learners are filled, and nothing is acknowledged until the epoch changes.
     LearnersReady,
 }
 
-/// Who follows a primary in an epoch.
+/// The followers of a primary in an epoch.
 #[derive(Debug, Clone, Default)]
 pub struct Followers {
-    /// Who confirm each batch, all of them.
+    /// The backups, all of which must confirm each batch.
     pub backups: Vec<CoreNode>,
-    /// Who are being given a copy.
+    /// The nodes that are being filled to become backups.
     pub learners: Vec<CoreNode>,
-    /// Whether these backups are enough for anything to be answered.
+    /// Whether these backups are enough to acknowledge anything.
     pub may_serve: bool,
 }
 
-/// What a node is to a group in an epoch.
+/// The role of a node in a group in an epoch.
 #[derive(Debug, Clone)]
 enum Role {
-    /// Nothing.
+    /// The node is not part of the group.
     Idle,
-    /// It commits.
+    /// The node commits batches.
     Primary(Box<PrimaryState>),
-    /// It follows a primary: as its backup or as its learner.
+    /// The node follows a primary, as a backup or a learner.
     Follower(follower::FollowerState),
 }
 
-/// How much of a copy may never have been committed.
+/// How much of a copy may be uncommitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Uncommitted {
-    /// Nothing: all of it was.
+    /// Everything in the copy is committed.
     Nothing,
-    /// What the batch applied last changed.
+    /// The changes of the last applied batch.
     LastBatch,
-    /// Some batch that nobody can tell from the rest: the copy equalled its primary's.
+    /// The changes of a batch that can't be told from the rest, as the copy was synchronized as a
+    /// whole.
     UnknownBatch,
-    /// Any of it: the copy is being compared, or was read from disk.
+    /// Any of the rows: the copy is being compared, or was loaded from disk.
     All,
 }
 
-/// One node's part in a group.
+/// The replica of a group on one node.
 #[derive(Debug, Clone)]
 pub struct Replica {
     group: Group,
@@ -91,27 +92,27 @@
     learner_promotion_paused: bool,
     has_role: bool,
     last_write: u64,
-    /// The round given out last, in any role: none is given out twice in a life.
+    /// The last round started in any role. No round is used twice during one boot.
     last_round: u64,
     unsynced_writes: std::collections::BTreeMap<u64, MonotonicMs>,
-    /// On how many copies the last commit was synced, this one among them.
+    /// Number of copies on which the last commit was synced, this one included.
     synced_copies: usize,
-    /// What this node knows to have been committed.
+    /// The highest sequence that this node knows to be committed.
     committed: Sequence,
 }
 
-/// A frame's sender.
+/// The sender of a frame.
 #[derive(Debug, Clone, Copy)]
 pub struct Sender {
-    /// Its id.
+    /// Its node id.
     pub id: NodeId,
-    /// Where it takes frames.
+    /// The address at which it receives frames.
     pub address: std::net::SocketAddr,
 }
 
 impl Replica {
-    /// A node's part in a group, with the copy it holds. Groups that are not durable are kept in
-    /// memory only.
+    /// Creates the replica of a group with the copy that this node holds. Groups that are not
+    /// durable are kept in memory only.
     ///
     /// ```
     /// use topazyard_replication::{Copy, Replica};
@@ -137,8 +138,9 @@
         }
     }
 
-    /// Numbers its writes from after that one. A sync is told by its number alone, so that no number may
-    /// be used again while a write of an earlier copy of the group may still be under way.
+    /// Numbers writes from the one after `number`. A completed sync is identified by its number
+    /// alone, so no number may be reused while a write of an earlier replica of the group may be
+    /// pending.
     pub fn with_last_write(mut self, number: u64) -> Self {
         self.last_write = number;
         self
@@ -149,38 +151,39 @@
         self.last_write
     }
 
-    /// The copy.
+    /// The copy of the rows.
     pub fn copy(&self) -> &crate::Copy {
         &self.copy
     }
 
-    /// Leaves a learner as it is while nobody could make it the backup: a primary that has one goes
-    /// on with it rather than stop for a record that won't come.
+    /// Stops learners from becoming ready while no epoch change could make them backups. A primary
+    /// that can serve then goes on serving, rather than pause for a record that will not be
+    /// decided.
     pub fn set_learner_promotion_paused(&mut self, paused: bool) {
         self.learner_promotion_paused = paused;
     }
 
-    /// On how many copies the last commit of this primary was synced, its own among them.
+    /// Number of copies on which the last commit of this primary was synced, its own included.
     pub fn synced_copies(&self) -> usize {
         self.synced_copies
     }
 
-    /// How much of the copy may never have been committed, and so may go again.
+    /// How much of the copy may be uncommitted, and so may be rolled back.
     pub fn uncommitted(&self) -> Uncommitted {
         self.uncommitted
     }
 
-    /// The epoch.
+    /// The current epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Whether this node is the primary and all its backups confirm.
+    /// Whether this node is the primary and all its backups confirm batches.
     pub fn is_serving(&self) -> bool {
         matches!(&self.role, Role::Primary(primary) if primary.is_serving())
     }
 
-    /// Whether this node was given a role since it started.
+    /// Whether this node was assigned a role since it started.
     pub fn has_role(&self) -> bool {
         self.has_role
     }
@@ -190,23 +193,24 @@
         matches!(self.role, Role::Primary(_))
     }
 
-    /// Whether this node follows and its copy equalled the primary's at some time in this epoch.
-    /// All it confirmed since is in the copy too, so nothing that was ever answered is missing.
+    /// Whether this node is a follower whose copy was in sync with the primary's at some time in
+    /// this epoch. The copy also holds everything that it confirmed since, so nothing that was ever
+    /// acknowledged is missing from it.
     pub fn was_in_sync(&self) -> bool {
         matches!(self.role, Role::Follower(_)) && self.copy.position().epoch == self.epoch
     }
 
-    /// Whether this node follows that primary.
+    /// Whether this node follows the given primary.
     pub fn follows(&self, primary: NodeId) -> bool {
         self.primary() == Some(primary)
     }
 
-    /// Whether this node follows a primary that has said that it synced the batch taken last.
+    /// Whether this node follows a primary that has reported the last received batch as synced.
     pub fn primary_synced_last_batch(&self) -> bool {
         matches!(&self.role, Role::Follower(follower) if follower.primary_synced_last_batch())
     }
 
-    /// The primary that this node follows, if it follows one.
+    /// The primary that this node follows, if any.
     pub fn primary(&self) -> Option<NodeId> {
         match &self.role {
             Role::Follower(follower) => Some(follower.primary),
@@ -214,7 +218,7 @@
         }
     }
 
-    /// When this follower last heard its primary.
+    /// When this follower last received a message from its primary.
     pub fn primary_last_heard(&self) -> Option<MonotonicMs> {
         match &self.role {
             Role::Follower(follower) => Some(follower.last_heard),
@@ -222,7 +226,8 @@
         }
     }
 
-    /// Since when a backup owes the primary a confirmation, if one does.
+    /// Since when a backup has not confirmed what the primary waits for; the earliest if there are
+    /// several.
     pub fn backup_silent_since(&self) -> Option<MonotonicMs> {
         match &self.role {
             Role::Primary(primary) => primary.unconfirmed_backups().map(|(_, since)| since).min(),
@@ -230,7 +235,7 @@
         }
     }
 
-    /// The backups that have owed the primary a confirmation for as long.
+    /// The backups that have not confirmed what the primary waits for in the given time.
     pub fn silent_backups(
         &self,
         timeout: topazyard_types::DurationMs,
@@ -246,7 +251,7 @@
         }
     }
 
-    /// The learners that hold everything.
+    /// The learners that are filled.
     pub fn filled_learners(&self) -> Vec<NodeId> {
         match &self.role {
             Role::Primary(primary) => primary.ready_learners().collect(),
@@ -254,23 +259,23 @@
         }
     }
 
-    /// Whether all that was written is synced.
+    /// Whether all writes are synced.
     pub fn is_synced(&self) -> bool {
         self.unsynced_writes.is_empty()
     }
 
-    /// How long the oldest write not yet synced has taken.
+    /// How long the oldest unsynced write has been pending.
     pub fn oldest_write(&self, now: MonotonicMs) -> topazyard_types::DurationMs {
         let oldest = self.unsynced_writes.values().next();
         oldest.map_or(topazyard_types::DurationMs(0), |since| now.since(*since))
     }
 
-    /// Becomes nothing to the group in an epoch.
+    /// Leaves the group in the given epoch.
     pub fn become_idle(&mut self, epoch: Epoch) -> Vec<ReplicaOutput> {
         self.change_role(epoch, Role::Idle)
     }
 
-    /// Becomes the primary of an epoch.
+    /// Becomes the primary of the given epoch.
     pub fn become_primary(
         &mut self,
         epoch: Epoch,
@@ -290,7 +295,7 @@
         outputs
     }
 
-    /// Becomes a follower of that primary in an epoch.
+    /// Becomes a follower of `primary` in the given epoch.
     pub fn become_follower(
         &mut self,
         epoch: Epoch,
@@ -306,7 +311,8 @@
         self.change_role(epoch, Role::Follower(follower::FollowerState::new(primary, now)))
     }
 
-    /// The one place where the role changes. What was under way in a lost role is unknown.
+    /// The only function that changes the role. When the primary role ends, the outcome of its
+    /// pending submissions is unknown.
     fn change_role(&mut self, epoch: Epoch, role: Role) -> Vec<ReplicaOutput> {
         self.epoch = epoch;
         self.has_role = true;
@@ -315,7 +321,7 @@
             && !matches!(role, Role::Primary(_))
             && self.uncommitted != Uncommitted::Nothing
         {
-            // Nobody else may have what it began last.
+            // No other node may have the batch that it started last.
             self.uncommitted = Uncommitted::All;
         }
         match std::mem::replace(&mut self.role, role) {
@@ -327,8 +333,8 @@
         }
     }
 
-    /// Takes a message of this group. A lower epoch is refused; a higher one waits until the
-    /// owner has learned of it too.
+    /// Handles a message of this group. Messages of another epoch are ignored: a lower one is
+    /// outdated, and of a higher one the owner has yet to learn.
     pub fn receive(
         &mut self,
         from: Sender,
@@ -347,14 +353,14 @@
         outputs
     }
 
-    /// Everything up to that sequence is known to be committed.
+    /// Records that everything up to `sequence` is committed.
     fn note_committed(&mut self, sequence: Sequence) {
         self.committed = self.committed.max(sequence);
     }
 
-    /// The copy is about to be brought to that sequence.
+    /// Checks that bringing the copy to `sequence` loses nothing committed.
     fn check_keeps_committed(&self, sequence: Sequence) {
-        // A group in memory may begin anew where all its copies are gone.
+        // A group in memory may start over once all its copies are lost.
         let holds = !self.durable || check_committed_stays(self.committed, sequence);
         report(holds, Invariant::CommittedStays, || {
             let (group, epoch) = (self.group, self.epoch);
@@ -362,7 +368,7 @@
         });
     }
 
-    /// Time has passed.
+    /// Sends whatever is due as time passes.
     pub fn tick(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
         let mut outputs = Vec::new();
         if self.is_primary() {
@@ -371,7 +377,7 @@
         outputs
     }
 
-    /// A write is synced.
+    /// Handles the completed sync of a write.
     pub fn write_synced(&mut self, number: u64) -> Vec<ReplicaOutput> {
         let mut outputs = Vec::new();
         self.unsynced_writes.remove(&number);
@@ -388,7 +394,8 @@
         outputs.push(ReplicaOutput::Send(to, message));
     }
 
-    /// Writes rows, or gives none where the group is kept in memory only.
+    /// Writes changes and returns the write's number, or `None` if the group is kept in memory
+    /// only.
     fn write(
         &mut self,
         changes: Vec<RowChange>,
--- a/libraries/topazyard-replication/src/replica/parts.rs
+++ b/libraries/topazyard-replication/src/replica/parts.rs
@@ -1,15 +1,15 @@
-//! Ranges that are sent in parts, so that none outgrows a frame.
+//! Ranges are sent in parts, so that none exceeds a frame.
 
-/// How much of a range goes into one frame.
+/// Maximum size of the rows in one part; a single larger row is a part of its own.
 const MAX_PART_BYTES: u64 = 1024 * 1024;
 
-/// How large rows are.
+/// Total size of keys and values.
 pub(super) fn size_of_rows(rows: &[(String, bytes::Bytes)]) -> u64 {
     rows.iter().map(|(key, value)| (key.len() + value.len()) as u64).sum()
 }
 
-/// Splits the rows of a range so that no part outgrows a frame by far: a row alone may be as large
-/// as the largest configuration, which fits. An empty range is one empty part.
+/// Splits the rows of a range into parts that fit into a frame. A single row may be as large as the
+/// largest configuration, which fits too. An empty range is one empty part.
 pub(super) fn split_into_parts(
     rows: Vec<(String, bytes::Bytes)>,
 ) -> Vec<Vec<(String, bytes::Bytes)>> {
--- a/libraries/topazyard-replication/src/replica/primary.rs
+++ b/libraries/topazyard-replication/src/replica/primary.rs
@@ -1,4 +1,4 @@
-//! The primary's side: batches, the comparisons that bring backups in step, and the learners.
+//! The primary role: batches, the comparisons that synchronize backups, and the learners.
 
 use super::parts::{size_of_rows, split_into_parts};
 use super::progress::{
@@ -10,30 +10,30 @@
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::message::replica::{FollowerRole, Part, RangePart, ReplicaBody};
 
-/// After how long an append is sent again.
+/// Interval after which an unconfirmed append is sent again.
 const APPEND_RETRY_INTERVAL: DurationMs = DurationMs(100);
-/// How long an idle primary leaves its backups without a word.
+/// Interval between messages to the backups while there is nothing to commit.
 const HEARTBEAT_INTERVAL: DurationMs = DurationMs(200);
-/// How long new batches are held back for a learner's last comparison.
+/// Maximum time for which new batches wait for a learner's final comparison.
 const MAX_WRITE_PAUSE: DurationMs = DurationMs(1_500);
 
 /// Whether the primary may commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
-    /// It may not yet: a backup's copy is being compared, or backups are missing.
+    /// Not yet: a backup's copy is being compared, or there are too few backups.
     Comparing,
-    /// It may.
+    /// It may commit.
     Serving,
-    /// It may no more in this epoch: another record was asked for.
+    /// No longer in this epoch: a new epoch record was proposed.
     Stopped,
 }
 
-/// What a primary keeps.
+/// The state of a primary.
 #[derive(Debug, Clone)]
 pub struct PrimaryState {
     backups: Vec<Backup>,
     learners: Vec<Learner>,
-    /// Whether it may answer once all its backups are in step.
+    /// Whether it may serve once all its backups are in sync.
     may_serve: bool,
     phase: Phase,
     in_flight: Option<ChangeBatch>,
@@ -72,14 +72,14 @@
         in_flight.chain(&self.queued_tickets).copied().collect()
     }
 
-    /// The backups that owe a confirmation, each with since when.
+    /// The backups that have yet to confirm, each with the time since when.
     pub(super) fn unconfirmed_backups(&self) -> impl Iterator<Item = (NodeId, MonotonicMs)> {
         let batch = self.in_flight.as_ref();
         let backups = self.backups.iter().filter(|_| self.phase != Phase::Stopped);
         backups.filter_map(move |backup| Some((backup.node.id, backup.unconfirmed_since(batch)?)))
     }
 
-    /// The learners that hold everything.
+    /// The learners that are filled.
     pub(super) fn ready_learners(&self) -> impl Iterator<Item = NodeId> {
         let ready = |learner: &&Learner| matches!(learner.state, LearnerState::Ready(_));
         self.learners.iter().filter(ready).map(|learner| learner.node.id)
@@ -103,10 +103,10 @@
 }
 
 impl Replica {
-    /// Submits changes; the ticket is committed once all copies have synced them. No changes
-    /// make it a confirmed read.
+    /// Submits changes; the ticket is committed once all copies have synced them. A submission
+    /// without changes is a confirmed read.
     ///
-    /// Gives false, and does nothing, where this node is not the primary.
+    /// Returns false and does nothing if this node is not the primary.
     pub fn submit(&mut self, ticket: WriteTicket, changes: Vec<RowChange>) -> bool {
         let Role::Primary(primary) = &mut self.role else { return false };
         primary.queued_tickets.push(ticket);
@@ -114,7 +114,7 @@
         true
     }
 
-    /// Whether changes wait that are not committed yet.
+    /// Whether there are changes that are not committed yet.
     pub fn has_changes_pending(&self) -> bool {
         match &self.role {
             Role::Primary(primary) => {
@@ -126,15 +126,15 @@
         }
     }
 
-    /// Answers nothing more in this epoch.
+    /// Acknowledges nothing more in this epoch.
     pub fn stop_serving(&mut self) {
         if let Role::Primary(primary) = &mut self.role {
             primary.phase = Phase::Stopped;
         }
     }
 
-    /// Begins the next batch, if there is one and none is under way. The owner calls this after
-    /// it has dealt with all that the replica put out, while the copy holds only what is committed.
+    /// Starts the next batch if one is due and none is in flight. The owner calls this after it has
+    /// handled all outputs of the replica, while the copy holds only committed rows.
     pub fn start_next_batch(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
         let mut outputs = Vec::new();
         let Role::Primary(primary) = &mut self.role else { return outputs };
@@ -143,7 +143,8 @@
         if !primary.is_serving() || primary.in_flight.is_some() || idle {
             return outputs;
         }
-        // While a learner compares for the last time only confirmations go on, with no changes.
+        // During the final comparison of a learner only reads are confirmed, as they change
+        // nothing.
         if primary.are_writes_paused() && !primary.queued_changes.is_empty() {
             return outputs;
         }
@@ -173,12 +174,12 @@
             });
         }
         self.send_append(&mut outputs);
-        // Where there are no backups nobody else has to confirm it.
+        // Without backups the batch may be committed already.
         self.commit_batch(&mut outputs);
         outputs
     }
 
-    /// Sends the batch under way to those backups in step that have not confirmed it.
+    /// Sends the batch in flight to the backups in sync that have not confirmed it.
     fn send_append(&self, outputs: &mut Vec<ReplicaOutput>) {
         let Role::Primary(primary) = &self.role else { return };
         let Some(batch) = &primary.in_flight else { return };
@@ -249,7 +250,7 @@
 
     fn learners_tick(&mut self, now: MonotonicMs, outputs: &mut Vec<ReplicaOutput>) {
         let Role::Primary(primary) = &mut self.role else { return };
-        // Where only a backup out of step keeps the primary from serving, that one comes first.
+        // A backup out of sync that keeps the primary from serving comes before learners.
         if primary.phase == Phase::Comparing && primary.may_serve {
             return;
         }
@@ -330,7 +331,7 @@
         }
     }
 
-    /// Sends a range, in parts where it is large.
+    /// Sends a range, in several parts if it is large.
     fn send_range(
         &self,
         to: std::net::SocketAddr,
@@ -363,13 +364,14 @@
             return;
         }
         backup.state = BackupState::InSync;
-        // The copy compared holds the batch that was under way.
+        // The compared copy includes the batch in flight.
         backup.confirmed_round = primary.in_flight.as_ref().map(|batch| batch.round);
         self.serve_if_in_sync(outputs);
     }
 
-    /// Begins to serve once all backups are in step and its own copy is synced: a successor may hold a
-    /// batch that its disk has not done yet, and what it then shows is on all copies but its own.
+    /// Starts serving once all backups are in sync and the primary's own copy is synced. A new
+    /// primary may hold a batch that its own disk has not synced yet; anything it served then would
+    /// be durable on all copies but its own.
     fn serve_if_in_sync(&mut self, outputs: &mut Vec<ReplicaOutput>) {
         let is_synced = self.is_synced();
         let Role::Primary(primary) = &mut self.role else { return };
@@ -406,8 +408,8 @@
                 primary.learners[index].state = LearnerState::FinalComparison(None, now);
                 self.learners_tick(now, outputs);
             }
-            // A batch may be under way: it is in the copy, and from here on it is not answered
-            // before the next epoch.
+            // A batch may be in flight. It is part of the copy, and from here on it is not
+            // acknowledged before the next epoch.
             LearnerState::FinalComparison(Some(c), since)
                 if c.round == round && sequence == own_sequence =>
             {
@@ -433,7 +435,8 @@
         self.commit_batch(outputs);
     }
 
-    /// Tells the backups in step that this copy has synced a batch: with their own word that is all.
+    /// Reports to the backups in sync that this copy has synced a batch, so that they know it is on
+    /// all copies once they have synced it themselves.
     fn send_synced(&self, round: u64, outputs: &mut Vec<ReplicaOutput>) {
         let Role::Primary(primary) = &self.role else { return };
         for backup in primary.backups.iter().filter(|backup| backup.is_in_sync()) {
@@ -441,7 +444,7 @@
         }
     }
 
-    /// The one place where something is said to be committed.
+    /// The only function that reports anything as committed.
     fn commit_batch(&mut self, outputs: &mut Vec<ReplicaOutput>) {
         let Role::Primary(primary) = &mut self.role else { return };
         if !primary.is_serving() {
@@ -465,7 +468,7 @@
 }
 
 impl PrimaryState {
-    /// The comparison of that round, if it is still under way.
+    /// The comparison of the given round, if it is still in progress.
     fn comparison_of(&mut self, round: u64) -> Option<&mut Comparison> {
         let backups = self.backups.iter_mut().filter_map(|backup| match &mut backup.state {
             BackupState::Comparing(comparison, _) => comparison.as_mut(),
--- a/libraries/topazyard-replication/src/replica/progress.rs
+++ b/libraries/topazyard-replication/src/replica/progress.rs
@@ -1,25 +1,25 @@
-//! How far a primary's backups and learners are.
+//! The progress of a primary's backups and learners.
 
 use super::WriteTicket;
 use topazyard_types::{DurationMs, MonotonicMs, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::CoreNode;
 
-/// After how long a comparison that nobody answered is begun again: the other node may not have
-/// heard of the epoch yet.
+/// Time without a response after which a comparison starts again: the other node may not have
+/// learned of the epoch yet.
 const COMPARISON_RETRY_INTERVAL: DurationMs = DurationMs(40);
-/// After how long one whose ranges are being fetched is begun again, besides the time that the
-/// ranges sent need on their way.
+/// Time after which a comparison whose ranges are being fetched starts again, in addition to the
+/// transfer time of the ranges.
 const FETCH_RETRY_INTERVAL: DurationMs = DurationMs(300);
-/// How much of a range goes over a link in a millisecond, at the least: 10 MB a second.
+/// Minimum assumed throughput of a link, in bytes per millisecond: 10 MB/s.
 const MIN_BYTES_PER_MS: u64 = 10_000;
 
-/// A comparison that is under way.
+/// A comparison in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Comparison {
     pub(super) round: u64,
     pub(super) started_at: MonotonicMs,
-    /// How many bytes of ranges the other node asked for, if it did.
+    /// Size of the ranges that the other node requested, once it has.
     pub(super) requested_bytes: Option<u64>,
 }
 
@@ -33,26 +33,26 @@
     }
 }
 
-/// Whether a comparison is to be begun, or begun again.
+/// Whether a comparison is to be started or restarted.
 pub(super) fn is_due(comparison: &Option<Comparison>, now: MonotonicMs) -> bool {
     comparison.as_ref().is_none_or(|comparison| comparison.is_retry_due(now))
 }
 
-/// A backup, as its primary knows it.
+/// What the primary knows of a backup.
 #[derive(Debug, Clone)]
 pub(super) struct Backup {
     pub(super) node: CoreNode,
     pub(super) state: BackupState,
-    /// The last round that it confirmed in this epoch.
+    /// The last round that the backup confirmed in this epoch.
     pub(super) confirmed_round: Option<u64>,
 }
 
-/// Whether a backup follows batch by batch.
+/// Whether a backup receives batches.
 #[derive(Debug, Clone)]
 pub(super) enum BackupState {
-    /// Its copy is being compared, since then.
+    /// Its copy has been under comparison since that time.
     Comparing(Option<Comparison>, MonotonicMs),
-    /// It takes each batch.
+    /// It receives each batch.
     InSync,
 }
 
@@ -61,12 +61,12 @@
         matches!(self.state, BackupState::InSync)
     }
 
-    /// Whether it has said in this epoch that it synced that round.
+    /// Whether the backup has confirmed in this epoch that it synced the given round.
     pub(super) fn has_synced(&self, round: u64) -> bool {
         self.is_in_sync() && self.confirmed_round == Some(round)
     }
 
-    /// Since when it owes a confirmation, if it does.
+    /// Since when a confirmation of the backup is missing, if it is.
     pub(super) fn unconfirmed_since(&self, in_flight: Option<&ChangeBatch>) -> Option<MonotonicMs> {
         match &self.state {
             BackupState::Comparing(_, since) => Some(*since),
@@ -79,25 +79,25 @@
     }
 }
 
-/// A node that is being given a copy.
+/// A node that is being filled to become a backup.
 #[derive(Debug, Clone)]
 pub(super) struct Learner {
     pub(super) node: CoreNode,
     pub(super) state: LearnerState,
 }
 
-/// How far a learner is.
+/// The progress of a learner.
 #[derive(Debug, Clone)]
 pub(super) enum LearnerState {
-    /// It fetches while the primary goes on.
+    /// It fetches ranges while the primary goes on committing.
     Fetching(Option<Comparison>),
-    /// New batches are held back since then, for the last comparison.
+    /// New batches have been paused since that time for the final comparison.
     FinalComparison(Option<Comparison>, MonotonicMs),
-    /// It holds everything, and new batches are held back since then.
+    /// It is filled, and new batches have been paused since that time.
     Ready(MonotonicMs),
 }
 
-/// A batch that is being synced on every copy.
+/// A batch that is being synced on all copies.
 #[derive(Debug, Clone)]
 pub(super) struct ChangeBatch {
     pub(super) round: u64,
--- a/libraries/topazyard-replication/src/snapshot.rs
+++ b/libraries/topazyard-replication/src/snapshot.rs
@@ -1,18 +1,19 @@
-//! A snapshot of a copy's rows for a follower, in parts of which each fits in a small frame.
+//! A snapshot of a copy's rows for a follower of the feed, split into parts that fit into small
+//! frames.
 
 use topazyard_types::LogPosition;
 use topazyard_wire::message::feed::{PartRequest, SnapshotPart};
 
-/// How many bytes a follower is answered at once, at the most. Many followers ask at the same time,
-/// as after a restart of all, and what they are sent waits in memory.
+/// Maximum size of one part. After a restart of the whole fleet many followers send requests at the
+/// same time, and the responses to all of them wait in memory.
 pub const PART_BYTES: usize = 128 * 1024;
-/// The most parts of a snapshot that a follower collects: 64 MB.
+/// Maximum number of parts that a follower accepts: 64 MB in total.
 const MAX_PARTS: u32 = 512;
 
-/// A row of a snapshot.
+/// A key and its encoded value.
 pub type Row = (String, bytes::Bytes);
 
-/// The rows at one place, encoded once for all followers.
+/// The rows at one log position, encoded once for all followers.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     position: LogPosition,
@@ -20,7 +21,7 @@
 }
 
 impl Snapshot {
-    /// Of these rows, which a copy held at that place.
+    /// Encodes the rows that a copy held at `position`.
     ///
     /// ```
     /// use topazyard_replication::Snapshot;
@@ -33,12 +34,12 @@
         Self { position, bytes: topazyard_wire::rows::encode(rows) }
     }
 
-    /// The place of its rows.
+    /// The log position of the rows.
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// A part, if it has so many. The parts share the bytes of the snapshot.
+    /// The part with this number, if there is one. All parts share the bytes of the snapshot.
     pub fn part(&self, part: u32) -> Option<SnapshotPart> {
         let parts = self.bytes.len().div_ceil(PART_BYTES).max(1) as u32;
         let from = part as usize * PART_BYTES;
@@ -48,7 +49,7 @@
     }
 }
 
-/// The parts of one snapshot that a follower has so far.
+/// A snapshot that is being received part by part.
 #[derive(Debug, Clone)]
 pub(crate) struct SnapshotDownload {
     position: LogPosition,
@@ -58,31 +59,31 @@
 }
 
 impl SnapshotDownload {
-    /// Begins with the first part of a snapshot.
+    /// Starts a download with the first part; `None` if this is not a valid first part.
     pub(crate) fn start(position: LogPosition, first: &SnapshotPart) -> Option<Self> {
         let is_valid = first.part == 0 && (1..=MAX_PARTS).contains(&first.parts);
         is_valid.then(|| Self { position, parts: first.parts, next: 0, bytes: Vec::new() })
     }
 
-    /// Whether this is the part that comes next.
+    /// Whether `part` is the next part of this snapshot.
     pub(crate) fn is_next(&self, position: LogPosition, part: &SnapshotPart) -> bool {
         let is_next = (self.position, self.parts, self.next) == (position, part.parts, part.part);
         is_next && part.bytes.len() <= PART_BYTES
     }
 
-    /// Adds the part that comes next.
+    /// Appends the next part.
     pub(crate) fn add(&mut self, part: &SnapshotPart) {
         self.bytes.extend_from_slice(&part.bytes);
         self.next += 1;
     }
 
-    /// Which part is lacking next; none once the snapshot is whole.
+    /// The request for the next missing part; `None` once the snapshot is complete.
     pub(crate) fn next_request(&self) -> Option<PartRequest> {
         let is_complete = self.next == self.parts;
         (!is_complete).then_some(PartRequest { position: self.position, part: self.next })
     }
 
-    /// The rows of a whole snapshot, if they can be read.
+    /// The rows of the complete snapshot; `None` if they cannot be decoded.
     pub(crate) fn rows(&self) -> Option<Vec<Row>> {
         topazyard_wire::rows::decode(&self.bytes)
     }
