--- a/libraries/topazyard-replication/tests/comparison.rs
+++ b/libraries/topazyard-replication/tests/comparison.rs
@@ -1,4 +1,4 @@
-//! Comparisons: a copy that is brought in step is the old one or the new one, never part of both.
+//! Comparisons: a copy that is synchronized is either the old one or the new one, never a mix.
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
@@ -21,7 +21,7 @@
     Sender { id: NodeId(id), address: node(id).address }
 }
 
-/// A copy whose rows all name the same batch.
+/// A copy whose rows all hold the number of one batch.
 fn copy_of(batch: u8) -> Copy {
     let mut copy = Copy::default();
     let rows = (0..ROWS).map(|row| RowChange::put(format!("row {row}"), &batch)).collect();
@@ -29,7 +29,7 @@
     copy
 }
 
-/// What a disk holds after these writes, on top of a copy that it held before.
+/// What a disk holds after these writes, starting from a copy that it held before.
 fn on_disk(before: &Copy, writes: &[Vec<RowChange>]) -> Copy {
     let mut rows: Rows = before.rows().clone();
     for change in writes.iter().flatten() {
@@ -41,16 +41,16 @@
     Copy::from_rows(rows)
 }
 
-fn batches_in(copy: &Copy) -> std::collections::BTreeSet<Vec<u8>> {
+fn batches_of(copy: &Copy) -> std::collections::BTreeSet<Vec<u8>> {
     copy.rows().values().map(|value| value.to_vec()).collect()
 }
 
-/// A claimer's messages to the copy that it fills, one at a time.
+/// A primary that fills a learner; its messages are delivered one at a time.
 struct Filling {
     primary: Replica,
     learner: Replica,
     writes: Vec<Vec<RowChange>>,
-    at_learner: std::collections::VecDeque<ReplicaMessage>,
+    to_learner: std::collections::VecDeque<ReplicaMessage>,
     is_ready: bool,
 }
 
@@ -60,30 +60,30 @@
             primary: Replica::new(Group::Control, true, source, BootId(4 << 40)),
             learner: Replica::new(Group::Control, true, learner, BootId(9 << 40)),
             writes: Vec::new(),
-            at_learner: Default::default(),
+            to_learner: Default::default(),
             is_ready: false,
         };
         let followers =
             Followers { backups: Vec::new(), learners: vec![node(2)], may_serve: false };
         filling.learner.become_follower(Epoch(2), NodeId(1), NOW);
         let out = filling.primary.become_primary(Epoch(2), followers, NOW);
-        filling.take_primary(out);
+        filling.collect_primary_outputs(out);
         filling
     }
 
-    fn take_primary(&mut self, out: Vec<ReplicaOutput>) {
+    fn collect_primary_outputs(&mut self, out: Vec<ReplicaOutput>) {
         for output in out {
             match output {
-                ReplicaOutput::Send(_, message) => self.at_learner.push_back(message),
+                ReplicaOutput::Send(_, message) => self.to_learner.push_back(message),
                 ReplicaOutput::LearnersReady => self.is_ready = true,
                 _ => {}
             }
         }
     }
 
-    /// Carries one message to the learner, and its answers back.
-    fn step(&mut self) -> bool {
-        let Some(message) = self.at_learner.pop_front() else { return false };
+    /// Delivers one message to the learner, and its responses to the primary.
+    fn deliver_next(&mut self) -> bool {
+        let Some(message) = self.to_learner.pop_front() else { return false };
         let mut outputs = self.learner.receive(from(1), message, NOW);
         while !outputs.is_empty() {
             let mut more = Vec::new();
@@ -95,7 +95,7 @@
                     }
                     ReplicaOutput::Send(_, message) => {
                         let out = self.primary.receive(from(2), message, NOW);
-                        self.take_primary(out);
+                        self.collect_primary_outputs(out);
                     }
                     _ => {}
                 }
@@ -107,36 +107,36 @@
 }
 
 #[test]
-fn a_copy_that_dies_while_it_is_filled_is_never_half_of_two() {
+fn crash_while_filling_leaves_the_old_or_the_new_copy() {
     let (old, new) = (copy_of(1), copy_of(2));
     let mut filling = Filling::new(new, old.clone());
     let mut seen = std::collections::BTreeSet::new();
     loop {
-        // It may die here: before the message, and after each of the writes that it made.
+        // The learner may crash here: before the message, and after each of its writes.
         for writes in 0..=filling.writes.len() {
             let restarted = on_disk(&old, &filling.writes[..writes]);
-            let batches = batches_in(&restarted);
+            let batches = batches_of(&restarted);
             assert_eq!(batches.len(), 1, "rows of two batches: {batches:?}");
             seen.extend(batches);
         }
-        if !filling.step() {
+        if !filling.deliver_next() {
             break;
         }
     }
     assert!(filling.is_ready);
-    assert_eq!(seen.len(), 2, "it was seen before and after");
+    assert_eq!(seen.len(), 2, "both the old and the new copy were seen");
     assert_eq!(filling.learner.copy().rows(), filling.primary.copy().rows());
 }
 
 #[test]
-fn a_member_whose_filling_ends_midway_still_holds_what_it_held() {
+fn interrupted_filling_leaves_the_copy_unchanged() {
     let old = copy_of(1);
     let mut filling = Filling::new(copy_of(2), old.clone());
-    // The claimer's digests and all but one of the ranges arrive; then the claimer is gone.
-    while filling.at_learner.len() != 1 || filling.writes.is_empty() {
-        let last = filling.at_learner.len() == 1
-            && matches!(filling.at_learner[0].body, ReplicaBody::Range(_));
-        if last || !filling.step() {
+    // The primary's digests and all but one of the ranges arrive; then the primary fails.
+    while filling.to_learner.len() != 1 || filling.writes.is_empty() {
+        let last = filling.to_learner.len() == 1
+            && matches!(filling.to_learner[0].body, ReplicaBody::Range(_));
+        if last || !filling.deliver_next() {
             break;
         }
     }
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_range_larger_than_a_part_arrives_in_several() {
+fn large_range_is_sent_in_several_parts() {
     let mut source = Copy::default();
     let large = |n: u8| RowChange {
         key: format!("large {n}"),
@@ -157,12 +157,12 @@
     let mut parts = 0;
     loop {
         if let Some(ReplicaBody::Range(RangePart { part, rows, .. })) =
-            filling.at_learner.front().map(|message| &message.body)
+            filling.to_learner.front().map(|message| &message.body)
         {
             largest = largest.max(rows.iter().map(|(_, value)| value.len()).sum::<usize>());
             parts = parts.max(part.of);
         }
-        if !filling.step() {
+        if !filling.deliver_next() {
             break;
         }
     }
@@ -171,9 +171,9 @@
     assert_eq!(filling.learner.copy().rows(), filling.primary.copy().rows());
 }
 
-/// Parts come in any order and more than once.
+/// Delivers parts in any order, some of them twice.
 #[test]
-fn parts_are_taken_in_any_order() {
+fn parts_may_arrive_in_any_order_and_twice() {
     bolero::check!().with_type::<(Vec<u16>, Vec<bool>)>().with_iterations(200).for_each(
         |(order, twice)| {
             let mut source = Copy::default();
@@ -183,25 +183,25 @@
             });
             source.apply(Epoch(1), Sequence(1), rows.collect());
             let mut filling = Filling::new(source, copy_of(1));
-            let mut turn = 0;
-            while !filling.at_learner.is_empty() {
-                let draw = order.get(turn).copied().unwrap_or(0);
-                let at = usize::from(draw) % filling.at_learner.len();
-                if let Some(message) = filling.at_learner.remove(at) {
-                    if twice.get(turn).copied().unwrap_or(false) {
-                        filling.at_learner.push_back(message.clone());
+            let mut step = 0;
+            while !filling.to_learner.is_empty() {
+                let draw = order.get(step).copied().unwrap_or(0);
+                let at = usize::from(draw) % filling.to_learner.len();
+                if let Some(message) = filling.to_learner.remove(at) {
+                    if twice.get(step).copied().unwrap_or(false) {
+                        filling.to_learner.push_back(message.clone());
                     }
-                    filling.at_learner.push_front(message);
+                    filling.to_learner.push_front(message);
                 }
-                filling.step();
-                turn += 1;
-                assert!(turn < 10_000);
+                filling.deliver_next();
+                step += 1;
+                assert!(step < 10_000);
             }
-            // A last comparison may have to be begun again by the clock.
+            // The final comparison may have to start again after its timeout.
             for later in 1..40 {
                 let out = filling.primary.tick(MonotonicMs(NOW.0 + later * 500));
-                filling.take_primary(out);
-                while filling.step() {}
+                filling.collect_primary_outputs(out);
+                while filling.deliver_next() {}
             }
             assert!(filling.is_ready);
             assert_eq!(filling.learner.copy().rows(), filling.primary.copy().rows());
@@ -209,34 +209,34 @@
     );
 }
 
-/// A frame of the primary's former life fits the sequence by chance, and is not of this life.
+/// A delayed frame from the primary's earlier boot may have the next sequence by chance.
 #[test]
-fn a_batch_of_a_former_life_of_the_primary_is_not_taken() {
+fn append_from_an_earlier_boot_is_ignored() {
     let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
-    let held = copy_of(1);
+    let original = copy_of(1);
     let digests = ReplicaBody::Digests {
         round: 7 << 40,
         sequence: Sequence(1),
-        digests: held.digests().to_vec(),
+        digests: original.digests().to_vec(),
         of: FollowerRole::Backup,
     };
     let out = backup.receive(from(1), message(digests), NOW);
-    let in_step = |output: &ReplicaOutput| {
+    let is_in_sync = |output: &ReplicaOutput| {
         matches!(
             output,
             ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::InSync { .. }, .. })
         )
     };
-    assert!(out.iter().any(in_step), "{out:?}");
+    assert!(out.iter().any(is_in_sync), "{out:?}");
     let late = ReplicaBody::Append {
         round: (3 << 40) + 9,
         sequence: Sequence(2),
         changes: vec![RowChange::put("row 1", &9_u8)],
     };
     backup.receive(from(1), message(late), NOW);
-    assert_eq!(backup.copy().rows(), held.rows());
+    assert_eq!(backup.copy().rows(), original.rows());
     assert_eq!(backup.copy().position(), LogPosition { epoch: Epoch(1), sequence: Sequence(1) });
     let next = ReplicaBody::Append {
         round: (7 << 40) + 1,
@@ -247,9 +247,9 @@
     assert_eq!(backup.copy().position().sequence, Sequence(2));
 }
 
-/// Digests that come again late must not keep a backup from following.
+/// A delayed repetition of the digests must not keep a backup from following.
 #[test]
-fn digests_that_come_twice_do_not_stop_a_backup() {
+fn repeated_digests_do_not_stop_a_backup() {
     let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
@@ -268,12 +268,12 @@
     backup.receive(from(1), message(append(101, 2)), NOW);
     backup.receive(from(1), message(digests), NOW);
     let out = backup.receive(from(1), message(append(102, 3)), NOW);
-    let taken = |output: &ReplicaOutput| {
+    let is_appended = |output: &ReplicaOutput| {
         matches!(
             output,
             ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::Appended { .. }, .. })
         )
     };
-    assert!(out.iter().any(taken), "{out:?}");
+    assert!(out.iter().any(is_appended), "{out:?}");
     assert_eq!(backup.copy().position().sequence, Sequence(3));
 }
--- a/libraries/topazyard-replication/tests/epochs.rs
+++ b/libraries/topazyard-replication/tests/epochs.rs
@@ -1,4 +1,4 @@
-//! Epochs: decided once, whoever proposes, restarts or is outbid.
+//! Epochs: each is decided once, whichever proposers compete, restart or are outbid.
 
 use topazyard_replication::Witness;
 use topazyard_replication::epoch::{Proposal, ProposalStep};
@@ -19,26 +19,26 @@
     }
 }
 
-fn wanted(primary: u64, backup: u64) -> EpochRecord {
+fn next_record(primary: u64, backup: u64) -> EpochRecord {
     EpochRecord { epoch: Epoch(2), primary: node(primary), backups: vec![node(backup)], ..first() }
 }
 
-fn answer(witness: &mut Witness, message: &CoreMessage) -> Option<CoreMessage> {
-    let answer = match message {
+fn respond(witness: &mut Witness, message: &CoreMessage) -> Option<CoreMessage> {
+    let response = match message {
         CoreMessage::Prepare { base, ballot } => witness.prepare(base, *ballot),
         CoreMessage::Accept { base, ballot, record } => {
             witness.accept(base, *ballot, record.clone())
         }
         _ => None,
     };
-    answer.map(|(_, say)| say)
+    response.map(|(_, response)| response)
 }
 
-/// Any order of messages between two proposers and three witnesses, with losses, restarts of the
-/// proposers and ballots called again, decides at most one record.
+/// Two proposers and three witnesses decide at most one record, whatever the order of messages,
+/// with losses, restarts of the proposers and new ballots.
 #[test]
-fn at_most_one_record_is_decided_for_an_epoch() {
-    bolero::check!().with_type::<Vec<(u8, u8, u8)>>().with_iterations(3_000).for_each(|moves| {
+fn at_most_one_record_is_decided_per_epoch() {
+    bolero::check!().with_type::<Vec<(u8, u8, u8)>>().with_iterations(3_000).for_each(|actions| {
         let mut witnesses: Vec<Witness> = (0..3)
             .map(|_| {
                 let mut witness = Witness::default();
@@ -47,40 +47,42 @@
             })
             .collect();
         let mut now = MonotonicMs(0);
-        let mut lives = [10_u64, 20];
-        let records = [wanted(1, 3), wanted(2, 3)];
-        let begin = |who: usize, lives: &[u64; 2], now, record: &EpochRecord| {
-            let (me, boot_id) = (NodeId(who as u64 + 1), BootId(lives[who]));
+        let mut boot_ids = [10_u64, 20];
+        let records = [next_record(1, 3), next_record(2, 3)];
+        let begin = |proposer: usize, boot_ids: &[u64; 2], now, record: &EpochRecord| {
+            let (me, boot_id) = (NodeId(proposer as u64 + 1), BootId(boot_ids[proposer]));
             Proposal::begin(me, boot_id, first(), record.clone(), now)
         };
         let mut proposals: Vec<(Proposal, CoreMessage)> =
-            (0..2).map(|who| begin(who, &lives, now, &records[who])).collect();
+            (0..2).map(|proposer| begin(proposer, &boot_ids, now, &records[proposer])).collect();
         let mut decided: Vec<EpochRecord> = Vec::new();
-        for (what, who, which) in moves {
+        for (action, proposer, witness) in actions {
             now.0 += 37;
-            let (who, which) = (usize::from(who % 2), usize::from(which % 3));
-            match what % 8 {
-                // A restart, after which it may want another backup.
+            let (proposer, witness) = (usize::from(proposer % 2), usize::from(witness % 3));
+            match action % 8 {
+                // A restart, after which the proposer may propose another backup.
                 6 => {
-                    lives[who] += 1;
-                    let other = wanted(who as u64 + 1, 2 - who as u64);
-                    proposals[who] = begin(who, &lives, now, &other);
+                    boot_ids[proposer] += 1;
+                    let other = next_record(proposer as u64 + 1, 2 - proposer as u64);
+                    proposals[proposer] = begin(proposer, &boot_ids, now, &other);
                 }
                 7 => {
                     if let ProposalStep::Broadcast(message) =
-                        proposals[who].0.tick(MonotonicMs(now.0 + 2_000))
+                        proposals[proposer].0.tick(MonotonicMs(now.0 + 2_000))
                     {
-                        proposals[who].1 = message;
+                        proposals[proposer].1 = message;
                     }
                 }
-                // The present message reaches one witness, and its answer comes back.
+                // The current message reaches one witness, and its response comes back.
                 _ => {
-                    let message = proposals[who].1.clone();
-                    let Some(say) = answer(&mut witnesses[which], &message) else { continue };
-                    let from = NodeId(which as u64 + 1);
-                    match proposals[who].0.receive(from, &say, now) {
+                    let message = proposals[proposer].1.clone();
+                    let Some(response) = respond(&mut witnesses[witness], &message) else {
+                        continue;
+                    };
+                    let from = NodeId(witness as u64 + 1);
+                    match proposals[proposer].0.receive(from, &response, now) {
                         ProposalStep::Wait => {}
-                        ProposalStep::Broadcast(message) => proposals[who].1 = message,
+                        ProposalStep::Broadcast(message) => proposals[proposer].1 = message,
                         ProposalStep::Decided(record) => decided.push(record),
                     }
                 }
@@ -91,32 +93,33 @@
 }
 
 #[test]
-fn a_proposal_on_an_old_record_is_not_answered() {
+fn proposal_on_an_outdated_record_is_ignored() {
     let mut witness = Witness::default();
     witness.learn(&first());
-    witness.learn(&wanted(2, 3));
-    let (_, message) = Proposal::begin(NodeId(1), BootId(1), first(), wanted(1, 3), MonotonicMs(0));
-    assert_eq!(answer(&mut witness, &message), None);
+    witness.learn(&next_record(2, 3));
+    let (_, message) =
+        Proposal::begin(NodeId(1), BootId(1), first(), next_record(1, 3), MonotonicMs(0));
+    assert_eq!(respond(&mut witness, &message), None);
 }
 
 #[test]
-fn a_witness_remembers_its_promise_over_a_restart() {
+fn witness_keeps_its_promise_across_a_restart() {
     let mut witness = Witness::default();
     let mut rows = std::collections::BTreeMap::new();
-    let mut keep = |changes: Vec<topazyard_wire::RowChange>| {
+    let mut save = |changes: Vec<topazyard_wire::RowChange>| {
         for change in changes {
             rows.insert(change.key, change.value.expect("witnesses only put rows"));
         }
     };
-    keep(witness.learn(&first()).expect("news"));
+    save(witness.learn(&first()).expect("a newer record"));
     let ballot = |round| topazyard_wire::message::control::Ballot {
         round,
         proposer: NodeId(1),
         boot_id: BootId(1),
     };
-    let (changes, _) = witness.prepare(&first(), ballot(5)).expect("an answer");
-    keep(changes);
-    let mut again = Witness::from_rows(&rows);
-    let refused = again.accept(&first(), ballot(4), wanted(1, 3));
+    let (changes, _) = witness.prepare(&first(), ballot(5)).expect("a response");
+    save(changes);
+    let mut restarted = Witness::from_rows(&rows);
+    let refused = restarted.accept(&first(), ballot(4), next_record(1, 3));
     assert!(matches!(refused, Some((_, CoreMessage::Rejected { .. }))));
 }
--- a/libraries/topazyard-replication/tests/invariants.rs
+++ b/libraries/topazyard-replication/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant that this library checks, seen violated.
+//! A violation of each invariant that this library checks is detected.
 
 use topazyard_replication::{FeedFollower, Witness};
 use topazyard_types::{BootId, Epoch, LogPosition, MonotonicMs, NodeId, Sequence};
@@ -23,18 +23,20 @@
     assert_eq!(violations(Invariant::EpochHasOneRecord), 1);
 }
 
-/// Asks, and takes one row with a place as the answer.
+/// Sends a request and receives one row at a fixed position in response.
 fn follow(follower: &mut FeedFollower, now: u64, value: u8) {
     let health = Health::Edge { ready: true, waiting: 0, refused: 0 };
-    let asked = follower.tick(MonotonicMs(now), || health);
-    let Some((to, FeedMessage::Request { nonce, .. })) = asked else { panic!("nothing was asked") };
+    let request = follower.tick(MonotonicMs(now), || health);
+    let Some((to, FeedMessage::Request { nonce, .. })) = request else {
+        panic!("no request was sent")
+    };
     let position = LogPosition { epoch: Epoch(1), sequence: Sequence(7) };
     let content = UpdateContent::Changes(vec![RowChange::put("row", &value)]);
     follower.receive(to, FeedMessage::Update { nonce, position, content });
 }
 
 #[test]
-fn two_states_at_one_place_of_the_feed_are_a_violation() {
+fn two_states_at_one_feed_position_are_a_violation() {
     let sources = vec![std::net::SocketAddr::from(([127, 0, 0, 1], 9_000))];
     let mut follower = FeedFollower::new(sources, BootId(1));
     follow(&mut follower, 1_000, 5);
--- a/libraries/topazyard-replication/tests/replica_group.rs
+++ b/libraries/topazyard-replication/tests/replica_group.rs
@@ -1,4 +1,4 @@
-//! As many backups as machines may be lost: none, one and two, all of which confirm each batch.
+//! Groups with no, one and two backups, all of which must confirm each batch.
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
@@ -14,11 +14,11 @@
     CoreNode { id: NodeId(id), address }
 }
 
-/// A primary (node 1), its backups (from 2 on) and its learners after them.
+/// A primary (node 1), its backups (from node 2 on) and then its learners.
 struct Fleet {
     nodes: std::collections::BTreeMap<u64, Replica>,
-    /// Nodes that hear and say nothing.
-    cut: std::collections::BTreeSet<u64>,
+    /// Nodes that receive and send nothing.
+    disconnected: std::collections::BTreeSet<u64>,
     /// Nodes whose disks sync nothing.
     stalled: std::collections::BTreeSet<u64>,
     committed: Vec<u64>,
@@ -32,7 +32,7 @@
         let last = PRIMARY + backups + learners;
         let mut fleet = Self {
             nodes: (PRIMARY..=last).map(|id| (id, replica(id))).collect(),
-            cut: Default::default(),
+            disconnected: Default::default(),
             stalled: Default::default(),
             committed: Vec::new(),
             learners_ready: false,
@@ -54,15 +54,15 @@
         self.nodes.get_mut(&id).expect("a node of the fleet")
     }
 
-    /// Carries all messages and syncs all writes, but for what is cut or stalled.
-    fn run(&mut self, of: u64, first: Vec<ReplicaOutput>, now: MonotonicMs) {
-        let mut waiting: std::collections::VecDeque<(u64, ReplicaOutput)> =
-            first.into_iter().map(|output| (of, output)).collect();
-        while let Some((id, output)) = waiting.pop_front() {
+    /// Delivers all messages and syncs all writes, except for disconnected or stalled nodes.
+    fn run(&mut self, source: u64, first: Vec<ReplicaOutput>, now: MonotonicMs) {
+        let mut pending: std::collections::VecDeque<(u64, ReplicaOutput)> =
+            first.into_iter().map(|output| (source, output)).collect();
+        while let Some((id, output)) = pending.pop_front() {
             let (to, more) = match output {
                 ReplicaOutput::Send(to, message) => {
                     let to = u64::from(to.port());
-                    if self.cut.contains(&id) || self.cut.contains(&to) {
+                    if self.disconnected.contains(&id) || self.disconnected.contains(&to) {
                         continue;
                     }
                     let from = Sender { id: NodeId(id), address: node(id).address };
@@ -81,7 +81,7 @@
                 }
                 _ => continue,
             };
-            waiting.extend(more.into_iter().map(|output| (to, output)));
+            pending.extend(more.into_iter().map(|output| (to, output)));
         }
     }
 
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_change_is_committed_once_all_copies_have_synced_it() {
+fn change_is_committed_once_all_copies_are_synced() {
     for backups in 0..=2 {
         let mut fleet = Fleet::new(backups, 0, true);
         fleet.submit(1, "a");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn one_copy_that_has_not_synced_it_keeps_a_change_from_being_committed() {
+fn change_is_not_committed_while_one_copy_is_unsynced() {
     for backups in 0..=2 {
         for missing in PRIMARY..=PRIMARY + backups {
             let mut fleet = Fleet::new(backups, 0, true);
@@ -123,36 +123,36 @@
 }
 
 #[test]
-fn only_the_backups_that_owe_a_confirmation_are_named_silent() {
+fn only_unconfirmed_backups_are_reported_silent() {
     let timeout = DurationMs(500);
     let late = NOW.plus(timeout);
     let mut fleet = Fleet::new(2, 0, true);
-    fleet.cut.insert(3);
+    fleet.disconnected.insert(3);
     fleet.submit(1, "a");
     assert_eq!(fleet.node(PRIMARY).silent_backups(timeout, NOW), []);
     assert_eq!(fleet.node(PRIMARY).silent_backups(timeout, late), [NodeId(3)]);
-    fleet.cut.insert(2);
+    fleet.disconnected.insert(2);
     let mut both = Fleet::new(2, 0, true);
-    both.cut.extend([2, 3]);
+    both.disconnected.extend([2, 3]);
     both.submit(1, "a");
     assert_eq!(both.node(PRIMARY).silent_backups(timeout, late), [NodeId(2), NodeId(3)]);
 }
 
 #[test]
-fn a_lost_append_is_sent_again_to_whoever_misses_it() {
+fn lost_append_is_resent() {
     let mut fleet = Fleet::new(2, 0, true);
-    fleet.cut.insert(3);
+    fleet.disconnected.insert(3);
     fleet.submit(1, "a");
     assert!(fleet.committed.is_empty());
-    fleet.cut.clear();
+    fleet.disconnected.clear();
     fleet.tick(MonotonicMs(NOW.0 + 200));
     assert_eq!(fleet.committed, [1]);
 }
 
 #[test]
-fn a_backup_that_fell_out_of_step_holds_up_all_answers_until_it_is_back() {
+fn backup_out_of_sync_blocks_commits_until_it_is_back() {
     let mut fleet = Fleet::new(2, 0, true);
-    // Node 3 restarts with what it had synced and hears of its role again.
+    // Node 3 restarts with what it had synced and receives its role again.
     let rows = fleet.node(3).copy().rows().clone();
     fleet
         .nodes
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn with_fewer_copies_than_asked_for_nothing_is_answered() {
+fn nothing_is_committed_with_too_few_backups() {
     for backups in 0..=1 {
         let mut fleet = Fleet::new(backups, 0, false);
         fleet.submit(1, "a");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn learners_are_ready_only_together() {
+fn learners_become_ready_together() {
     let fleet = Fleet::new(0, 2, false);
     assert!(fleet.learners_ready);
     let mut fleet = Fleet::new(1, 2, false);
@@ -188,7 +188,7 @@
     let replica = |id: u64| Replica::new(Group::Control, true, Copy::default(), BootId(id << 30));
     fleet.nodes = (1..=3).map(|id| (id, replica(id))).collect();
     fleet.learners_ready = false;
-    fleet.cut.insert(3);
+    fleet.disconnected.insert(3);
     for id in 2..=3 {
         fleet.node(id).become_follower(Epoch(2), NodeId(PRIMARY), NOW);
     }
@@ -197,25 +197,25 @@
     fleet.run(PRIMARY, out, NOW);
     assert!(!fleet.learners_ready);
     assert_eq!(fleet.node(PRIMARY).filled_learners(), [NodeId(2)]);
-    fleet.cut.clear();
+    fleet.disconnected.clear();
     fleet.tick(MonotonicMs(NOW.0 + 100));
     assert!(fleet.learners_ready);
 }
 
-/// Whatever is cut or stalls while batches are under way: all that was committed is on every copy,
-/// so that it outlives all but any one of them.
+/// Whichever nodes are disconnected while batches are in flight, every committed change is on every
+/// copy, so that a single remaining copy holds it.
 #[test]
-fn what_was_committed_is_on_every_copy() {
-    bolero::check!().with_type::<Vec<(u8, u8)>>().with_iterations(500).for_each(|moves| {
+fn committed_changes_are_on_every_copy() {
+    bolero::check!().with_type::<Vec<(u8, u8)>>().with_iterations(500).for_each(|actions| {
         for backups in 0..=2_u64 {
             let mut fleet = Fleet::new(backups, 0, true);
             let mut now = NOW;
-            for (ticket, (what, which)) in (1_u64..).zip(moves) {
+            for (ticket, (action, node)) in (1_u64..).zip(actions) {
                 now = now.plus(DurationMs(120));
-                let which = PRIMARY + u64::from(*which) % (backups + 1);
-                match what % 4 {
-                    0 => drop(fleet.cut.insert(which)),
-                    1 => fleet.cut.clear(),
+                let node = PRIMARY + u64::from(*node) % (backups + 1);
+                match action % 4 {
+                    0 => drop(fleet.disconnected.insert(node)),
+                    1 => fleet.disconnected.clear(),
                     2 => {
                         let change = RowChange::put(format!("row/{ticket}"), &ticket);
                         fleet.node(PRIMARY).submit(ticket, vec![change]);
--- a/libraries/topazyard-replication/tests/replica_pair.rs
+++ b/libraries/topazyard-replication/tests/replica_pair.rs
@@ -1,4 +1,4 @@
-//! Pairs: nothing is committed that the backup has not synced in the same epoch.
+//! Pairs: nothing is committed until the backup has synced it in the same epoch.
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
@@ -14,58 +14,58 @@
     CoreNode { id: NodeId(id), address }
 }
 
-fn backed_by(backup: u64) -> Followers {
+fn with_backup(backup: u64) -> Followers {
     Followers { backups: vec![node(backup)], learners: Vec::new(), may_serve: true }
 }
 
-fn filling(learner: u64) -> Followers {
+fn with_learner(learner: u64) -> Followers {
     Followers { backups: Vec::new(), learners: vec![node(learner)], may_serve: false }
 }
 
-struct Two {
+struct Pair {
     primary: Replica,
     backup: Replica,
     committed: Vec<u64>,
 }
 
-impl Two {
+impl Pair {
     fn new(durable: bool) -> Self {
         let replica =
             |boot_id| Replica::new(Group::Control, durable, Copy::default(), BootId(boot_id));
-        let mut two =
+        let mut pair =
             Self { primary: replica(4 << 30), backup: replica(9 << 30), committed: Vec::new() };
-        two.backup.become_follower(Epoch(1), NodeId(1), NOW);
-        let out = two.primary.become_primary(Epoch(1), backed_by(2), NOW);
-        two.run(true, out, NOW);
-        two
+        pair.backup.become_follower(Epoch(1), NodeId(1), NOW);
+        let out = pair.primary.become_primary(Epoch(1), with_backup(2), NOW);
+        pair.run(true, out, NOW);
+        pair
     }
 
-    /// Carries all messages both ways and syncs all writes, unless the backup's disk stalls.
+    /// Delivers all messages both ways and syncs all writes, unless the backup's disk stalls.
     fn run(&mut self, backup_syncs: bool, first: Vec<ReplicaOutput>, now: MonotonicMs) {
-        let mut at_primary = first;
-        let mut at_backup: Vec<ReplicaOutput> = Vec::new();
-        while !at_primary.is_empty() || !at_backup.is_empty() {
-            for output in std::mem::take(&mut at_primary) {
+        let mut primary_outputs = first;
+        let mut backup_outputs: Vec<ReplicaOutput> = Vec::new();
+        while !primary_outputs.is_empty() || !backup_outputs.is_empty() {
+            for output in std::mem::take(&mut primary_outputs) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
                         let from = Sender { id: NodeId(1), address: node(1).address };
-                        at_backup.extend(self.backup.receive(from, message, now));
+                        backup_outputs.extend(self.backup.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) => {
-                        at_primary.extend(self.primary.write_synced(token.number));
+                        primary_outputs.extend(self.primary.write_synced(token.number));
                     }
                     ReplicaOutput::Committed(tickets) => self.committed.extend(tickets),
                     _ => {}
                 }
             }
-            for output in std::mem::take(&mut at_backup) {
+            for output in std::mem::take(&mut backup_outputs) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
                         let from = Sender { id: NodeId(2), address: node(2).address };
-                        at_primary.extend(self.primary.receive(from, message, now));
+                        primary_outputs.extend(self.primary.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) if backup_syncs => {
-                        at_backup.extend(self.backup.write_synced(token.number));
+                        backup_outputs.extend(self.backup.write_synced(token.number));
                     }
                     _ => {}
                 }
@@ -81,33 +81,33 @@
 }
 
 #[test]
-fn a_change_is_committed_once_both_have_synced_it() {
-    let mut two = Two::new(true);
-    two.submit(1, "a", true);
-    assert_eq!(two.committed, [1]);
-    two.submit(2, "b", false);
-    assert_eq!(two.committed, [1], "the backup's disk has not synced it");
+fn change_is_committed_once_both_copies_are_synced() {
+    let mut pair = Pair::new(true);
+    pair.submit(1, "a", true);
+    assert_eq!(pair.committed, [1]);
+    pair.submit(2, "b", false);
+    assert_eq!(pair.committed, [1], "the backup's disk has not synced it");
 }
 
 #[test]
-fn an_old_primary_commits_nothing_once_its_backup_moved_on() {
-    let mut two = Two::new(true);
-    two.backup.become_primary(Epoch(2), filling(3), NOW);
-    two.submit(1, "a", true);
-    assert!(two.committed.is_empty());
-    assert!(two.backup.copy().rows().is_empty());
+fn old_primary_commits_nothing_after_its_backup_left() {
+    let mut pair = Pair::new(true);
+    pair.backup.become_primary(Epoch(2), with_learner(3), NOW);
+    pair.submit(1, "a", true);
+    assert!(pair.committed.is_empty());
+    assert!(pair.backup.copy().rows().is_empty());
 }
 
 #[test]
-fn a_late_frame_of_a_lower_epoch_changes_nothing() {
-    let mut two = Two::new(true);
-    two.submit(1, "a", true);
-    // The same replica in the next epoch; then a batch of the one before arrives after all.
-    let out = two.primary.become_primary(Epoch(2), backed_by(2), NOW);
-    two.backup.become_follower(Epoch(2), NodeId(1), NOW);
-    two.run(true, out, NOW);
-    let position = two.backup.copy().position();
-    let late = ReplicaMessage {
+fn late_frame_of_a_lower_epoch_is_ignored() {
+    let mut pair = Pair::new(true);
+    pair.submit(1, "a", true);
+    // The same pair in the next epoch; then a batch of the previous epoch arrives late.
+    let out = pair.primary.become_primary(Epoch(2), with_backup(2), NOW);
+    pair.backup.become_follower(Epoch(2), NodeId(1), NOW);
+    pair.run(true, out, NOW);
+    let position = pair.backup.copy().position();
+    let late_frame = ReplicaMessage {
         group: Group::Control,
         epoch: Epoch(1),
         body: ReplicaBody::Append {
@@ -117,87 +117,91 @@
         },
     };
     let from = Sender { id: NodeId(1), address: node(1).address };
-    assert!(two.backup.receive(from, late, NOW).is_empty());
-    assert_eq!(two.backup.copy().position(), position);
+    assert!(pair.backup.receive(from, late_frame, NOW).is_empty());
+    assert_eq!(pair.backup.copy().position(), position);
 }
 
 #[test]
-fn a_confirmation_of_a_former_life_is_not_taken() {
-    let mut two = Two::new(true);
-    two.submit(1, "a", false);
-    // The primary restarts with the same epoch; its disk had synced the change.
-    let rows = two.primary.copy().rows().clone();
+fn confirmation_for_an_earlier_boot_is_ignored() {
+    let mut pair = Pair::new(true);
+    pair.submit(1, "a", false);
+    // The primary restarts in the same epoch; its disk had synced the change.
+    let rows = pair.primary.copy().rows().clone();
     let copy = Copy::from_rows(rows);
-    two.primary = Replica::new(Group::Control, true, copy, BootId(77 << 30));
-    two.primary.become_primary(Epoch(1), backed_by(2), NOW);
-    assert!(two.primary.submit(2, vec![RowChange::put("b", &1_u8)]));
-    // Every confirmation that the backup could still owe the former life arrives now.
+    pair.primary = Replica::new(Group::Control, true, copy, BootId(77 << 30));
+    pair.primary.become_primary(Epoch(1), with_backup(2), NOW);
+    assert!(pair.primary.submit(2, vec![RowChange::put("b", &1_u8)]));
+    // Every confirmation that the backup could still send to the earlier boot arrives now.
     let from = Sender { id: NodeId(2), address: node(2).address };
     for round in (4_u64 << 29)..(4 << 29) + 50 {
         let body = ReplicaBody::Appended { round };
         let message = ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
-        let out = two.primary.receive(from, message, NOW);
+        let out = pair.primary.receive(from, message, NOW);
         assert!(out.iter().all(|output| !matches!(output, ReplicaOutput::Committed(_))));
     }
 }
 
 #[test]
-fn copies_that_differ_anywhere_end_up_equal_to_the_primarys() {
+fn differing_copy_becomes_equal_to_the_primarys() {
     type Rows = std::collections::BTreeMap<u8, u8>;
-    bolero::check!().with_type::<(Rows, Rows)>().with_iterations(300).for_each(|(ours, theirs)| {
-        let copy = |rows: &Rows| {
-            let rows = rows.iter().map(|(key, value)| {
-                let change = RowChange::put(format!("row/{key}"), value);
-                (change.key, change.value.expect("a value"))
-            });
-            Copy::from_rows(rows.collect())
-        };
-        let mut two = Two::new(true);
-        two.primary = Replica::new(Group::Control, true, copy(ours), BootId(3 << 30));
-        two.backup = Replica::new(Group::Control, true, copy(theirs), BootId(5 << 30));
-        two.backup.become_follower(Epoch(1), NodeId(1), NOW);
-        let out = two.primary.become_primary(Epoch(1), backed_by(2), NOW);
-        two.run(true, out, NOW);
-        assert!(two.primary.is_serving());
-        assert_eq!(two.primary.copy().rows(), two.backup.copy().rows());
-    });
+    bolero::check!().with_type::<(Rows, Rows)>().with_iterations(300).for_each(
+        |(primary_rows, backup_rows)| {
+            let copy = |rows: &Rows| {
+                let rows = rows.iter().map(|(key, value)| {
+                    let change = RowChange::put(format!("row/{key}"), value);
+                    (change.key, change.value.expect("a value"))
+                });
+                Copy::from_rows(rows.collect())
+            };
+            let mut pair = Pair::new(true);
+            pair.primary = Replica::new(Group::Control, true, copy(primary_rows), BootId(3 << 30));
+            pair.backup = Replica::new(Group::Control, true, copy(backup_rows), BootId(5 << 30));
+            pair.backup.become_follower(Epoch(1), NodeId(1), NOW);
+            let out = pair.primary.become_primary(Epoch(1), with_backup(2), NOW);
+            pair.run(true, out, NOW);
+            assert!(pair.primary.is_serving());
+            assert_eq!(pair.primary.copy().rows(), pair.backup.copy().rows());
+        },
+    );
 }
 
 #[test]
-fn a_learner_is_ready_only_with_everything_and_stops_the_primary() {
-    let mut two = Two::new(true);
-    two.submit(1, "a", true);
+fn learner_is_ready_with_all_rows_and_stops_the_primary() {
+    let mut pair = Pair::new(true);
+    pair.submit(1, "a", true);
     let mut learner = Replica::new(Group::Control, true, Copy::default(), BootId(6 << 30));
     learner.become_follower(Epoch(2), NodeId(1), NOW);
-    two.backup.become_idle(Epoch(2));
-    let mut out = two.primary.become_primary(Epoch(2), filling(3), NOW);
+    pair.backup.become_idle(Epoch(2));
+    let mut out = pair.primary.become_primary(Epoch(2), with_learner(3), NOW);
     let mut ready = false;
     while !out.is_empty() {
-        let mut back = Vec::new();
+        let mut learner_outputs = Vec::new();
         for output in std::mem::take(&mut out) {
             match output {
                 ReplicaOutput::Send(_, message) => {
                     let from = Sender { id: NodeId(1), address: node(1).address };
-                    back.extend(learner.receive(from, message, NOW));
+                    learner_outputs.extend(learner.receive(from, message, NOW));
                 }
                 ReplicaOutput::LearnersReady => {
-                    ready = two.primary.filled_learners() == [NodeId(3)]
+                    ready = pair.primary.filled_learners() == [NodeId(3)]
                 }
                 _ => {}
             }
         }
-        while let Some(output) = back.pop() {
+        while let Some(output) = learner_outputs.pop() {
             match output {
                 ReplicaOutput::Send(_, message) => {
                     let from = Sender { id: NodeId(3), address: node(3).address };
-                    out.extend(two.primary.receive(from, message, NOW));
+                    out.extend(pair.primary.receive(from, message, NOW));
+                }
+                ReplicaOutput::Write(token, _) => {
+                    learner_outputs.extend(learner.write_synced(token.number))
                 }
-                ReplicaOutput::Write(token, _) => back.extend(learner.write_synced(token.number)),
                 _ => {}
             }
         }
     }
     assert!(ready);
-    assert_eq!(learner.copy().rows(), two.primary.copy().rows());
-    assert!(!two.primary.is_serving());
+    assert_eq!(learner.copy().rows(), pair.primary.copy().rows());
+    assert!(!pair.primary.is_serving());
 }
