--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -176,9 +176,10 @@
         }
         self.last_join_at = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.table.members.values().filter(|k| k.update.status == MemberStatus::Removed);
+        let removed =
+            self.table.members.values().filter(|k| k.update.status == MemberStatus::Removed);
         let mut targets: Vec<std::net::SocketAddr> =
-            self.seeds.iter().copied().chain(lost.map(|k| k.update.member.address)).collect();
+            self.seeds.iter().copied().chain(removed.map(|k| k.update.member.address)).collect();
         targets.retain(|address| *address != own_address);
         if !is_alone {
             targets = targets.choose(&mut self.rng).copied().into_iter().collect();
--- a/libraries/topazyard-replication/src/replica/primary.rs
+++ b/libraries/topazyard-replication/src/replica/primary.rs
@@ -197,7 +197,7 @@
 
     fn start_comparison(
         &mut self,
-        with: CoreNode,
+        node: CoreNode,
         of: FollowerRole,
         now: MonotonicMs,
         outputs: &mut Vec<ReplicaOutput>,
@@ -210,7 +210,7 @@
             digests: self.copy.digests().to_vec(),
             of,
         };
-        self.send(with.address, body, outputs);
+        self.send(node.address, body, outputs);
         Some(Comparison { round, started_at: now, requested_bytes: None })
     }
 
