--- a/libraries/topazyard-membership/src/lib.rs
+++ b/libraries/topazyard-membership/src/lib.rs
@@ -1,18 +1,18 @@
-//! Membership of the fleet: who is there, told by probes and by second opinions, and forgotten
-//! only after a suspicion that nobody refuted.
+//! Membership of the fleet: members are detected by direct and indirect probes, and removed only
+//! after a suspicion that was not refuted in time.
 
 mod gossip;
+mod member_table;
 mod membership;
-mod roll;
 
 pub use membership::{Membership, Outgoing};
 
-/// The effects that send a membership's messages, for any machine that has a membership.
+/// The effects that send the messages of a membership, for any state machine that has one.
 ///
 /// ```
 /// use topazyard_wire::message::membership::MembershipMessage;
 /// let to = "127.0.0.1:1".parse().unwrap();
-/// let probe = MembershipMessage::Probe { nonce: 1, news: vec![] };
+/// let probe = MembershipMessage::Probe { nonce: 1, updates: vec![] };
 /// let effects: Vec<topazyard_wire::Effect<(), ()>> =
 ///     topazyard_membership::effects(vec![(to, probe)]).collect();
 /// assert_eq!(effects.len(), 1);
@@ -25,4 +25,4 @@
         topazyard_wire::Effect::Send { to, message }
     })
 }
-pub use roll::KnownMember;
+pub use member_table::KnownMember;
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -1,29 +1,29 @@
-//! One copy of a group's rows, with a digest kept for each of its ranges.
+//! One copy of a group's rows, with a digest of each range of keys.
 
 use topazyard_types::{Digest, Epoch, LogPosition, Sequence};
 use topazyard_wire::RowChange;
 
-/// Into how many ranges a copy is split for comparing.
+/// Number of ranges that the keys are hashed into; two copies are compared range by range.
 pub const RANGE_COUNT: usize = 64;
-/// Batches remembered for followers, and the most bytes of rows in them. A follower that is further
-/// back is given everything.
-const REMEMBERED: usize = 1_024;
-const REMEMBERED_BYTES: usize = 4 * 1024 * 1024;
-/// The row that holds the copy's place; it is not part of what is compared.
-const PLACE_KEY: &str = "\u{0}place";
-
-/// One copy of a group's rows.
+/// Limits of the batch history kept for followers, in batches and in bytes of rows. A follower that
+/// is further behind receives a full snapshot.
+const MAX_HISTORY_BATCHES: usize = 1_024;
+const MAX_HISTORY_BYTES: usize = 4 * 1024 * 1024;
+/// Key of the row that stores the log position; it is not part of the compared rows.
+const POSITION_KEY: &str = "\u{0}place";
+
+/// One copy of a group's rows at a log position.
 #[derive(Clone)]
 pub struct Copy {
     rows: std::collections::BTreeMap<String, bytes::Bytes>,
     digests: Vec<Digest>,
     position: LogPosition,
     batches: std::collections::VecDeque<(LogPosition, Vec<RowChange>)>,
-    batches_bytes: usize,
-    most_batches: usize,
+    batch_bytes: usize,
+    max_batches: usize,
 }
 
-/// Tells the rows by their digests: a copy may hold megabytes.
+/// Prints the digests in place of the rows, which may be megabytes.
 impl std::fmt::Debug for Copy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let positions: Vec<LogPosition> =
@@ -36,7 +36,7 @@
     }
 }
 
-fn bytes_of(changes: &[RowChange]) -> usize {
+fn size_of_changes(changes: &[RowChange]) -> usize {
     let value = |change: &RowChange| change.value.as_ref().map_or(0, |value| value.len());
     changes.iter().map(|change| change.key.len() + value(change)).sum()
 }
@@ -48,28 +48,28 @@
             digests: vec![Digest::default(); RANGE_COUNT],
             position: LogPosition::default(),
             batches: std::collections::VecDeque::new(),
-            batches_bytes: 0,
-            most_batches: REMEMBERED,
+            batch_bytes: 0,
+            max_batches: MAX_HISTORY_BATCHES,
         }
     }
 }
 
-fn range_of(key: &str) -> usize {
+fn range_index(key: &str) -> usize {
     (Digest::of(&[key.as_bytes()]).0 % RANGE_COUNT as u128) as usize
 }
 
-/// The digest of a range that holds these rows.
+/// The digest of a range that holds exactly these rows.
 pub fn digest_of_rows(rows: &[(String, bytes::Bytes)]) -> Digest {
-    let digests = rows.iter().map(|(key, value)| digest_of(key, value));
+    let digests = rows.iter().map(|(key, value)| row_digest(key, value));
     digests.fold(Digest::default(), Digest::toggled)
 }
 
-fn digest_of(key: &str, value: &[u8]) -> Digest {
+fn row_digest(key: &str, value: &[u8]) -> Digest {
     Digest::of(&[key.as_bytes(), value])
 }
 
 impl Copy {
-    /// The copy that a disk held.
+    /// Loads a copy from the rows found on disk.
     ///
     /// ```
     /// use topazyard_replication::Copy;
@@ -81,7 +81,7 @@
     /// assert_eq!(Copy::from_rows(rows).digests(), copy.digests());
     /// ```
     pub fn from_rows(mut rows: std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let position = rows.remove(PLACE_KEY);
+        let position = rows.remove(POSITION_KEY);
         let position = position.and_then(|value| topazyard_wire::rows::decode(&value));
         let mut copy = Self { position: position.unwrap_or_default(), ..Self::default() };
         for (key, value) in rows {
@@ -91,13 +91,13 @@
     }
 
     fn set(&mut self, key: String, value: Option<bytes::Bytes>) {
-        let digest = &mut self.digests[range_of(&key)];
+        let digest = &mut self.digests[range_index(&key)];
         if let Some(old) = self.rows.get(&key) {
-            *digest = digest.toggled(digest_of(&key, old));
+            *digest = digest.toggled(row_digest(&key, old));
         }
         match value {
             Some(value) => {
-                *digest = digest.toggled(digest_of(&key, &value));
+                *digest = digest.toggled(row_digest(&key, &value));
                 self.rows.insert(key, value);
             }
             None => {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Remembers the last batch alone: nobody reads on from here.
+    /// Keeps only the last batch in the history, for a copy that no follower reads from.
     ///
     /// ```
     /// use topazyard_replication::Copy;
@@ -118,10 +118,10 @@
     /// assert_eq!(copy.changes_after(second), None);
     /// ```
     pub fn keep_only_last_batch(&mut self) {
-        self.most_batches = 1;
+        self.max_batches = 1;
     }
 
-    /// Applies a batch and gives the rows to write, the new place among them.
+    /// Applies a batch and returns the rows to write, including the new log position.
     pub fn apply(
         &mut self,
         epoch: Epoch,
@@ -132,70 +132,70 @@
             self.set(change.key.clone(), change.value.clone());
         }
         self.position = LogPosition { epoch, sequence };
-        self.batches_bytes += bytes_of(&changes);
+        self.batch_bytes += size_of_changes(&changes);
         self.batches.push_back((self.position, changes.clone()));
-        // The last one is always known: what it touched may be in doubt.
+        // The last batch always stays, because callers need its keys while it may be uncommitted.
         while self.batches.len() > 1
-            && (self.batches.len() > self.most_batches || self.batches_bytes > REMEMBERED_BYTES)
+            && (self.batches.len() > self.max_batches || self.batch_bytes > MAX_HISTORY_BYTES)
         {
             let Some((_, old)) = self.batches.pop_front() else { break };
-            self.batches_bytes -= bytes_of(&old);
+            self.batch_bytes -= size_of_changes(&old);
         }
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.position));
+        written.push(RowChange::put(POSITION_KEY, &self.position));
         written
     }
 
-    /// The changes after which a range of this copy holds these rows and no others.
+    /// The changes that make the rows of a range equal to `rows`.
     pub fn difference(&self, range: usize, rows: Vec<(String, bytes::Bytes)>) -> Vec<RowChange> {
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
-        let in_range = self.rows.keys().filter(|key| range_of(key) == range);
-        let gone: Vec<RowChange> =
+        let in_range = self.rows.keys().filter(|key| range_index(key) == range);
+        let deletions: Vec<RowChange> =
             in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::delete).collect();
-        let differs =
+        let is_different =
             |(key, value): &(String, bytes::Bytes)| self.rows.get(key.as_str()) != Some(value);
-        let put = rows.into_iter().filter(differs);
-        let put = put.map(|(key, value)| RowChange { key, value: Some(value) });
-        gone.into_iter().chain(put).collect()
+        let puts = rows.into_iter().filter(is_different);
+        let puts = puts.map(|(key, value)| RowChange { key, value: Some(value) });
+        deletions.into_iter().chain(puts).collect()
     }
 
-    /// Becomes equal to another copy by these changes, in one step: on disk as in memory this copy
-    /// is either the old one whole or the new one whole. Gives the rows to write, the new place
-    /// among them; they belong in one write.
+    /// Makes this copy equal to another one in a single step and returns the rows to write,
+    /// including the new log position. The caller must write them atomically, so that both in
+    /// memory and on disk the copy is either entirely old or entirely new.
     pub fn replace(&mut self, position: LogPosition, changes: Vec<RowChange>) -> Vec<RowChange> {
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
         if !changes.is_empty() {
             self.batches.clear();
-            self.batches_bytes = 0;
+            self.batch_bytes = 0;
         }
         self.position = position;
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.position));
+        written.push(RowChange::put(POSITION_KEY, &self.position));
         written
     }
 
-    /// How far this copy is.
+    /// The log position up to which batches were applied.
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// The digest of each range.
+    /// The digests of all ranges, in order.
     pub fn digests(&self) -> &[Digest] {
         &self.digests
     }
 
     /// The rows of a range.
     pub fn range(&self, range: usize) -> Vec<(String, bytes::Bytes)> {
-        let in_range = self.rows.iter().filter(|(key, _)| range_of(key) == range);
+        let in_range = self.rows.iter().filter(|(key, _)| range_index(key) == range);
         in_range.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 
-    /// The keys of everything this copy has on disk.
+    /// All keys that this copy has on disk, including that of the log position.
     pub fn keys_on_disk(&self) -> Vec<String> {
-        self.rows.keys().cloned().chain([PLACE_KEY.to_owned()]).collect()
+        self.rows.keys().cloned().chain([POSITION_KEY.to_owned()]).collect()
     }
 
     /// All rows.
@@ -203,7 +203,7 @@
         &self.rows
     }
 
-    /// The rows whose keys start so.
+    /// The rows whose keys start with `prefix`.
     pub fn with_prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -214,24 +214,24 @@
             .map(|(key, value)| (key.as_str(), value))
     }
 
-    /// A row's value, decoded.
+    /// The decoded value of a row.
     pub fn get<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<T> {
         topazyard_wire::rows::decode(self.rows.get(key)?)
     }
 
-    /// The keys changed by the batch applied last, as far as it is remembered.
+    /// The keys changed by the last applied batch, if it is still in the history.
     pub fn last_changed_keys(&self) -> impl Iterator<Item = &str> {
         let last = self.batches.back().into_iter();
         last.flat_map(|(_, changes)| changes.iter().map(|change| change.key.as_str()))
     }
 
-    /// The changes after a place, if this copy remembers all of them.
+    /// The changes after a log position; `None` if the history does not reach back that far.
     pub fn changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         if after == self.position {
             return Some(Vec::new());
         }
         let from = self.batches.iter().position(|(position, _)| *position == after)?;
-        let later = self.batches.iter().skip(from + 1);
-        Some(later.flat_map(|(_, changes)| changes.iter().cloned()).collect())
+        let newer = self.batches.iter().skip(from + 1);
+        Some(newer.flat_map(|(_, changes)| changes.iter().cloned()).collect())
     }
 }
--- a/libraries/topazyard-replication/src/epoch/propose.rs
+++ b/libraries/topazyard-replication/src/epoch/propose.rs
@@ -1,19 +1,20 @@
-//! The proposer: a member of the old replica that asks the old witnesses for the next record.
+//! The proposer: a member of the current group that asks the current witnesses to accept the next
+//! epoch record.
 
 use topazyard_types::{BootId, DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{Ballot, CoreMessage, EpochRecord};
 
-/// After how long without a decision a higher ballot is called.
-const AGAIN: DurationMs = DurationMs(400);
+/// Time without a decision after which the proposer starts a higher ballot.
+const BALLOT_RETRY_INTERVAL: DurationMs = DurationMs(400);
 
-/// A proposal that is under way.
+/// A proposal in progress.
 #[derive(Debug, Clone)]
 pub struct Proposal {
     me: NodeId,
     base: EpochRecord,
-    wanted: EpochRecord,
+    desired: EpochRecord,
     ballot: Ballot,
-    begun: MonotonicMs,
+    ballot_started_at: MonotonicMs,
     stage: Stage,
 }
 
@@ -29,66 +30,66 @@
     },
 }
 
-/// What comes of a step of the proposal.
+/// The result of a tick or a received message.
 #[derive(Debug)]
 pub enum ProposalStep {
-    /// Nothing yet.
+    /// Nothing to do.
     Wait,
-    /// Say this to every witness of the base.
+    /// Send this message to every witness of the base record.
     Broadcast(CoreMessage),
-    /// Decided, maybe for another's proposal.
+    /// A record was decided, possibly that of another proposer.
     Decided(EpochRecord),
 }
 
 impl Proposal {
-    /// Begins to ask for `wanted` after `base`.
+    /// Starts a proposal of `desired` as the record that follows `base`.
     pub fn begin(
         me: NodeId,
         boot_id: BootId,
         base: EpochRecord,
-        wanted: EpochRecord,
+        desired: EpochRecord,
         now: MonotonicMs,
     ) -> (Self, CoreMessage) {
         let mut proposal = Self {
             me,
             base,
-            wanted,
+            desired,
             ballot: Ballot { round: 0, proposer: me, boot_id },
-            begun: now,
+            ballot_started_at: now,
             stage: Stage::Preparing { promised: Default::default(), accepted: None },
         };
-        let message = proposal.call(1, now);
+        let message = proposal.start_ballot(1, now);
         (proposal, message)
     }
 
-    /// The record whose witnesses are asked.
+    /// The record whose witnesses decide.
     pub fn base(&self) -> &EpochRecord {
         &self.base
     }
 
-    fn call(&mut self, round: u64, now: MonotonicMs) -> CoreMessage {
+    fn start_ballot(&mut self, round: u64, now: MonotonicMs) -> CoreMessage {
         self.ballot = Ballot { round, ..self.ballot };
-        self.begun = now;
+        self.ballot_started_at = now;
         self.stage = Stage::Preparing { promised: Default::default(), accepted: None };
         CoreMessage::Prepare { base: self.base.clone(), ballot: self.ballot }
     }
 
-    /// Calls a higher ballot if no decision came. Proposers wait differently long, so that one
-    /// of two gets through.
+    /// Starts a higher ballot if there is no decision yet. The timeout depends on the node id, so
+    /// that one of two competing proposers wins.
     pub fn tick(&mut self, now: MonotonicMs) -> ProposalStep {
-        let apart = DurationMs(AGAIN.0 + self.me.0 % 7 * 50);
-        if now.since(self.begun) < apart {
+        let timeout = DurationMs(BALLOT_RETRY_INTERVAL.0 + self.me.0 % 7 * 50);
+        if now.since(self.ballot_started_at) < timeout {
             return ProposalStep::Wait;
         }
         let round = self.ballot.round + 1;
-        ProposalStep::Broadcast(self.call(round, now))
+        ProposalStep::Broadcast(self.start_ballot(round, now))
     }
 
     fn majority(&self) -> usize {
         self.base.witnesses.len() / 2 + 1
     }
 
-    /// Takes what a witness said.
+    /// Handles the response of a witness.
     pub fn receive(
         &mut self,
         witness: NodeId,
@@ -114,15 +115,15 @@
                 }
                 let record = match accepted.take() {
                     Some((_, record)) => record,
-                    None => self.wanted.clone(),
+                    None => self.desired.clone(),
                 };
-                let say = CoreMessage::Accept {
+                let request = CoreMessage::Accept {
                     base: self.base.clone(),
                     ballot: self.ballot,
                     record: record.clone(),
                 };
                 self.stage = Stage::Accepting { record, accepted: Default::default() };
-                ProposalStep::Broadcast(say)
+                ProposalStep::Broadcast(request)
             }
             (CoreMessage::Accepted { epoch, ballot }, Stage::Accepting { record, accepted })
                 if *epoch == next && *ballot == self.ballot =>
@@ -134,9 +135,11 @@
                 ProposalStep::Decided(record.clone())
             }
             (CoreMessage::Rejected { epoch, promised }, _) if *epoch == next => {
-                // The next tick calls a ballot above the one that outbid this.
+                // The next tick starts a ballot higher than the one that won over this one.
                 self.ballot.round = self.ballot.round.max(promised.round);
-                self.begun = self.begun.max(MonotonicMs(now.0.saturating_sub(AGAIN.0 / 2)));
+                self.ballot_started_at = self
+                    .ballot_started_at
+                    .max(MonotonicMs(now.0.saturating_sub(BALLOT_RETRY_INTERVAL.0 / 2)));
                 ProposalStep::Wait
             }
             _ => ProposalStep::Wait,
