--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/watch.rs
@@ -74,7 +74,7 @@
                 self.weighed.get(&shard).filter(|(position, _)| *position == copy.position());
             let waiting = match weighed {
                 Some((_, waiting)) => *waiting,
-                None => topazyard_storage::batches::waiting(copy).0,
+                None => topazyard_storage::batches::waiting_cost(copy).0,
             };
             self.weighed.insert(shard, (copy.position(), waiting));
             all += waiting;
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -1,7 +1,7 @@
 //! The membership machine.
 
 use crate::gossip::Gossip;
-use crate::roll::{Known, Roll};
+use crate::roll::{KnownMember, Roll};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
 use topazyard_types::{DurationMs, Incarnation, MonotonicMs, NodeId};
 use topazyard_wire::message::membership::{
@@ -96,12 +96,12 @@
     }
 
     /// The members that are not removed, this node not among them.
-    pub fn present(&self) -> impl Iterator<Item = &Known> {
+    pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.roll.present()
     }
 
     /// Every member remembered, the removed ones too.
-    pub fn remembered(&self) -> impl Iterator<Item = &Known> {
+    pub fn remembered(&self) -> impl Iterator<Item = &KnownMember> {
         self.roll.members.values()
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Joins by these from now on, besides the ones it was given before.
-    pub fn take_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
+    pub fn add_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let before = self.seeds.iter().copied().filter(|old| !seeds.contains(old));
         // What is older than two exchanges of all seeds is let go.
         let kept: Vec<_> = seeds.iter().copied().chain(before).take(SEEDS_KEPT).collect();
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/roll.rs
@@ -5,7 +5,7 @@
 
 /// A member as it is known here.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownMember {
     /// The newest news of it.
     pub update: MemberUpdate,
     /// Since when it stands so.
@@ -20,7 +20,7 @@
 /// All members known, in the order in which they were learned.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Roll {
-    pub(crate) members: indexmap::IndexMap<NodeId, Known>,
+    pub(crate) members: indexmap::IndexMap<NodeId, KnownMember>,
 }
 
 impl Roll {
@@ -30,9 +30,10 @@
             if !is_newer(update, &known.update) {
                 return false;
             }
-            *known = Known { update: update.clone(), since: now };
+            *known = KnownMember { update: update.clone(), since: now };
         } else {
-            self.members.insert(update.member.id, Known { update: update.clone(), since: now });
+            self.members
+                .insert(update.member.id, KnownMember { update: update.clone(), since: now });
         }
         true
     }
@@ -68,7 +69,7 @@
     }
 
     /// Members that are not removed.
-    pub(crate) fn present(&self) -> impl Iterator<Item = &Known> {
+    pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.members.values().filter(|known| known.update.status != MemberStatus::Removed)
     }
 }
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -31,7 +31,7 @@
 }
 
 /// Answers one request of an operator or the platform.
-pub async fn answer(
+pub async fn respond(
     handle: topazyard_wire::driver::Handle<crate::ControlMachine>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
@@ -40,7 +40,7 @@
         return returned(handle.call(crate::ControlCall::Health).await);
     }
     let operate = match topazyard_wire::http::inward::read_body(body, MOST_BYTES).await {
-        Ok(body) => understand(&head.method, head.uri.path(), &body),
+        Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
     let outcome = match operate {
@@ -65,14 +65,14 @@
 /// ```
 /// use topazyard_control::http::understand;
 /// use topazyard_wire::message::operate::{Operate, Query};
-/// let asked = understand(&hyper::Method::GET, "/specs/in-force", b"");
+/// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
 /// assert_eq!(asked, Ok(Operate::Query(Query::ReadConfiguration(None))));
-/// assert!(understand(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
+/// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
 /// # Errors
 /// A path that does not exist, or a malformed part of the request.
-pub fn understand(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
+pub fn parse_request(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let query = |query| Ok(Operate::Query(query));
     let command = |command| Ok(Operate::Command(command));
--- a/programs/topazyard-control/src/machine/claim.rs
+++ b/programs/topazyard-control/src/machine/claim.rs
@@ -3,7 +3,7 @@
 
 use super::{AfterWrite, ControlMachine, Out, genesis};
 use crate::witnesses;
-use topazyard_replication::{Proposal, epoch::Step};
+use topazyard_replication::{Proposal, epoch::ProposalStep};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
@@ -52,12 +52,12 @@
         }
         if self.claimed > record.epoch {
             // It stopped answering before it restarted, or yielded: ask again if nobody leads.
-            let led = self.replica.heard_primary();
+            let led = self.replica.primary_last_heard();
             return led.is_none_or(|at| now.since(at) >= timeout)
                 && (is_primary || self.holds_all(record));
         }
         let follows_nobody =
-            self.replica.heard_primary().is_some_and(|at| now.since(at) >= timeout);
+            self.replica.primary_last_heard().is_some_and(|at| now.since(at) >= timeout);
         if is_primary {
             let silent = self.replica.backup_silent_since();
             // It may have let a backup's claim copy here that came to nothing.
@@ -101,7 +101,7 @@
         };
         silent
             .extend(base.backups.iter().map(|node| node.id).filter(|id| self.core.is_leaving(*id)));
-        self.replica.stop_answering();
+        self.replica.stop_serving();
         self.claimed = base.epoch.next();
         let row = RowChange::put(CLAIMED_KEY, &self.claimed);
         self.claim = Some(Claim {
@@ -210,12 +210,12 @@
         let timeouts = self.timeouts.clone();
         let Some(claim) = &mut self.claim else { return };
         if let Some(proposal) = &mut claim.proposal {
-            if let Step::Say(message) = proposal.tick(now) {
+            if let ProposalStep::Broadcast(message) = proposal.tick(now) {
                 self.say_to_witnesses(&message, out);
             }
             return;
         }
-        let led = self.replica.heard_primary();
+        let led = self.replica.primary_last_heard();
         if claim.learners.is_empty() && led.is_some_and(|at| now.since(at) < timeouts.primary) {
             // The primary is back, and there are too few to take over with.
             self.claim = None;
@@ -266,10 +266,12 @@
         let Some(proposal) = proposal.or(self.founding.as_mut()) else { return };
         let Some(witness) = genesis::voter(proposal.base(), witness, from) else { return };
         match proposal.receive(witness, message, now) {
-            Step::Wait => {}
-            Step::Say(message) if self.claim.is_some() => self.say_to_witnesses(&message, out),
-            Step::Say(message) => self.ask_seeds(&message, out),
-            Step::Decided(record) => self.learn_record(&record, now, out),
+            ProposalStep::Wait => {}
+            ProposalStep::Broadcast(message) if self.claim.is_some() => {
+                self.say_to_witnesses(&message, out)
+            }
+            ProposalStep::Broadcast(message) => self.ask_seeds(&message, out),
+            ProposalStep::Decided(record) => self.learn_record(&record, now, out),
         }
     }
 
@@ -316,7 +318,7 @@
         let Some(source) = self.replica.primary().filter(|source| *source != asks) else {
             return false;
         };
-        let heard = self.replica.heard_primary();
+        let heard = self.replica.primary_last_heard();
         let is_filling = self.replica.epoch() == epoch
             && heard.is_some_and(|at| now.since(at) < self.timeouts.learner)
             && self.core.is_heard_by(source);
--- a/programs/topazyard-control/src/machine/core.rs
+++ b/programs/topazyard-control/src/machine/core.rs
@@ -161,7 +161,7 @@
             self.replica.become_idle(record.epoch)
         } else if record.primary.id == self.me.id {
             let followers = topazyard_replication::Followers {
-                answers: record.backups.len() >= self.backups(),
+                may_serve: record.backups.len() >= self.backups(),
                 backups: record.backups,
                 learners: Vec::new(),
             };
@@ -236,7 +236,7 @@
         ) -> Option<(Vec<topazyard_wire::RowChange>, CoreMessage)>,
         out: &mut Out,
     ) {
-        let record = self.witness.record().or(self.witness.genesis());
+        let record = self.witness.record().or(self.witness.bootstrap_base());
         let (id, address) = (self.me.id, self.me.address);
         if record.and_then(|record| genesis::voter(record, id, address)).is_none() {
             return;
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -122,7 +122,7 @@
                 self.take_operate(origin, Operate::Command(command), now, out);
             }
         }
-        out.push(Effect::Start(ControlTask::AskLoads(load.engines)));
+        out.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
     }
 
     pub(super) fn take_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
--- a/programs/topazyard-control/tests/fleet/mod.rs
+++ b/programs/topazyard-control/tests/fleet/mod.rs
@@ -140,7 +140,7 @@
             may_bootstrap: self.may_bootstrap,
         };
         let (mut machine, first) = ControlMachine::new(start, self.now);
-        machine.list_engines_every(DurationMs(500));
+        machine.set_engine_list_interval(DurationMs(500));
         self.nodes[number].machine = Some(machine);
         self.happen(number, first);
     }
@@ -207,7 +207,7 @@
                     self.nodes[number].lists_begun += 1;
                     continue;
                 }
-                Effect::Start(ControlTask::AskLoads(_)) | Effect::Note { .. } => continue,
+                Effect::Start(ControlTask::FetchLoads(_)) | Effect::Note { .. } => continue,
             };
             let more = self.step(to, input);
             queue.extend(more.into_iter().map(|effect| (to, effect)));
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -13,7 +13,7 @@
 pub mod routed_items;
 
 use crate::prompt::Failure;
-use topazyard_replication::{Follower, follower::Followed};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{
     BatchId, BootId, ConfigurationVersion, DurationMs, EngineName, ModelName, MonotonicMs, NodeId,
     RouteName, ShardId, Tokens,
@@ -251,7 +251,7 @@
     pub(crate) node: NodeId,
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
-    follower: Follower,
+    follower: FeedFollower,
     pub(crate) view: FleetSnapshot,
     pub(crate) counting: counting::Counting,
     pub(crate) admission: admission::Admission,
@@ -280,7 +280,7 @@
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
-            follower: Follower::new(vec![start.agent], boot_id),
+            follower: FeedFollower::new(vec![start.agent], boot_id),
             view: FleetSnapshot::default(),
             counting: counting::Counting::new(boot_id),
             admission: admission::Admission::default(),
@@ -398,7 +398,7 @@
     }
 
     fn take_news(&mut self, from: std::net::SocketAddr, message: FeedMessage, out: &mut Out) {
-        if self.follower.receive(from, message) != Followed::Changed {
+        if self.follower.receive(from, message) != FollowOutcome::Changed {
             return;
         }
         let before = self.view.configuration.as_ref().map(|(version, _)| *version);
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -68,7 +68,7 @@
         for (shard, hosted) in &self.hosted {
             let Some(record) = self.view.shards.get(shard) else { continue };
             let epoch = hosted.replica.epoch();
-            let follows = hosted.replica.was_in_step() && record.epoch == epoch;
+            let follows = hosted.replica.was_in_sync() && record.epoch == epoch;
             if hosted.asides.is_empty() || !follows || !record.is_backup(me) {
                 continue;
             }
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -2,7 +2,7 @@
 
 use crate::batches::Batches;
 use crate::counter::Counter;
-use topazyard_replication::{Doubt, Replica, Ticket};
+use topazyard_replication::{Replica, Uncommitted, WriteTicket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
 use topazyard_wire::message::batch::{BatchResponse, Item};
 use topazyard_wire::message::control::ShardChangeRequest;
@@ -27,8 +27,8 @@
 pub(crate) struct Hosted {
     pub(crate) replica: Replica,
     pub(crate) work: Work,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
+    pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
+    pub(crate) last_ticket: WriteTicket,
     /// A wish for another record, with when it was last sent; none while it is being synced.
     pub(crate) wish: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
     pub(crate) raising: Raising,
@@ -169,8 +169,8 @@
 
     /// Whether this node follows in step in that epoch and has synced the copy up to there.
     pub(crate) fn has_synced(&self, epoch: Epoch, sequence: Sequence) -> bool {
-        let in_step = self.replica.epoch() == epoch && self.replica.was_in_step();
-        let is_whole = self.replica.doubt() != Doubt::All;
+        let in_step = self.replica.epoch() == epoch && self.replica.was_in_sync();
+        let is_whole = self.replica.uncommitted() != Uncommitted::All;
         in_step
             && is_whole
             && self.replica.is_synced()
--- a/programs/topazyard-storage/tests/routed_batches.rs
+++ b/programs/topazyard-storage/tests/routed_batches.rs
@@ -72,7 +72,7 @@
 
     /// Another node goes on from what was committed; its clock has a beginning of its own.
     fn hand_over(&mut self, boot_id: u64, now_ms: u64) {
-        self.copy = Copy::loaded(self.copy.rows().clone());
+        self.copy = Copy::from_rows(self.copy.rows().clone());
         self.batches = Self::of(&self.copy, boot_id, now_ms);
     }
 
@@ -389,7 +389,7 @@
         assert_eq!(lost.len(), 1);
         let mut rows = shard.copy.rows().clone();
         rows.retain(|key, _| !lost.contains(key));
-        Shard::of(&Copy::loaded(rows), 5, 30);
+        Shard::of(&Copy::from_rows(rows), 5, 30);
         assert_eq!(violations(Invariant::BatchIsWhole), seen, "{kind}");
     }
 }
