--- a/libraries/topazyard-spec/src/bundle.rs
+++ b/libraries/topazyard-spec/src/configuration.rs
@@ -1,127 +1,129 @@
-//! The operators' versioned bundle: lanes, pools, batch ceilings and weight bounds.
+//! The operators' versioned configuration: pools, model routes, routes, batch limits and weight
+//! bounds.
 
 use topazyard_types::{ModelName, ModelRouteName, PoolName, Tokens};
 
-/// Everything operators decide, rolled out as one.
+/// Everything that operators configure, put in force as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Pools of engines, each with one token budget.
+    /// The pools of engines, each with one token budget.
     #[garde(length(min = 1, max = 64), dive)]
     pub pools: Vec<Pool>,
-    /// Lanes, tried in order: the first that takes a request's kind and model maps it.
+    /// Model routes, tried in order: the first one that accepts the kind and model of a request
+    /// applies.
     #[garde(length(max = 4096), dive)]
     #[serde(default)]
     pub lanes: Vec<ModelRoute>,
-    /// Which pools requests to a host and path go to. A bundle has lanes, routes or both.
+    /// Routes from a host and path to pools. A configuration has model routes, routes or both.
     #[garde(length(max = 65_536), dive)]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<crate::Route>,
-    /// What a client may send on routes, and for how long it may be idle.
+    /// Limits on what clients send on routes, and on how long they may be idle.
     #[garde(dive)]
     #[serde(default)]
     pub clients: crate::ClientLimits,
-    /// Limits on handed-in work.
+    /// Limits on submitted batches.
     #[garde(dive)]
     #[serde(default, alias = "parcels")]
     pub batches: BatchLimits,
-    /// Between which bounds the system may tune the live share.
+    /// Bounds between which the system tunes the live share.
     #[garde(dive)]
     #[serde(default)]
     pub weights: WeightBounds,
 }
 
-/// A pool of engines that share one budget of in-flight tokens.
+/// A pool of engines that share one budget of tokens in flight.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name, which engines name too.
+    /// The name, which the entries of the engine list refer to.
     #[garde(custom(crate::names::short_name))]
     pub name: PoolName,
-    /// Most tokens in flight at once.
+    /// The maximum number of tokens in flight.
     #[garde(custom(within_tokens))]
     #[serde(default = "default_limit")]
     pub limit_tokens: Tokens,
-    /// After how long a hold that nobody renews is taken back.
+    /// The time after which a hold that is not renewed expires.
     #[garde(range(min = 5_000, max = 600_000))]
     #[serde(default = "default_expiry")]
     pub hold_expiry_ms: u64,
-    /// How many prompts a relay lets wait briefly.
+    /// The maximum number of prompts that wait at a relay for a short time.
     #[garde(range(min = 0, max = 10_000))]
     #[serde(default = "default_queue")]
     pub queue_depth: u32,
-    /// The most connections that all nodes together may hold to one engine; 0 where it isn't said.
+    /// The maximum number of connections from all nodes together to one engine; 0 if not set.
     #[garde(skip)]
     #[serde(default)]
     pub max_connections: u32,
-    /// What one engine of the pool can hold, where the operators know it. With it the budget is
-    /// counted from the engines there are, and `limit_tokens` is not used.
+    /// The capacity of one engine of the pool, if known. It makes the budget depend on the number
+    /// of engines in the list, and `limit_tokens` is not used.
     #[garde(dive)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineShape>,
 }
 
-/// What one engine can hold.
+/// The capacity of one engine.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct EngineShape {
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     #[garde(range(min = 1, max = 65_536))]
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// The number of tokens that fit in its KV cache.
     #[garde(range(min = 1, max = 1_000_000_000_000))]
     pub kv_tokens: u64,
 }
 
-/// Which requests a lane takes, where they may go and what they are worth.
+/// Routes requests for some models to a pool and gives their value.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ModelRoute {
-    /// Its name.
+    /// The name.
     #[garde(custom(crate::names::short_name))]
     pub name: ModelRouteName,
-    /// Which kind of work it takes.
+    /// The kind of work that it accepts.
     #[garde(skip)]
     pub kind: ModelRouteKind,
-    /// The models it takes.
+    /// The models that it accepts.
     #[garde(length(min = 1, max = 256), inner(custom(crate::names::short_name)))]
     pub models: Vec<ModelName>,
-    /// The pool its work may go to.
+    /// The pool that its requests are sent to.
     #[garde(custom(crate::names::short_name))]
     pub pool: PoolName,
-    /// What a request is worth against others that wait.
+    /// The value of a request relative to other waiting requests.
     #[garde(range(min = 1, max = 1000))]
     #[serde(default = "default_value")]
     pub value: u32,
 }
 
-/// The kinds of work a lane can take.
+/// The kinds of work that a model route can accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelRouteKind {
-    /// Live prompts only.
+    /// Only live prompts.
     Live,
-    /// Batch items only.
+    /// Only batch items.
     #[serde(alias = "parcel")]
     Batch,
-    /// Both.
+    /// Live prompts and batch items.
     Both,
 }
 
-/// Limits on handed-in work.
+/// Limits on submitted batches.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct BatchLimits {
-    /// The agreed ceiling on the cost of items not yet finished.
+    /// The maximum total cost of unfinished items.
     #[garde(custom(within_tokens))]
     pub waiting_ceiling_tokens: Tokens,
-    /// Most items in a batch.
+    /// The maximum number of items in a batch.
     #[garde(range(min = 1, max = 10_000))]
     pub max_items: u32,
-    /// Largest item body.
+    /// The maximum size of an item's body.
     #[garde(range(min = 1, max = 1_048_576))]
     pub max_item_bytes: u32,
-    /// For how long a batch is kept after its last return.
+    /// How long a batch is kept after its last result.
     #[garde(range(min = 60, max = 31_536_000))]
     #[serde(default = "default_keep")]
     pub keep_finished_s: u32,
@@ -138,17 +140,17 @@
     }
 }
 
-/// Bounds on the share of the budget kept for live prompts.
+/// Bounds on the share of the budget that is reserved for live prompts.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct WeightBounds {
-    /// The least live share, in percent.
+    /// The minimum live share, in percent.
     #[garde(range(min = 0, max = 100))]
     pub live_floor_percent: u8,
-    /// The live share before anything was measured.
+    /// The live share before there are any measurements.
     #[garde(range(min = 0, max = 100))]
     pub live_start_percent: u8,
-    /// The greatest live share; below 100, so that batches are not starved.
+    /// The maximum live share. It is below 100, so that batches are not starved.
     #[garde(range(min = 0, max = 95))]
     pub live_ceiling_percent: u8,
 }
@@ -185,13 +187,21 @@
 
 impl crate::faults::CrossCheck for Configuration {
     fn cross_check(&self, faults: &mut Vec<crate::Fault>) {
-        crate::faults::names_once("pools", self.pools.iter().map(|p| p.name.0.as_str()), faults);
-        crate::faults::names_once("lanes", self.lanes.iter().map(|l| l.name.0.as_str()), faults);
-        for (index, lane) in self.lanes.iter().enumerate() {
-            if self.pool(&lane.pool).is_none() {
+        crate::faults::check_unique_names(
+            "pools",
+            self.pools.iter().map(|p| p.name.0.as_str()),
+            faults,
+        );
+        crate::faults::check_unique_names(
+            "lanes",
+            self.lanes.iter().map(|r| r.name.0.as_str()),
+            faults,
+        );
+        for (index, model_route) in self.lanes.iter().enumerate() {
+            if self.pool(&model_route.pool).is_none() {
                 faults.push(crate::Fault {
                     place: format!("lanes[{index}].pool"),
-                    reason: crate::FaultReason::UnknownPool(lane.pool.0.clone()),
+                    reason: crate::FaultReason::UnknownPool(model_route.pool.0.clone()),
                 });
             }
         }
@@ -215,7 +225,7 @@
 }
 
 impl Pool {
-    /// A pool of that name with the project's own figures.
+    /// A pool with this name and the default values.
     ///
     /// ```
     /// let pool = topazyard_spec::Pool::named("main".into());
@@ -234,57 +244,59 @@
 }
 
 impl Configuration {
-    /// Reads a bundle, or gives every fault with its place.
+    /// Parses and validates a configuration. On failure it returns every fault with its location.
     ///
     /// ```
     /// let text = r#"{"pools":[{"name":"main"}],
     ///     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// let bundle = topazyard_spec::Configuration::read(text)?;
-    /// assert_eq!(bundle.pools[0].limit_tokens, topazyard_types::Tokens(40_000));
+    /// let configuration = topazyard_spec::Configuration::read(text)?;
+    /// assert_eq!(configuration.pools[0].limit_tokens, topazyard_types::Tokens(40_000));
     /// # Ok::<(), topazyard_spec::ReadError>(())
     /// ```
     ///
     /// # Errors
-    /// Text that is no JSON, or a bundle with faults.
+    /// The text is not JSON, or the configuration has faults.
     pub fn read(text: &str) -> Result<Self, crate::ReadError> {
         crate::faults::read(text)
     }
 
-    /// This bundle with a partial change made, checked as a whole one is.
+    /// This configuration with a partial change applied. The result is validated like a complete
+    /// configuration.
     ///
     /// # Errors
-    /// Every fault of the change, or of the bundle that it would make.
+    /// Every fault of the change, or of the configuration that results from it.
     pub fn patched(&self, patch: &crate::Patch) -> Result<Self, crate::ReadError> {
         let before = serde_json::to_value(self).map_err(|e| crate::ReadError::of_json(&e))?;
         let after = patch.apply(&before).map_err(crate::ReadError::Faults)?;
         Self::read(&after.to_string())
     }
 
-    /// The pool of that name.
+    /// The pool with this name.
     ///
     /// ```
     /// # let text = r#"{"pools":[{"name":"main"}],
     /// #     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// # let bundle = topazyard_spec::Configuration::read(text).unwrap();
-    /// assert!(bundle.pool(&"main".into()).is_some());
+    /// # let configuration = topazyard_spec::Configuration::read(text).unwrap();
+    /// assert!(configuration.pool(&"main".into()).is_some());
     /// ```
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// The lane that takes work of this kind for this model.
+    /// The model route that accepts work of this kind for this model.
     ///
     /// ```
     /// # let text = r#"{"pools":[{"name":"main"}],
     /// #     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// # let bundle = topazyard_spec::Configuration::read(text).unwrap();
+    /// # let configuration = topazyard_spec::Configuration::read(text).unwrap();
     /// use topazyard_spec::ModelRouteKind;
-    /// assert!(bundle.model_route_for(ModelRouteKind::Live, &"m".into()).is_some());
-    /// assert!(bundle.model_route_for(ModelRouteKind::Batch, &"m".into()).is_none());
+    /// assert!(configuration.model_route_for(ModelRouteKind::Live, &"m".into()).is_some());
+    /// assert!(configuration.model_route_for(ModelRouteKind::Batch, &"m".into()).is_none());
     /// ```
     pub fn model_route_for(&self, kind: ModelRouteKind, model: &ModelName) -> Option<&ModelRoute> {
-        self.lanes.iter().find(|lane| {
-            (lane.kind == kind || lane.kind == ModelRouteKind::Both) && lane.models.contains(model)
+        self.lanes.iter().find(|route| {
+            (route.kind == kind || route.kind == ModelRouteKind::Both)
+                && route.models.contains(model)
         })
     }
 }
--- a/libraries/topazyard-spec/src/engines.rs
+++ b/libraries/topazyard-spec/src/engines.rs
@@ -2,7 +2,7 @@
 
 use topazyard_types::{EngineName, ModelName, PoolName};
 
-/// All engines the platform knows; each list replaces the one before.
+/// All engines known to the platform. Each list replaces the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct EngineList {
@@ -11,43 +11,43 @@
     pub engines: Vec<Engine>,
 }
 
-/// One engine.
+/// An engine.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Its name.
+    /// The name.
     pub name: EngineName,
-    /// Where its HTTP listens.
+    /// The address of its HTTP server.
     pub address: std::net::SocketAddr,
-    /// The pool it serves.
+    /// The pool that it belongs to.
     pub pool: PoolName,
-    /// The models it serves.
+    /// The models that it serves.
     pub models: Vec<ModelName>,
-    /// Whether it may be given work.
+    /// Whether it accepts work.
     pub state: EngineState,
-    /// The failure zone that it runs in, where the platform says so.
+    /// The failure zone that it runs in, if the platform gives one.
     #[serde(default)]
     pub zone: Option<topazyard_types::ZoneName>,
-    /// Requests that it works on at once; 0 where nobody says it.
+    /// The number of requests that it processes concurrently; 0 if unknown.
     #[serde(default)]
     pub slots: u32,
 }
 
-/// Whether an engine may be given work.
+/// Whether an engine accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// It may.
+    /// It accepts work.
     Ready,
-    /// Not yet: it is still loading.
+    /// It is still loading and doesn't accept work yet.
     Cold,
-    /// No longer: it finishes what it has.
+    /// It accepts no new work and finishes what it has.
     Leaving,
 }
 
 impl crate::faults::CrossCheck for EngineList {
     fn cross_check(&self, faults: &mut Vec<crate::Fault>) {
-        crate::faults::names_once(
+        crate::faults::check_unique_names(
             "engines",
             self.engines.iter().map(|e| e.name.0.as_str()),
             faults,
@@ -56,7 +56,7 @@
 }
 
 impl EngineList {
-    /// Reads the platform's list.
+    /// Parses and validates the platform's list.
     ///
     /// ```
     /// let list = topazyard_spec::EngineList::read(r#"{"engines":[{"name":"e1",
@@ -66,7 +66,7 @@
     /// ```
     ///
     /// # Errors
-    /// Text that is no JSON, or a list with faults.
+    /// The text is not JSON, or the list has faults.
     pub fn read(text: &str) -> Result<Self, crate::ReadError> {
         crate::faults::read(text)
     }
--- a/libraries/topazyard-spec/src/faults.rs
+++ b/libraries/topazyard-spec/src/faults.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with a declaration, and where.
+//! Faults in a declaration, such as a configuration or an engine list, with their location.
 
-/// One fault in a declaration.
+/// A fault in a declaration.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Fault {
-    /// Where it stands, such as `lanes[2].pool`.
+    /// The path of the faulty field, such as `lanes[2].pool`.
     pub place: String,
-    /// What is wrong there.
+    /// What is wrong with it.
     pub reason: FaultReason,
 }
 
-/// Why a declaration can't be taken.
+/// Why a declaration is invalid.
 #[derive(
     Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, displaydoc::Display,
 )]
@@ -46,7 +46,7 @@
 impl std::error::Error for ReadError {}
 
 impl ReadError {
-    /// What serde says of a text that is no declaration.
+    /// Converts an error of serde's: text that is not JSON, or JSON of another structure.
     pub(crate) fn of_json(error: &serde_json::Error) -> Self {
         match error.classify() {
             serde_json::error::Category::Data => Self::Faults(vec![Fault {
@@ -58,7 +58,8 @@
     }
 }
 
-/// Reads JSON into a checked declaration, or gives every fault with its place.
+/// Parses JSON and validates it as a declaration. On failure it returns every fault with its
+/// location.
 ///
 /// ```
 /// let refused = topazyard_spec::faults::read::<topazyard_spec::EngineList>("{\"engines\": 3}");
@@ -66,7 +67,7 @@
 /// ```
 ///
 /// # Errors
-/// Text that is no JSON, or JSON that is no sound declaration.
+/// The text is not JSON, or not a valid declaration.
 pub fn read<T>(text: &str) -> Result<T, ReadError>
 where
     T: serde::de::DeserializeOwned + garde::Validate<Context = ()> + CrossCheck,
@@ -74,8 +75,8 @@
     let declaration: T = serde_json::from_str(text).map_err(|error| ReadError::of_json(&error))?;
     let mut faults = Vec::new();
     if let Err(report) = declaration.validate() {
-        faults.extend(report.iter().map(|(place, error)| Fault {
-            place: place.to_string(),
+        faults.extend(report.iter().map(|(path, error)| Fault {
+            place: path.to_string(),
             reason: FaultReason::OutOfBounds(error.message().to_owned()),
         }));
     }
@@ -83,14 +84,14 @@
     if faults.is_empty() { Ok(declaration) } else { Err(ReadError::Faults(faults)) }
 }
 
-/// Checks that span several fields.
+/// Checks that involve several fields.
 pub trait CrossCheck {
-    /// Adds a fault for each thing that doesn't fit together.
+    /// Adds a fault for each inconsistency between fields.
     fn cross_check(&self, faults: &mut Vec<Fault>);
 }
 
-/// Adds a fault for each name that was given before.
-pub(crate) fn names_once<'a>(
+/// Adds a fault for each name that occurs again in a list.
+pub(crate) fn check_unique_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
     faults: &mut Vec<Fault>,
--- a/libraries/topazyard-spec/src/lib.rs
+++ b/libraries/topazyard-spec/src/lib.rs
@@ -1,7 +1,8 @@
-//! What people write down: the operators' versioned bundle, the platform's engine list and each
-//! process's own settings. Everything is read with serde and checked with garde before use.
+//! The formats of declared input: the operators' versioned configuration, the platform's engine
+//! list and the settings of each process. All of it is parsed with serde and validated with garde
+//! before use.
 
-pub mod bundle;
+pub mod configuration;
 pub mod engines;
 pub mod faults;
 mod names;
@@ -9,7 +10,7 @@
 pub mod routes;
 pub mod settings;
 
-pub use bundle::{
+pub use configuration::{
     BatchLimits, Configuration, EngineShape, ModelRoute, ModelRouteKind, Pool, WeightBounds,
 };
 pub use engines::{Engine, EngineList, EngineState};
--- a/libraries/topazyard-spec/src/names.rs
+++ b/libraries/topazyard-spec/src/names.rs
@@ -1,11 +1,11 @@
-//! What the names in a declaration must hold to.
+//! Validation of the names in a declaration.
 
-const LONGEST_NAME_BYTES: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
-/// Checks that a name is neither empty nor long.
+/// Checks that a name is neither empty nor too long.
 pub(crate) fn short_name<N: std::fmt::Display>(name: &N, _: &()) -> garde::Result {
     let length = name.to_string().len();
-    if (1..=LONGEST_NAME_BYTES).contains(&length) {
+    if (1..=MAX_NAME_BYTES).contains(&length) {
         Ok(())
     } else {
         Err(garde::Error::new("a name has 1 to 128 bytes"))
--- a/libraries/topazyard-spec/src/patch.rs
+++ b/libraries/topazyard-spec/src/patch.rs
@@ -1,5 +1,5 @@
-//! Partial changes of a declaration: fields that are set, and items of its lists that are added,
-//! replaced or removed by name.
+//! Partial changes of a declaration: fields to set, and list items to add, replace or remove by
+//! name.
 
 use crate::{Fault, FaultReason, ReadError};
 use serde_json::Value;
@@ -20,10 +20,10 @@
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Fields of the declaration itself that are set.
+    /// Top-level fields to set.
     #[serde(default, skip_serializing_if = "serde_json::Map::is_empty")]
     pub fields: serde_json::Map<String, Value>,
-    /// By list: items to add, or to put in the place of the one of the same `name`.
+    /// By list: items to add, or to replace the item with the same `name`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub upsert: BTreeMap<String, Vec<Value>>,
     /// By list: names of items to remove.
@@ -32,23 +32,23 @@
 }
 
 impl Patch {
-    /// Reads a patch. Whether its items make a sound declaration shows only once it is applied.
+    /// Parses a patch. Its items are validated only when the declaration that results is parsed.
     ///
     /// # Errors
-    /// Text that is no JSON, or JSON that is no patch.
+    /// The text is not JSON, or not a patch.
     pub fn read(text: &str) -> Result<Self, ReadError> {
         serde_json::from_str(text).map_err(|error| ReadError::of_json(&error))
     }
 
-    /// The declaration with the change made. What is replaced keeps its place in its list, what is
-    /// added comes after the others.
+    /// Applies the change to a declaration. Replaced items keep their position in the list, added
+    /// items are appended.
     ///
     /// # Errors
-    /// Each fault with its place: an item without a name, a name that is given twice or both
-    /// upserted and removed, a name to remove that is not there, or something that is no list.
+    /// Every fault with its location: an item without a name, a duplicate name or one that is both
+    /// upserted and removed, a name to remove that doesn't exist, or a field that is not a list.
     pub fn apply(&self, declaration: &Value) -> Result<Value, Vec<Fault>> {
         let Value::Object(fields) = declaration else {
-            return Err(vec![shape(String::new(), "a declaration is an object")]);
+            return Err(vec![wrong_shape(String::new(), "a declaration is an object")]);
         };
         let mut changed = fields.clone();
         changed.extend(self.fields.clone());
@@ -67,27 +67,27 @@
         let mut items = match before {
             None => Vec::new(),
             Some(Value::Array(items)) => items.clone(),
-            Some(_) => return Err(vec![shape(list.to_owned(), "it is no list")]),
+            Some(_) => return Err(vec![wrong_shape(list.to_owned(), "it is no list")]),
         };
         let mut faults = Vec::new();
-        let mut named = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for (index, name) in self.remove.get(list).into_iter().flatten().enumerate() {
             let place = || format!("remove.{list}[{index}]");
             let position = items.iter().position(|item| name_of(item) == Some(name));
-            match (named.insert(name.as_str()), position) {
-                (false, _) => faults.push(twice(place(), name)),
-                (true, None) => faults.push(not_there(place(), name)),
+            match (seen.insert(name.as_str()), position) {
+                (false, _) => faults.push(duplicate(place(), name)),
+                (true, None) => faults.push(absent(place(), name)),
                 (true, Some(position)) => drop(items.remove(position)),
             }
         }
         for (index, item) in self.upsert.get(list).into_iter().flatten().enumerate() {
             let place = || format!("upsert.{list}[{index}].name");
             let Some(name) = name_of(item) else {
-                faults.push(shape(place(), "an item has a name"));
+                faults.push(wrong_shape(place(), "an item has a name"));
                 continue;
             };
-            if !named.insert(name) {
-                faults.push(twice(place(), name));
+            if !seen.insert(name) {
+                faults.push(duplicate(place(), name));
                 continue;
             }
             match items.iter_mut().find(|other| name_of(other) == Some(name)) {
@@ -103,14 +103,14 @@
     item.get("name")?.as_str()
 }
 
-fn shape(place: String, reason: &str) -> Fault {
+fn wrong_shape(place: String, reason: &str) -> Fault {
     Fault { place, reason: FaultReason::Shape(reason.to_owned()) }
 }
 
-fn twice(place: String, name: &str) -> Fault {
+fn duplicate(place: String, name: &str) -> Fault {
     Fault { place, reason: FaultReason::NamedTwice(name.to_owned()) }
 }
 
-fn not_there(place: String, name: &str) -> Fault {
+fn absent(place: String, name: &str) -> Fault {
     Fault { place, reason: FaultReason::NotThere(name.to_owned()) }
 }
--- a/libraries/topazyard-spec/src/routes.rs
+++ b/libraries/topazyard-spec/src/routes.rs
@@ -1,29 +1,30 @@
-//! Routes: which pool a request to a host and path goes to, and on what terms.
+//! Routes: the pools for requests to a host and path, and the terms of these requests.
 
 use topazyard_types::{PoolName, RouteName, Tokens};
 
-/// What may be done with a request whose outcome is unknown.
+/// Whether a request whose outcome is unknown may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Safe,
-    /// It runs at most once.
+    /// The request runs at most once.
     Unsafe,
-    /// A stream of events; it runs at most once unless it may be resumed.
+    /// The response is a stream of events. The request runs at most once unless the stream can be
+    /// resumed.
     Streaming,
-    /// Batches of items that are handed in and run later.
+    /// Batches of items that are submitted and run later.
     Batch,
 }
 
-/// A pool and how much of a route's traffic it gets.
+/// A pool and its share of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct PoolShare {
     /// The pool.
     #[garde(custom(crate::names::short_name))]
     pub pool: PoolName,
-    /// Its weight against the route's other pools.
+    /// The weight relative to the other pools of the route.
     #[garde(range(max = 1_000_000))]
     pub weight: u32,
 }
@@ -32,70 +33,70 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct BatchTerms {
-    /// Tokens of accepted items that may wait; 0 for no ceiling.
+    /// The maximum total tokens of accepted items that wait; 0 for no limit.
     #[garde(skip)]
     pub ceiling_tokens: Tokens,
-    /// Within how many ms of its first submission a batch is due.
+    /// The time in ms from the first submission of a batch until it is due.
     #[garde(skip)]
     pub run_target_ms: u64,
-    /// After how many ms an item that is not done may be given up.
+    /// The time in ms after which an unfinished item may be abandoned.
     #[garde(skip)]
     pub retention_ms: u64,
 }
 
-/// A route.
+/// Sends the requests to a host and path prefix to pools of engines.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// The name.
     #[garde(custom(crate::names::short_name))]
     pub name: RouteName,
-    /// The host that requests name.
+    /// The host that a request is addressed to.
     #[garde(length(min = 1, max = 255))]
     pub host: String,
-    /// How the path begins; the longest that fits decides. It begins and ends with a slash.
-    #[garde(custom(slashed))]
+    /// The prefix of the path; the longest match applies. It begins and ends with a slash.
+    #[garde(custom(has_enclosing_slashes))]
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     #[garde(skip)]
     pub kind: RouteKind,
-    /// Where requests go.
+    /// The pools that requests are sent to.
     #[garde(length(min = 1, max = 64), dive)]
     pub pools: Vec<PoolShare>,
-    /// The longest that a request is held, in ms.
+    /// The timeout of a request, in ms.
     #[garde(range(min = 1, max = 86_400_000))]
     pub timeout_ms: u64,
-    /// Within how many ms a response is worth most.
+    /// The target latency of a response, in ms.
     #[garde(skip)]
     #[serde(default)]
     pub target_latency_ms: u64,
-    /// The longest pause in ms between two events of a stream.
+    /// The maximum pause between two events of a stream, in ms.
     #[garde(skip)]
     #[serde(default)]
     pub longest_pause_ms: u64,
-    /// The most engines that one request may be sent to.
+    /// The maximum number of engines that one request is sent to.
     #[garde(range(min = 1, max = 64))]
     pub max_attempts: u32,
-    /// Its rank; 0 goes first.
+    /// The priority; 0 is served first.
     #[garde(skip)]
     #[serde(default)]
     pub priority: u32,
-    /// Whether a stream may be taken up at another engine.
+    /// Whether a stream may be resumed at another engine.
     #[garde(skip)]
     #[serde(default)]
     pub resumable: bool,
-    /// Whether requests that share prompt parts should meet at one engine.
+    /// Whether requests with common prompt parts should be sent to the same engine.
     #[garde(skip)]
     #[serde(default)]
     pub affinity: bool,
-    /// The terms of a batch route.
+    /// The batch terms, for batch routes only.
     #[garde(dive)]
     #[serde(default)]
     pub batch: Option<BatchTerms>,
 }
 
 impl Route {
-    /// Whether a request that may have run may run again.
+    /// Whether a request may be retried after it may have run.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe | RouteKind::Batch => true,
@@ -105,20 +106,20 @@
     }
 }
 
-/// What clients may send on routes.
+/// Limits on what clients send on routes.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClientLimits {
-    /// The largest head in bytes.
+    /// The maximum size of a request head, in bytes.
     #[garde(range(min = 1_024, max = 1_048_576))]
     pub max_header_bytes: u32,
-    /// The largest body in bytes.
+    /// The maximum size of a request body, in bytes.
     #[garde(range(min = 1_024, max = 67_108_864))]
     pub max_body_bytes: u32,
-    /// How long a client may take to send a head, in ms.
+    /// The time within which a client must send a request head, in ms.
     #[garde(range(min = 100, max = 600_000))]
     pub header_timeout_ms: u64,
-    /// For how long a client's connection may be idle, in ms.
+    /// The time after which an idle client connection is closed, in ms.
     #[garde(range(min = 100, max = 3_600_000))]
     pub idle_timeout_ms: u64,
 }
@@ -134,7 +135,7 @@
     }
 }
 
-fn slashed(prefix: &str, _: &()) -> garde::Result {
+fn has_enclosing_slashes(prefix: &str, _: &()) -> garde::Result {
     if prefix.starts_with('/') && prefix.ends_with('/') && prefix.len() <= 1_024 {
         Ok(())
     } else {
@@ -142,12 +143,16 @@
     }
 }
 
-pub(crate) fn cross_check(bundle: &crate::Configuration, faults: &mut Vec<crate::Fault>) {
-    crate::faults::names_once("routes", bundle.routes.iter().map(|r| r.name.0.as_str()), faults);
+pub(crate) fn cross_check(configuration: &crate::Configuration, faults: &mut Vec<crate::Fault>) {
+    crate::faults::check_unique_names(
+        "routes",
+        configuration.routes.iter().map(|r| r.name.0.as_str()),
+        faults,
+    );
     let pools: std::collections::BTreeSet<&PoolName> =
-        bundle.pools.iter().map(|pool| &pool.name).collect();
-    let mut places = std::collections::BTreeSet::new();
-    for (index, route) in bundle.routes.iter().enumerate() {
+        configuration.pools.iter().map(|pool| &pool.name).collect();
+    let mut prefixes = std::collections::BTreeSet::new();
+    for (index, route) in configuration.routes.iter().enumerate() {
         let mut fault = |field: &str, reason| {
             faults.push(crate::Fault { place: format!("routes[{index}]{field}"), reason });
         };
@@ -158,9 +163,9 @@
             let reason = "the weights of a route add up to 0".to_owned();
             fault(".pools", crate::FaultReason::OutOfBounds(reason));
         }
-        if !places.insert((route.host.as_str(), route.path_prefix.as_str())) {
-            let place = format!("{}{}", route.host, route.path_prefix);
-            fault("", crate::FaultReason::NamedTwice(place));
+        if !prefixes.insert((route.host.as_str(), route.path_prefix.as_str())) {
+            let prefix = format!("{}{}", route.host, route.path_prefix);
+            fault("", crate::FaultReason::NamedTwice(prefix));
         }
         if (route.kind == RouteKind::Batch) != route.batch.is_some() {
             let reason = "batch routes, and only these, have batch terms".to_owned();
--- a/libraries/topazyard-spec/src/settings/bounds.rs
+++ b/libraries/topazyard-spec/src/settings/bounds.rs
@@ -1,37 +1,37 @@
-//! Bounds that the place a fleet runs at sets: how soon things must happen, and what may be lost.
+//! Time and loss bounds that the environment of a fleet sets.
 
 use topazyard_types::DurationMs;
 
-/// Bounds on times and losses. The defaults are the project's own.
+/// Bounds on times and tolerated losses, with this project's defaults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
-    /// After how long without trouble a node counts as in touch with the others.
+    /// How long a node must be without failures to count as in contact with the others.
     pub contact: DurationMs,
-    /// Within how long an operator's order must be acknowledged.
+    /// The time within which an operator's order must be acknowledged.
     pub ack: DurationMs,
-    /// Within how long a node that came back holds everything again.
+    /// The time within which a returning node must have caught up.
     pub catch_up: DurationMs,
-    /// How long requests may still reach an engine that is known to leave.
+    /// How long requests may still be sent to an engine that is known to be leaving.
     pub drain: DurationMs,
-    /// How long a process may take to end in order.
+    /// The time that a process has for a graceful shutdown.
     pub grace: DurationMs,
-    /// Within how long a spec is in force everywhere.
+    /// The time within which a configuration must be in force at all nodes.
     pub config_apply: DurationMs,
-    /// By how much that stretches while control changes hands.
+    /// The extension of that time during a change of the control primary.
     pub config_stretch: DurationMs,
-    /// Within how long service is back after everything went.
+    /// The time within which service must be restored after the loss of all processes.
     pub recovery: DurationMs,
-    /// The longest that an event of a stream may take through a relay.
+    /// The maximum time that a relay may take to pass on an event of a stream.
     pub pass_on: DurationMs,
-    /// For how long finished batches can be read.
+    /// How long finished batches can be read.
     pub keep_batches: DurationMs,
-    /// Within how long nothing of an ended batch starts any more.
+    /// The time after the end of a batch from which none of its items may start.
     pub cancel: DurationMs,
-    /// Within how long an accepted batch can be read at every relay.
+    /// The time within which an accepted batch must be readable at every relay.
     pub settle: DurationMs,
-    /// Machines with a disk that may be lost at the same time.
+    /// The number of machines with a disk that may be lost at the same time.
     pub lost_machines: u16,
-    /// Zones that may be lost at the same time.
+    /// The number of zones that may be lost at the same time.
     pub lost_zones: u16,
 }
 
@@ -56,12 +56,12 @@
     }
 }
 
-/// What a process may use; 0 where nothing limits it.
+/// Resource limits of a process; 0 means no limit.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Memory in bytes.
     pub memory_bytes: u64,
-    /// Open files and connections.
+    /// The number of open files and connections.
     pub descriptors: u32,
     /// Disk in bytes.
     pub disk_bytes: u64,
--- a/libraries/topazyard-spec/src/settings/check.rs
+++ b/libraries/topazyard-spec/src/settings/check.rs
@@ -1,48 +1,49 @@
-//! Settings after they were checked.
+//! Validated settings.
 
 use topazyard_types::{FleetId, ZoneName};
 
-/// A process's place, checked.
+/// The validated settings of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// The node's name, where it has one.
+    /// The name of the node, if it has one.
     pub name: Option<String>,
     /// The fleet.
     pub fleet: FleetId,
-    /// Where frames arrive.
+    /// The address that other processes send frames to.
     pub address: std::net::SocketAddr,
-    /// Where frames are listened for, if not at `address`: behind an address translation.
+    /// The address to listen on for frames, if it differs from `address` because of network address
+    /// translation.
     pub listen: Option<std::net::SocketAddr>,
-    /// Where HTTP is served, for those that serve it.
+    /// The address of the HTTP server, for processes that have one.
     pub http: Option<std::net::SocketAddr>,
-    /// Where readiness is asked, if not at `http`.
+    /// The address for readiness probes, if it differs from `http`.
     pub ready: Option<std::net::SocketAddr>,
-    /// Where the process serves its own metrics, if anywhere.
+    /// The address of the server for this process's metrics, if it has one.
     pub metrics: Option<std::net::SocketAddr>,
     /// The failure zone.
     pub zone: ZoneName,
-    /// Control processes to begin with: three, or fewer where the fleet has fewer.
+    /// The control processes to contact first: three, or fewer in a smaller fleet.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// The data folder, for those that keep files.
+    /// The data folder, for processes that store files.
     pub data: Option<std::path::PathBuf>,
-    /// The agent beside a relay.
+    /// The agent beside this relay, or the relay beside this agent.
     pub beside: Option<std::net::SocketAddr>,
-    /// The bounds of the place that the fleet runs at.
+    /// The time and loss bounds of the fleet's environment.
     pub bounds: crate::Bounds,
-    /// What the process may use.
+    /// The resource limits of the process.
     pub resources: crate::Resources,
-    /// Whether an empty data folder may be the beginning of a new fleet.
+    /// Whether a process with an empty data folder may bootstrap a new fleet.
     pub may_bootstrap: bool,
-    /// How to read them again.
+    /// Reads the settings again.
     pub reread: Reread,
 }
 
-/// How a process reads its settings again after they may have changed.
+/// Reads the settings of a process again after they may have changed.
 #[derive(Clone)]
 pub struct Reread(std::sync::Arc<dyn Fn() -> Option<NodeSettings> + Send + Sync>);
 
 impl Reread {
-    /// Reads by a function, which gives none where there is nothing usable.
+    /// Reads the settings with this function, which returns none if they are missing or invalid.
     ///
     /// ```
     /// assert!(topazyard_spec::Reread::by(|| None).read().is_none());
@@ -51,7 +52,7 @@
         Self(std::sync::Arc::new(read))
     }
 
-    /// The settings as they are now, if they can be used.
+    /// The current settings, if they are valid.
     pub fn read(&self) -> Option<NodeSettings> {
         (self.0)()
     }
@@ -63,7 +64,7 @@
     }
 }
 
-/// How settings are read says nothing about what they say.
+/// Two readers are always equal, so that settings compare by their values alone.
 impl PartialEq for Reread {
     fn eq(&self, _: &Self) -> bool {
         true
@@ -72,48 +73,48 @@
 
 impl Eq for Reread {}
 
-/// Why a process won't start with its settings.
+/// Why a process can't start with its settings.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum SettingsError {
     /// the setting {0} is missing
     Missing(&'static str),
     /// the setting {setting} is {text:?}, which is not IP:PORT
     NotAnAddress {
-        /// Which setting.
+        /// The name of the setting.
         setting: &'static str,
-        /// What it says.
+        /// Its value.
         text: String,
     },
-    /// the setting seeds needs three different addresses and has {0}
+    /// the setting seeds must name three different addresses, found {0}
     Seeds(usize),
     /// the setting {0} must not be empty
     Empty(&'static str),
     /// the settings file {0:?} can't be read
     Unreadable(std::path::PathBuf),
-    /// the settings file {file:?} is wrong at line {line}: {reason}
+    /// the settings file {file:?} is invalid at line {line}: {reason}
     Malformed {
         /// The file.
         file: std::path::PathBuf,
-        /// The line.
+        /// The line number.
         line: usize,
-        /// What the reader said.
+        /// The parse error.
         reason: String,
     },
 }
 
 impl std::error::Error for SettingsError {}
 
-fn address(setting: &'static str, text: &str) -> Result<std::net::SocketAddr, SettingsError> {
+fn parse_address(setting: &'static str, text: &str) -> Result<std::net::SocketAddr, SettingsError> {
     text.parse().map_err(|_| SettingsError::NotAnAddress { setting, text: text.to_owned() })
 }
 
 impl NodeSettings {
-    /// Where frames are listened for.
+    /// The address to listen on for frames.
     pub fn listen_address(&self) -> std::net::SocketAddr {
         self.listen.unwrap_or(self.address)
     }
 
-    /// Reads the settings file, if one is named, and checks the whole.
+    /// Reads the settings file, if one is given, and validates the settings.
     ///
     /// ```
     /// use topazyard_spec::{NodeSettings, Settings, SettingsError};
@@ -122,29 +123,29 @@
     /// ```
     ///
     /// # Errors
-    /// The first setting that is missing or wrong.
+    /// The first setting that is missing or invalid.
     pub fn check(flags: crate::Settings) -> Result<Self, SettingsError> {
-        let again = flags.clone();
+        let flags_for_reread = flags.clone();
         let settings = match flags.settings.clone() {
             None => flags,
             Some(file) => {
                 let text = std::fs::read_to_string(&file)
                     .map_err(|_| SettingsError::Unreadable(file.clone()))?;
-                let written: crate::Settings = serde_json::from_str(&text).map_err(|error| {
+                let from_file: crate::Settings = serde_json::from_str(&text).map_err(|error| {
                     SettingsError::Malformed { line: error.line(), reason: error.to_string(), file }
                 })?;
-                flags.over(written)
+                flags.over(from_file)
             }
         };
         let fleet = FleetId(settings.fleet.ok_or(SettingsError::Missing("fleet"))?);
-        let own = settings.address.ok_or(SettingsError::Missing("address"))?;
+        let own_address = settings.address.ok_or(SettingsError::Missing("address"))?;
         let zone = settings.zone.ok_or(SettingsError::Missing("zone"))?;
         if zone.is_empty() {
             return Err(SettingsError::Empty("zone"));
         }
         let mut seeds = Vec::new();
         for seed in settings.seeds.ok_or(SettingsError::Missing("seeds"))? {
-            let seed = address("seeds", &seed)?;
+            let seed = parse_address("seeds", &seed)?;
             if !seeds.contains(&seed) {
                 seeds.push(seed);
             }
@@ -157,21 +158,21 @@
             ready: None,
             listen: None,
             fleet,
-            address: address("address", &own)?,
-            http: settings.http.map(|text| address("http", &text)).transpose()?,
-            metrics: settings.metrics.map(|text| address("metrics", &text)).transpose()?,
+            address: parse_address("address", &own_address)?,
+            http: settings.http.map(|text| parse_address("http", &text)).transpose()?,
+            metrics: settings.metrics.map(|text| parse_address("metrics", &text)).transpose()?,
             zone: ZoneName(zone),
             seeds,
             data: settings.data,
-            beside: settings.beside.map(|text| address("beside", &text)).transpose()?,
+            beside: settings.beside.map(|text| parse_address("beside", &text)).transpose()?,
             bounds: crate::Bounds::default(),
             resources: crate::Resources::default(),
             may_bootstrap: true,
-            reread: Reread::by(move || Self::check(again.clone()).ok()),
+            reread: Reread::by(move || Self::check(flags_for_reread.clone()).ok()),
         })
     }
 
-    /// The HTTP address, for a process that can't do without.
+    /// The HTTP address, for a process that requires it.
     ///
     /// # Errors
     /// It is missing.
@@ -179,7 +180,7 @@
         self.http.ok_or(SettingsError::Missing("http"))
     }
 
-    /// The data folder, for a process that can't do without.
+    /// The data folder, for a process that requires it.
     ///
     /// # Errors
     /// It is missing.
@@ -187,7 +188,7 @@
         self.data.clone().ok_or(SettingsError::Missing("data"))
     }
 
-    /// The neighbour's address, for a process that can't do without.
+    /// The address of the relay or agent beside this process, for a process that requires it.
     ///
     /// # Errors
     /// It is missing.
--- a/libraries/topazyard-spec/src/settings/mod.rs
+++ b/libraries/topazyard-spec/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! A process's place: from flags, or from a settings file that flags go before.
+//! The settings of a process, from flags and a settings file. Flags take precedence.
 
 pub mod bounds;
 pub mod check;
--- a/libraries/topazyard-spec/src/settings/raw.rs
+++ b/libraries/topazyard-spec/src/settings/raw.rs
@@ -1,6 +1,6 @@
-//! Settings as they are written, in a file or as flags.
+//! Settings as written in a file or given as flags.
 
-/// Settings as written. Flags go before the file.
+/// Settings before validation. Flags take precedence over the file.
 #[derive(Debug, Clone, Default, clap::Args, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -8,25 +8,25 @@
     #[arg(long)]
     #[serde(skip)]
     pub settings: Option<std::path::PathBuf>,
-    /// The fleet's number; frames of another fleet are refused
+    /// The fleet's number; frames of another fleet are rejected
     #[arg(long)]
     pub fleet: Option<u32>,
-    /// IP:PORT where this process takes frames of other processes
+    /// IP:PORT at which this process receives frames from other processes
     #[arg(long)]
     pub address: Option<String>,
-    /// IP:PORT where this process serves HTTP
+    /// IP:PORT at which this process serves HTTP
     #[arg(long)]
     pub http: Option<String>,
-    /// IP:PORT where this process serves its own metrics, at /metrics
+    /// IP:PORT at which this process serves its own metrics, under /metrics
     #[arg(long)]
     pub metrics: Option<String>,
-    /// The failure zone this process stands in
+    /// The failure zone that this process runs in
     #[arg(long)]
     pub zone: Option<String>,
-    /// Three IP:PORT of control processes, separated by commas
+    /// Three IP:PORT addresses of control processes, separated by commas
     #[arg(long, value_delimiter = ',')]
     pub seeds: Option<Vec<String>>,
-    /// The folder that holds all of this process's files
+    /// The folder for all files of this process
     #[arg(long)]
     pub data: Option<std::path::PathBuf>,
     /// IP:PORT of the agent beside this relay, or of the relay beside this agent
@@ -35,7 +35,7 @@
 }
 
 impl Settings {
-    /// Fills what the flags left open from `file`.
+    /// Takes settings that are missing in the flags from `file`.
     ///
     /// ```
     /// use topazyard_spec::Settings;
--- a/libraries/topazyard-spec/tests/patching.rs
+++ b/libraries/topazyard-spec/tests/patching.rs
@@ -1,4 +1,4 @@
-//! Partial changes of a bundle: what they make of it, and each kind that is refused.
+//! Partial changes of a configuration: their result, and the kinds of changes that are rejected.
 
 use topazyard_spec::{Configuration, Fault, FaultReason, Patch, ReadError};
 
@@ -7,64 +7,64 @@
         "pools": [{ "pool": pool, "weight": 1 }], "timeout_ms": 500, "max_attempts": 1 })
 }
 
-fn bundle() -> Configuration {
+fn configuration() -> Configuration {
     let text = serde_json::json!({ "pools": [{ "name": "main" }, { "name": "other" }],
         "routes": [route("a", "/a/", "main"), route("b", "/b/", "main"), route("c", "/c/", "other")] });
-    Configuration::read(&text.to_string()).expect("a sound bundle")
+    Configuration::read(&text.to_string()).expect("a valid configuration")
 }
 
 fn patched(patch: serde_json::Value) -> Result<Configuration, ReadError> {
-    bundle().patched(&Patch::read(&patch.to_string())?)
+    configuration().patched(&Patch::read(&patch.to_string())?)
 }
 
 fn faults(patch: serde_json::Value) -> Vec<Fault> {
     match patched(patch) {
         Err(ReadError::Faults(faults)) => faults,
-        other => panic!("not refused with faults: {other:?}"),
+        other => panic!("not rejected with faults: {other:?}"),
     }
 }
 
-fn names(bundle: &Configuration) -> Vec<&str> {
-    bundle.routes.iter().map(|route| route.name.0.as_str()).collect()
+fn names(configuration: &Configuration) -> Vec<&str> {
+    configuration.routes.iter().map(|route| route.name.0.as_str()).collect()
 }
 
 #[test]
-fn what_is_replaced_keeps_its_place_and_what_is_added_comes_last() {
+fn replaced_items_keep_their_position_and_added_items_come_last() {
     let after = patched(serde_json::json!({
         "upsert": { "routes": [route("d", "/d/", "main"), route("b", "/new/", "main")] },
         "remove": { "routes": ["a"] } }))
-    .expect("a sound change");
+    .expect("a valid change");
     assert_eq!(names(&after), ["b", "c", "d"]);
     assert_eq!(after.routes[0].path_prefix, "/new/");
-    assert_eq!(after.pools, bundle().pools);
+    assert_eq!(after.pools, configuration().pools);
 }
 
 #[test]
-fn nothing_but_what_is_named_changes() {
-    assert_eq!(patched(serde_json::json!({})).expect("an empty change"), bundle());
+fn unnamed_items_do_not_change() {
+    assert_eq!(patched(serde_json::json!({})).expect("an empty change"), configuration());
     let same = serde_json::json!({ "upsert": { "routes": [route("b", "/b/", "main")] } });
-    assert_eq!(patched(same).expect("a sound change"), bundle());
+    assert_eq!(patched(same).expect("a valid change"), configuration());
 }
 
 #[test]
-fn fields_are_set_whole() {
+fn fields_are_replaced_as_a_whole() {
     let clients = serde_json::json!({ "fields": { "weights": { "live_floor_percent": 10,
         "live_start_percent": 20, "live_ceiling_percent": 30 } } });
-    let after = patched(clients).expect("a sound change");
+    let after = patched(clients).expect("a valid change");
     assert_eq!(after.weights.live_ceiling_percent, 30);
-    assert_eq!(after.routes, bundle().routes);
+    assert_eq!(after.routes, configuration().routes);
 }
 
 #[test]
-fn a_service_and_its_last_route_go_together_and_not_alone() {
+fn a_pool_can_be_removed_only_together_with_its_last_route() {
     let alone = faults(serde_json::json!({ "remove": { "pools": ["other"] } }));
     assert!(alone.iter().any(|f| f.reason == FaultReason::UnknownPool("other".to_owned())));
     let both = serde_json::json!({ "remove": { "pools": ["other"], "routes": ["c"] } });
-    assert_eq!(names(&patched(both).expect("a sound change")), ["a", "b"]);
+    assert_eq!(names(&patched(both).expect("a valid change")), ["a", "b"]);
 }
 
 #[test]
-fn a_change_that_cannot_be_made_says_each_place() {
+fn an_invalid_change_reports_the_location_of_each_fault() {
     let found = faults(serde_json::json!({
         "upsert": { "routes": [{ "host": "a" }, route("b", "/b/", "main"), route("b", "/x/", "main"),
             route("a", "/a/", "main")] },
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_is_no_list_of_the_bundle_is_refused() {
+fn changes_to_an_invalid_configuration_are_rejected() {
     for patch in [
         serde_json::json!({ "upsert": { "weights": [{ "name": "x" }] } }),
         serde_json::json!({ "upsert": { "unheard": [{ "name": "x" }] } }),
--- a/libraries/topazyard-spec/tests/reading.rs
+++ b/libraries/topazyard-spec/tests/reading.rs
@@ -1,15 +1,15 @@
-//! Declarations: every fault with its place, and no panic whatever is written.
+//! Declarations: every fault is reported with its location, and no input causes a panic.
 
 use topazyard_spec::{
     Configuration, EngineList, FaultReason, NodeSettings, ReadError, Settings, SettingsError,
 };
 
 #[test]
-fn all_faults_are_told_at_once_each_with_its_place() {
+fn all_faults_are_reported_with_their_locations() {
     let text = r#"{"pools":[{"name":"main","limit_tokens":0},{"name":"main"}],
         "lanes":[{"name":"","kind":"live","models":[],"pool":"other"}],
         "weights":{"live_floor_percent":80,"live_start_percent":50,"live_ceiling_percent":90}}"#;
-    let Err(ReadError::Faults(faults)) = Configuration::read(text) else { panic!("taken") };
+    let Err(ReadError::Faults(faults)) = Configuration::read(text) else { panic!("accepted") };
     let places: Vec<&str> = faults.iter().map(|fault| fault.place.as_str()).collect();
     for place in [
         "pools[0].limit_tokens",
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn any_text_is_a_declaration_or_a_typed_error() {
+fn any_text_gives_a_declaration_or_a_typed_error() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(3_000).for_each(|bytes| {
         let text = String::from_utf8_lossy(bytes);
         assert!(Configuration::read(&text).is_err());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn settings_that_do_not_check_out_name_what_is_wrong() {
+fn invalid_settings_are_reported_by_name() {
     assert!(NodeSettings::check(flags()).is_ok());
     let seeds = Some(vec!["127.0.0.1:1".to_owned(); 3]);
     let repeated = NodeSettings::check(Settings { seeds, ..flags() });
@@ -66,18 +66,18 @@
     assert!(matches!(missing, Err(SettingsError::Unreadable(_))));
 }
 
-// Else a fleet can't read the specs that it keeps from before the words changed.
+// Stored configurations may still use the former field name `parcels` and kind `parcel`.
 #[test]
-fn specs_in_the_older_words_can_still_be_read() {
-    let spec = |kind: &str, limits: &str| {
+fn configurations_with_the_former_field_names_can_be_read() {
+    let configuration = |kind: &str, limits: &str| {
         let text = format!(
             r#"{{"pools":[{{"name":"main","limit_tokens":1000}}],
             "lanes":[{{"name":"l","kind":"{kind}","models":["m"],"pool":"main"}}],
             "{limits}":{{"waiting_ceiling_tokens":1000,"max_items":7,"max_item_bytes":1000}}}}"#
         );
-        Configuration::read(&text).expect("a spec")
+        Configuration::read(&text).expect("a configuration")
     };
-    let older = spec("parcel", "parcels");
+    let older = configuration("parcel", "parcels");
     assert_eq!(older.batches.max_items, 7);
-    assert_eq!(older, spec("batch", "batches"));
+    assert_eq!(older, configuration("batch", "batches"));
 }
--- a/libraries/topazyard-types/src/digest.rs
+++ b/libraries/topazyard-types/src/digest.rs
@@ -1,6 +1,6 @@
-//! Short digests for comparing copies and for ranking by rendezvous.
+//! Short digests, used to compare copies and for rendezvous hashing.
 
-/// The first 128 bits of a SHA-256.
+/// The first 128 bits of a SHA-256 hash.
 #[derive(
     Debug,
     Clone,
@@ -17,7 +17,8 @@
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// Digests the parts, each with its length, so that no two lists of parts look alike.
+    /// Hashes the parts, each preceded by its length, so that different lists of parts never feed
+    /// the same bytes to the hash.
     ///
     /// ```
     /// use topazyard_types::Digest;
@@ -30,13 +31,14 @@
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let out = hasher.finalize();
+        let hash = hasher.finalize();
         let mut first = [0_u8; 16];
-        first.copy_from_slice(&out[..16]);
+        first.copy_from_slice(&hash[..16]);
         Self(u128::from_be_bytes(first))
     }
 
-    /// Adds or takes away a member of a set's digest: doing it twice changes nothing.
+    /// Adds a member to the digest of a set, or removes it. Applying it twice with the same member
+    /// restores the digest.
     ///
     /// ```
     /// use topazyard_types::Digest;
--- a/libraries/topazyard-types/src/ids.rs
+++ b/libraries/topazyard-types/src/ids.rs
@@ -1,85 +1,87 @@
-//! Who and what: nodes, fleets, shards, engines, holds and batches.
+//! Ids and names of nodes, fleets, shards, engines, holds and batches.
 
 crate::number_type!(
-    /// One life of a node's data: new when a data folder is new, and at each start of a node without a disk.
+    /// Identifies a node together with its data. A new data folder gets a new id, and so does each
+    /// start of a node without a disk.
     NodeId, u64
 );
 crate::number_type!(
-    /// The fleet a frame belongs to; frames of another fleet are refused.
+    /// The fleet that a frame belongs to. Frames of another fleet are rejected.
     FleetId, u32
 );
 crate::number_type!(
-    /// A shard: 0 counts tokens, the others keep batches.
+    /// A shard. Shard 0 stores the token counter, the others store batches.
     ShardId, u16
 );
 crate::number_type!(
-    /// A hold on the token budget, rising within one relay's life.
+    /// A hold on the token budget. Ids increase within one run of a relay.
     HoldId, u64
 );
 crate::number_type!(
-    /// An item's number within its batch, from 0.
+    /// The number of an item within its batch, counted from 0.
     ItemNumber, u32
 );
 crate::number_type!(
-    /// A local call into a machine that waits for its return.
+    /// A local call into a state machine whose caller waits for the result.
     CallId, u64
 );
 crate::name_type!(
-    /// A failure zone, such as a zone of machines that may go together.
+    /// A failure zone: machines that may fail together.
     ZoneName
 );
 crate::name_type!(
-    /// An engine's name on the platform's list.
+    /// The name of an engine in the platform's engine list.
     EngineName
 );
 crate::name_type!(
-    /// A lane's name in the spec.
+    /// The name of a model route in the configuration.
     ModelRouteName
 );
 crate::name_type!(
-    /// A model's name.
+    /// The name of a model.
     ModelName
 );
 crate::name_type!(
-    /// A pool of engines that share one budget.
+    /// The name of a pool of engines that share one budget.
     PoolName
 );
 crate::name_type!(
-    /// A route's name in the spec.
+    /// The name of a route in the configuration.
     RouteName
 );
 
 crate::number_type!(
-    /// One run of a process, drawn anew at each start. What a process numbers within its life
-    /// starts from here, so that an answer to a former life at the same address fits nothing.
+    /// A random number drawn at each start of a process. The process derives the numbers of its
+    /// requests from it, so a response to an earlier process at the same address matches none of
+    /// them.
     BootId, u64
 );
 
 impl BootId {
-    /// The number before the first that a process gives out in this life. Two lives' numbers
-    /// lie so far apart that they never meet.
+    /// The number before the first one that the process gives out. Numbers of two boot ids are so
+    /// far apart that they never overlap.
     ///
     /// ```
     /// use topazyard_types::ids::BootId;
     /// assert_ne!(BootId(7 << 40).first_number(), BootId(9 << 40).first_number());
     /// ```
     pub fn first_number(self) -> u64 {
-        // Half the numbers stay free above, so that counting on never wraps.
+        // The upper half of the range stays free, so that counting up never overflows.
         self.0 >> 1
     }
 }
 
 impl ShardId {
-    /// The shard that keeps the in-flight counter.
+    /// The shard that stores the counter of tokens in flight.
     ///
     /// ```
     /// assert!(topazyard_types::ShardId::COUNTER.is_counter());
     /// ```
     pub const COUNTER: Self = Self(0);
-    /// How many batch shards a fleet has.
+    /// The number of batch shards in a fleet.
     pub const BATCH_SHARDS: u16 = 4;
 
-    /// Whether this shard keeps the counter rather than batches.
+    /// Whether this shard stores the counter rather than batches.
     ///
     /// ```
     /// assert!(!topazyard_types::ShardId(3).is_counter());
@@ -88,7 +90,7 @@
         self == Self::COUNTER
     }
 
-    /// Every shard of a fleet, the counter first.
+    /// All shards of a fleet, the counter first.
     ///
     /// ```
     /// assert_eq!(topazyard_types::ShardId::all().count(), 5);
@@ -98,14 +100,14 @@
     }
 }
 
-/// A batch's id. It names the shard that keeps it, so that any relay finds it.
+/// The id of a batch. It contains the shard that stores the batch, so that any relay can find it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct BatchId {
-    /// The shard that keeps the batch.
+    /// The shard that stores the batch.
     pub shard: ShardId,
-    /// Its number there, made from the submission's idempotency key.
+    /// The number within the shard, derived from the idempotency key of the submission.
     pub number: u64,
 }
 
@@ -125,17 +127,18 @@
     type Err = InvalidBatchId;
 
     fn from_str(text: &str) -> Result<Self, InvalidBatchId> {
-        let refuse = || InvalidBatchId(text.to_owned());
-        let (shard, number) = text.split_once('-').ok_or_else(refuse)?;
-        let shard = ShardId(shard.parse().map_err(|_| refuse())?);
-        let known = !shard.is_counter() && shard.0 <= ShardId::BATCH_SHARDS && number.len() == 16;
-        let number = u64::from_str_radix(number, 16).map_err(|_| refuse())?;
-        if known { Ok(Self { shard, number }) } else { Err(refuse()) }
+        let invalid = || InvalidBatchId(text.to_owned());
+        let (shard, number) = text.split_once('-').ok_or_else(invalid)?;
+        let shard = ShardId(shard.parse().map_err(|_| invalid())?);
+        let is_valid =
+            !shard.is_counter() && shard.0 <= ShardId::BATCH_SHARDS && number.len() == 16;
+        let number = u64::from_str_radix(number, 16).map_err(|_| invalid())?;
+        if is_valid { Ok(Self { shard, number }) } else { Err(invalid()) }
     }
 }
 
 impl BatchId {
-    /// The id that a submission with this idempotency key gets, whichever relay takes it.
+    /// The id for a submission with this idempotency key, the same at every relay.
     ///
     /// ```
     /// let id = topazyard_types::BatchId::from_key("reel-17");
@@ -149,8 +152,9 @@
         Self { shard, number }
     }
 
-    /// The id of a batch that was handed in for a host under the caller's own id. All batches of
-    /// a host share a shard, so that one owner counts what waits on the host's routes.
+    /// The id of a batch that was submitted for a host under an id chosen by the caller. All
+    /// batches of a host are on one shard, so that a single primary counts the items waiting on
+    /// the host's routes.
     ///
     /// ```
     /// use topazyard_types::BatchId;
--- a/libraries/topazyard-types/src/lib.rs
+++ b/libraries/topazyard-types/src/lib.rs
@@ -1,6 +1,7 @@
-//! Ids, versions, times and other small types that every part of topazyard shares.
+//! Ids, versions, times and other small types shared by all parts of topazyard.
 //!
-//! Each is a type of its own, so that an epoch is never taken for a sequence or a wait for a moment.
+//! Each quantity has its own type, so that the compiler rejects an epoch where a sequence number is
+//! expected, or a duration where a point in time is.
 
 pub mod digest;
 pub mod ids;
@@ -17,7 +18,7 @@
 pub use tokens::Tokens;
 pub use versions::{ConfigurationVersion, Epoch, Incarnation, LogPosition, Sequence};
 
-/// Declares a number type of its own with the usual derives.
+/// Declares a newtype around a number, with the usual derives.
 #[macro_export]
 macro_rules! number_type {
     ($(#[$meta:meta])* $name:ident, $inner:ty) => {
@@ -37,7 +38,7 @@
     };
 }
 
-/// Declares a name type of its own with the usual derives.
+/// Declares a newtype around a string for a kind of name, with the usual derives.
 #[macro_export]
 macro_rules! name_type {
     ($(#[$meta:meta])* $name:ident) => {
--- a/libraries/topazyard-types/src/times.rs
+++ b/libraries/topazyard-types/src/times.rs
@@ -1,16 +1,17 @@
-//! Moments and spans, in milliseconds of a clock that never goes back.
+//! Points in time and durations, in milliseconds of a monotonic clock.
 
 crate::number_type!(
-    /// A moment on this process's monotonic clock. It means nothing to another process.
+    /// A point in time on the monotonic clock of this process. It has no meaning in other
+    /// processes.
     MonotonicMs, u64
 );
 crate::number_type!(
-    /// A span of time.
+    /// A duration.
     DurationMs, u64
 );
 
 impl MonotonicMs {
-    /// How long ago `earlier` was; zero if it lies ahead.
+    /// The time elapsed since `earlier`; zero if `earlier` is later than this.
     ///
     /// ```
     /// use topazyard_types::{DurationMs, MonotonicMs};
@@ -21,14 +22,14 @@
         DurationMs(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` later.
+    /// The point in time `duration` later.
     ///
     /// ```
     /// use topazyard_types::{DurationMs, MonotonicMs};
     /// assert_eq!(MonotonicMs(50).plus(DurationMs(20)), MonotonicMs(70));
     /// ```
     #[must_use]
-    pub fn plus(self, span: DurationMs) -> Self {
-        Self(self.0.saturating_add(span.0))
+    pub fn plus(self, duration: DurationMs) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
--- a/libraries/topazyard-types/src/tokens.rs
+++ b/libraries/topazyard-types/src/tokens.rs
@@ -1,15 +1,16 @@
-//! Token amounts and the estimate of what a prompt costs.
+//! Token counts and the estimated cost of a prompt.
 
 crate::number_type!(
-    /// An amount of model tokens.
+    /// A number of model tokens.
     Tokens, u64
 );
 
-/// Completion tokens assumed when a prompt names no `max_new_tokens`.
+/// Completion tokens assumed for a prompt without `max_new_tokens`.
 pub const DEFAULT_NEW_TOKENS: Tokens = Tokens(256);
 
 impl Tokens {
-    /// Cost of a prompt: the greater of words x 1.3 and the declared count, plus the new tokens it may make.
+    /// The cost of a prompt: the greater of its words times 1.3 and the declared token count, plus
+    /// the new tokens that it may generate.
     ///
     /// ```
     /// use topazyard_types::Tokens;
@@ -22,7 +23,7 @@
         Self(prompt_tokens.saturating_add(new_tokens.unwrap_or(DEFAULT_NEW_TOKENS).0))
     }
 
-    /// The sum, held at the greatest number rather than wrapping round.
+    /// The sum. It saturates at the greatest value rather than overflowing.
     ///
     /// ```
     /// use topazyard_types::Tokens;
--- a/libraries/topazyard-types/src/versions.rs
+++ b/libraries/topazyard-types/src/versions.rs
@@ -1,24 +1,24 @@
-//! Epochs, sequences, places in the feed and versions of specs.
+//! Epochs, sequence numbers, log positions and configuration versions.
 
 crate::number_type!(
-    /// A term of a primary and its backup. Nothing of a lower epoch is accepted.
+    /// The term of a primary and its backups. Messages of a lower epoch are rejected.
     Epoch, u64
 );
 crate::number_type!(
-    /// The number of a change within a copy; it never falls, over epochs too.
+    /// The sequence number of a change in a copy. It never decreases, not even across epochs.
     Sequence, u64
 );
 crate::number_type!(
-    /// A version of the operators' bundle.
+    /// A version of the operators' configuration.
     ConfigurationVersion, u64
 );
 crate::number_type!(
-    /// A member's own count of how often it had to refute a suspicion.
+    /// How often a member has refuted a suspicion about itself.
     Incarnation, u64
 );
 
 impl Epoch {
-    /// The epoch that follows.
+    /// The next epoch.
     ///
     /// ```
     /// assert_eq!(topazyard_types::Epoch(3).next(), topazyard_types::Epoch(4));
@@ -30,7 +30,7 @@
 }
 
 impl Sequence {
-    /// The sequence that follows.
+    /// The next sequence number.
     ///
     /// ```
     /// assert_eq!(topazyard_types::Sequence(3).next(), topazyard_types::Sequence(4));
@@ -41,7 +41,7 @@
     }
 }
 
-/// A place in the numbered feed; a follower only ever moves to a greater one.
+/// A position in the feed of changes. A follower only moves to greater positions.
 #[derive(
     Debug,
     Clone,
@@ -58,7 +58,7 @@
 pub struct LogPosition {
     /// The epoch in which the change was made.
     pub epoch: Epoch,
-    /// Its number.
+    /// The sequence number of the change.
     pub sequence: Sequence,
 }
 
