--- a/libraries/topazyard-wire/src/api.rs
+++ b/libraries/topazyard-wire/src/api.rs
@@ -1,16 +1,16 @@
-//! Errors as callers see them: a stable code, and whether the work may have run.
+//! Errors as returned to callers: a stable code, and whether the work may have run.
 
-/// Whether refused work may have run.
+/// Whether work that failed may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// Surely not: no byte can have reached an engine.
+    /// It did not run: no byte can have reached an engine.
     NotRun,
-    /// It may have.
+    /// It may have run.
     MayHaveRun,
 }
 
-/// A stable code for what went wrong.
+/// A stable error code. The doc comments of the variants are the texts that are sent.
 #[derive(
     Debug,
     Clone,
@@ -81,7 +81,7 @@
 }
 
 impl Code {
-    /// The HTTP status that goes with the code.
+    /// The HTTP status for the code.
     ///
     /// ```
     /// assert_eq!(topazyard_wire::api::Code::Budget.status(), 429);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whole seconds after which to come back, where that helps.
+    /// The number of seconds after which the caller should retry, if a retry can help.
     ///
     /// ```
     /// assert_eq!(topazyard_wire::api::Code::Budget.retry_after_s(), Some(1));
@@ -121,23 +121,23 @@
     }
 }
 
-/// An error as a caller sees it.
+/// An error as returned to callers.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ApiError {
-    /// The stable code.
+    /// The stable error code.
     pub code: Code,
     /// Whether the work may have run.
     pub ran: Execution,
-    /// The code in words, with what it is about.
+    /// The text of the code, or a more specific message.
     pub message: String,
-    /// The field at fault, if one is.
+    /// The faulty field, if any.
     pub field: Option<String>,
-    /// Faults in a declaration.
+    /// The faults of a declaration.
     pub faults: Vec<topazyard_spec::Fault>,
 }
 
 impl ApiError {
-    /// An error about work that surely did not run.
+    /// An error about work that did not run.
     ///
     /// ```
     /// use topazyard_wire::api::{ApiError, Code, Execution};
@@ -163,7 +163,7 @@
         Self { ran: Execution::MayHaveRun, ..Self::not_run(code) }
     }
 
-    /// The same, naming the field at fault.
+    /// The same error with the faulty field.
     ///
     /// ```
     /// use topazyard_wire::api::{ApiError, Code};
@@ -179,7 +179,8 @@
     ///
     /// ```
     /// use topazyard_wire::api::{ApiError, Code};
-    /// let error = ApiError::from_read_error(topazyard_spec::Configuration::read("{").unwrap_err());
+    /// let error = topazyard_spec::Configuration::read("{").unwrap_err();
+    /// let error = ApiError::from_read_error(error);
     /// assert_eq!(error.code, Code::Malformed);
     /// ```
     pub fn from_read_error(error: topazyard_spec::ReadError) -> Self {
--- a/libraries/topazyard-wire/src/lib.rs
+++ b/libraries/topazyard-wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process needs to speak with the others and to run its machine: messages, frames, links,
-//! the disk thread, the log ring, invariants, metrics, HTTP helpers and the actor that owns a
+//! What every process shares: messages and frames, links between processes, the disk thread, the
+//! ring buffer of log lines, invariants, metrics, HTTP helpers, and the actor that runs a state
 //! machine.
 
 pub mod api;
--- a/libraries/topazyard-wire/src/message/batch.rs
+++ b/libraries/topazyard-wire/src/message/batch.rs
@@ -1,100 +1,102 @@
-//! Batches: calls that relays make to a shard's primary, and their returns.
+//! Batches: requests of relays to the primary of a batch shard, and the responses.
 
 use topazyard_types::{
     BatchId, Digest, DurationMs, Epoch, ItemNumber, ModelName, RouteName, ShardId, Tokens,
 };
 
-/// A message to or from a batch shard's primary, under its epoch.
+/// A message to or from the primary of a batch shard.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct BatchMessage {
-    /// Which shard.
+    /// The shard.
     pub shard: ShardId,
-    /// The epoch; a lower one is refused.
+    /// The epoch of the shard. Messages of a lower epoch are rejected.
     pub epoch: Epoch,
-    /// Marks the return.
+    /// Identifies the response.
     pub call: u64,
-    /// What is said.
+    /// The content of the message.
     pub body: BatchBody,
 }
 
-/// A call or its return.
+/// A request or its response.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum BatchBody {
-    /// Asked by a relay.
+    /// A request by a relay.
     Call(BatchCall),
-    /// Returned to it.
+    /// The response to the relay.
     Response(BatchResponse),
-    /// A read that its primary leaves unanswered, asked of every node that holds a copy. Whoever
-    /// can't be sure says nothing.
+    /// A replica read: a read to which the primary doesn't respond, sent to every node with a copy.
+    /// Nodes that can't confirm their copy don't respond.
     ReplicaRead(BatchCall),
 }
 
-/// One item as handed in.
+/// An item as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Item {
-    /// The model it wants.
+    /// The requested model.
     pub model: ModelName,
-    /// The body for the engine, byte for byte.
+    /// The request body for the engine, byte for byte.
     pub body: bytes::Bytes,
-    /// Whether it may run again.
+    /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Its estimated cost.
+    /// The estimated cost.
     pub cost: Tokens,
-    /// Where a route directs it. An item without directions goes where its model's lane says.
+    /// How a route sends it to an engine. An item without this is sent by the model route of its
+    /// model.
     pub routing: Option<ItemRouting>,
 }
 
-/// How a routed item is sent to its engine. Such items may always run again.
+/// How a routed item is sent to its engine. Routed items may always run more than once.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ItemRouting {
     /// The caller's own id of the item.
     pub id: String,
-    /// The path at the engine.
+    /// The path of the request to the engine.
     pub path: String,
-    /// Headers that go along, name and value.
+    /// The headers of the request, name and value.
     pub headers: Vec<(String, String)>,
-    /// The parts that its prompt is built from, in order, each with its tokens.
+    /// The parts of its prompt in order, each with its number of tokens.
     pub prefix: Vec<(Digest, Tokens)>,
 }
 
-/// The terms of a batch of routed items, as they stood when it was handed in.
+/// The terms of a batch of routed items at the time of its submission.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RoutedBatchTerms {
-    /// The route that directs its items.
+    /// The route of its items.
     pub route: RouteName,
-    /// The host that its requests name.
+    /// The host that its requests are addressed to.
     pub host: String,
-    /// How long after it was handed in it is due.
+    /// The time from its submission until it is due.
     pub run_target: DurationMs,
-    /// After how long an item that is not done is given up.
+    /// The time after which an unfinished item is abandoned.
     pub retention: DurationMs,
-    /// After how many failed attempts an item is given up.
+    /// The number of failed attempts after which an item is abandoned.
     pub max_attempts: u32,
 }
 
-/// A batch of routed items as it is handed in.
+/// A batch of routed items as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RoutedBatch {
     /// Its id.
     pub batch: BatchId,
     /// Its terms.
     pub terms: RoutedBatchTerms,
-    /// Its items, each with directions.
+    /// Its items, each with its routing.
     pub items: Vec<Item>,
-    /// The ceiling on the route's waiting tokens by the spec in force at the relay; 0 for none.
+    /// The ceiling on the route's waiting tokens in the configuration in force at the relay; 0 for
+    /// no ceiling.
     pub ceiling: Tokens,
 }
 
-/// What is known of the output of a run that broke off midway.
+/// The output received so far from a run that was interrupted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Progress {
-    /// The id of the last event received whole; none before the first.
+    /// The id of the last complete event; none before the first.
     pub last_event: Option<u64>,
-    /// The data of the events received so far, parted by line feeds.
+    /// The data of the events received so far, separated by line feeds.
     pub text: String,
 }
 
-/// One run of one item.
+/// One run of an item.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -103,176 +105,178 @@
     pub batch: BatchId,
     /// The item.
     pub item: ItemNumber,
-    /// The lease under which it would run; no two leases are alike, so that a late word on one
-    /// never touches another.
+    /// The lease of the run. Leases are unique, so that a late message about one never affects
+    /// another.
     pub lease: u64,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RunEnd {
-    /// The engine's whole return.
+    /// The complete response of the engine.
     Complete {
-        /// The engine's status.
+        /// The status of the response.
         status: u16,
-        /// The engine's body, byte for byte.
+        /// The body of the response, byte for byte.
         body: bytes::Bytes,
     },
-    /// No byte can have reached an engine, or the engine said that it did not run it.
+    /// It did not run: no byte can have reached an engine, or the engine reported that it did not
+    /// run it.
     NotRun,
-    /// It may have run.
+    /// It is unknown whether it ran.
     Unknown,
-    /// A routed item's stream is complete.
+    /// The stream of a routed item is complete.
     StreamComplete {
-        /// The data of all its events, parted by line feeds.
+        /// The data of all events, separated by line feeds.
         text: String,
     },
-    /// The engine answered a routed item with a failure of its own.
+    /// The engine reported a failure for a routed item.
     Failed,
-    /// The engine said that the routed item can never be done.
+    /// The engine reported that the routed item can never succeed.
     Impossible,
-    /// A routed item's stream broke off after these events.
+    /// The stream of a routed item was interrupted after these events.
     Interrupted(Progress),
 }
 
-/// What a relay may ask.
+/// A request of a relay.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum BatchCall {
-    /// Take a batch of items on lanes; the same id again changes nothing.
+    /// Submits a batch of items for model routes. Submitting the same id again has no effect.
     Submit {
         /// Its id.
         batch: BatchId,
         /// Its items.
         items: Vec<Item>,
-        /// The ceiling on waiting work by the spec in force at the relay.
+        /// The ceiling on the waiting cost in the configuration in force at the relay.
         ceiling: Tokens,
     },
-    /// Take a batch of routed items; the same id again changes nothing.
+    /// Submits a batch of routed items. Submitting the same id again has no effect.
     SubmitRouted(RoutedBatch),
-    /// A batch's results after a position.
+    /// Reads the results of a routed batch after a position.
     RoutedResults {
         /// The batch.
         batch: BatchId,
-        /// Positions up to this are known; 0 asks from the first.
+        /// The last position that the caller has; 0 to read from the first.
         after: u32,
     },
-    /// The body of an item that has no result yet.
+    /// Reads the body of an item that has no result yet.
     Body {
         /// The batch.
         batch: BatchId,
         /// The caller's own id of the item.
         id: String,
     },
-    /// How does the batch stand?
+    /// Reads the status of a batch.
     Read(BatchId),
-    /// Its returns after a position.
+    /// Reads the results of a batch after a position.
     ItemResults {
         /// The batch.
         batch: BatchId,
-        /// Positions up to this are known; 0 asks from the first.
+        /// The last position that the caller has; 0 to read from the first.
         after: u32,
     },
-    /// Ask an unfinished item back.
+    /// Recalls an unfinished item.
     Recall(BatchId, ItemNumber),
-    /// End the batch.
+    /// Ends a batch.
     End(BatchId),
-    /// Lease items of these models.
+    /// Leases items of these models and routes.
     Lease {
-        /// At most that many.
+        /// The maximum number of items.
         most: u32,
-        /// Models that have a ready engine.
+        /// The models that have a ready engine.
         models: Vec<ModelName>,
-        /// Batch routes that have a ready engine.
+        /// The batch routes that have a ready engine.
         routes: Vec<RouteName>,
     },
-    /// May this run start?
+    /// Asks whether a run may start.
     Start(Run),
-    /// This run has ended.
+    /// Reports the end of a run.
     Finish(Run, RunEnd),
-    /// These runs go on here.
+    /// Reports the runs that are still in progress at the relay.
     Running(Vec<Run>),
 }
 
-/// How a batch stands.
+/// The status of a batch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct BatchStatus {
     /// Its id.
     pub batch: BatchId,
-    /// Its items.
+    /// The number of items.
     pub items: u32,
-    /// Items with a final return.
+    /// The number of items with a final result.
     pub returned: u32,
-    /// Items that have not started.
+    /// The number of items that have not started.
     pub waiting: u32,
-    /// Items that run.
+    /// The number of running items.
     pub running: u32,
     /// Whether it was ended.
     pub ended: bool,
 }
 
-/// How an item ended, for good.
+/// The final outcome of an item.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemEnd {
-    /// The engine's whole return.
+    /// The complete response of the engine.
     Complete {
-        /// The engine's status.
+        /// The status of the response.
         status: u16,
-        /// The engine's body.
+        /// The body of the response.
         body: bytes::Bytes,
     },
-    /// It may have run, and may not run again.
+    /// It may have run, and must not run again.
     OutcomeUnknown,
-    /// It was asked back before it started.
+    /// It was recalled before it started.
     Recalled,
     /// The batch ended before it started.
     Ended,
-    /// It was given up: an engine can't do it, too many attempts failed, or its time was over.
+    /// It was abandoned: it can't succeed at an engine, too many attempts failed, or its retention
+    /// time ended.
     Abandoned,
 }
 
-/// A final return at its fixed position.
+/// The final result of an item, at a fixed position in the batch's result list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ItemResult {
-    /// Its position, from 1.
+    /// The position, counted from 1.
     pub position: u32,
-    /// Of which item.
+    /// The item.
     pub item: ItemNumber,
-    /// The caller's own id of the item, if it is a routed one.
+    /// The caller's own id of the item, if it is a routed item.
     pub id: Option<String>,
-    /// How it ended.
+    /// The outcome.
     pub end: ItemEnd,
 }
 
-/// An item given to a relay for a short time.
+/// An item leased to a relay.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LeasedItem {
-    /// The run it would be.
+    /// The run for which it is leased.
     pub run: Run,
     /// The item.
     pub item: Item,
     /// The route and host of a routed item.
     pub route: Option<(RouteName, String)>,
-    /// What an earlier run of it brought.
+    /// The output of an earlier, interrupted run.
     pub progress: Progress,
 }
 
-/// What a shard's primary returns.
+/// A response of a shard's primary.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum BatchResponse {
-    /// Accepted and synced on both, now or before.
+    /// The batch is accepted and synced on all required copies, now or earlier.
     Accepted(BatchStatus),
-    /// The batch ceiling is reached: come back later.
+    /// The ceiling on waiting work is reached; the caller should retry later.
     CeilingReached,
-    /// How it stands.
+    /// The status of the batch.
     Status(BatchStatus),
-    /// Returns in order.
+    /// Results in order.
     ItemResults(Vec<ItemResult>),
-    /// A batch's results.
+    /// Results of a routed batch.
     RoutedResults {
-        /// Items of the batch.
+        /// The number of items of the batch.
         total: u32,
-        /// Results in order.
+        /// The results in order.
         results: Vec<ItemResult>,
     },
     /// The body of an item, byte for byte.
@@ -281,17 +285,17 @@
     Unknown,
     /// The item will never run.
     Recalled,
-    /// The item has started, or has its return.
+    /// The item can't be recalled any more.
     TooLate {
-        /// Whether its return is final.
+        /// Whether it has its final result; otherwise it has started.
         returned: bool,
     },
-    /// Leased items.
+    /// The leased items.
     Leased(Vec<LeasedItem>),
     /// Whether the run may start.
     MayStart(bool),
-    /// Noted.
+    /// The report was received.
     Acknowledged,
-    /// I don't lead this shard, or can't yet.
+    /// The receiver is not the primary of this shard, or can't serve requests yet.
     NotPrimary,
 }
--- a/libraries/topazyard-wire/src/message/confirm.rs
+++ b/libraries/topazyard-wire/src/message/confirm.rs
@@ -1,56 +1,59 @@
-//! How a copy of a shard is confirmed for a read while the primaries that would do it are silent.
+//! Confirmation of a shard's copy for a read while the control or shard primary is unreachable.
 //!
-//! A storage node asks the control backups which shard records stand. A control backup answers from
-//! its own copy after a quorum read: a majority of the witnesses of its epoch say that they have
-//! accepted no later one. Backups of a shard tell each other what they have synced.
+//! A storage node requests the current shard records from the control backups. A control backup
+//! responds from its own copy after a quorum read: a majority of the witnesses of its epoch confirm
+//! that they have accepted no later epoch. Backups of a shard report to each other what they have
+//! synced.
 
 use topazyard_types::{Epoch, Sequence, ShardId};
 
-/// What is asked and said to confirm a copy.
+/// Messages for the confirmation of a copy.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ConfirmMessage {
-    /// From a storage node to a control node: which shard records stand?
+    /// From a storage node to a control node: requests the current shard records.
     RequestRecords {
-        /// Marks the answer.
+        /// Identifies the response.
         nonce: u64,
     },
-    /// The answer: no record later than these was committed before the question was sent.
+    /// The response: no later records than these were committed before the request was sent.
     Records {
-        /// Of which question.
+        /// The nonce of the request.
         nonce: u64,
         /// The epoch of each shard's record.
         epochs: Vec<(ShardId, Epoch)>,
     },
-    /// From a control backup to a witness: have you accepted no epoch after this one?
+    /// From a control backup to a witness: asks for confirmation that the witness has accepted no
+    /// later epoch.
     CheckEpoch {
-        /// Marks the answer.
+        /// Identifies the response.
         nonce: u64,
-        /// The epoch that the asking node knows.
+        /// The epoch known to the requesting node.
         epoch: Epoch,
     },
-    /// The answer, given only where the witness has accepted none.
+    /// The response, sent only if the witness has accepted no later epoch.
     EpochCurrent {
-        /// Of which question.
+        /// The nonce of the request.
         nonce: u64,
-        /// The epoch asked about.
+        /// The epoch in the request.
         epoch: Epoch,
     },
-    /// From one backup of a shard to another: have you synced the shard's copy up to there?
+    /// From one backup of a shard to another: asks for confirmation that the other has synced its
+    /// copy up to a change batch.
     CheckSynced {
         /// The shard.
         shard: ShardId,
-        /// The epoch in which both follow.
+        /// The epoch in which both are backups.
         epoch: Epoch,
-        /// The batch asked about.
+        /// The sequence number of the change batch.
         sequence: Sequence,
     },
-    /// The answer, given only where it has.
+    /// The response, sent only if it has.
     Synced {
         /// The shard.
         shard: ShardId,
-        /// The epoch in which both follow.
+        /// The epoch in which both are backups.
         epoch: Epoch,
-        /// The last batch synced.
+        /// The sequence number of the last synced change batch.
         sequence: Sequence,
     },
 }
--- a/libraries/topazyard-wire/src/message/control.rs
+++ b/libraries/topazyard-wire/src/message/control.rs
@@ -1,28 +1,29 @@
-//! Epochs of the control replica, and wishes of shard primaries.
+//! Epochs of the control group, and change requests of shard primaries.
 
 use topazyard_types::{BootId, Epoch, NodeId, ShardId};
 
-/// A core node by id and address.
+/// A control node, by id and address.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct CoreNode {
     /// Its id.
     pub id: NodeId,
-    /// Where it takes frames.
+    /// The address at which it receives frames.
     pub address: std::net::SocketAddr,
 }
 
-/// Who holds the control state in an epoch, and whose witnesses decide the next one.
+/// The nodes of the control group in an epoch: who stores the control state, and which witnesses
+/// decide the next epoch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct EpochRecord {
     /// The epoch.
     pub epoch: Epoch,
-    /// Who commits.
+    /// The node that commits changes.
     pub primary: CoreNode,
-    /// Who confirm each commit, all of them.
+    /// The nodes that must all confirm each commit.
     pub backups: Vec<CoreNode>,
-    /// Who decides the epoch after this.
+    /// The witnesses that decide the next epoch.
     pub witnesses: Vec<CoreNode>,
 }
 
@@ -41,7 +42,8 @@
         self.rank(id).is_some()
     }
 
-    /// In which turn a member may ask for the next epoch: the primary comes first.
+    /// The rank of a member, by which members take turns to request the next epoch. The primary has
+    /// rank 0.
     ///
     /// ```
     /// # use topazyard_wire::message::control::{CoreNode, EpochRecord};
@@ -72,7 +74,7 @@
     }
 }
 
-/// A ballot: rounds are told apart by who called them and in which life.
+/// A ballot. The proposer and its boot id distinguish ballots of the same round.
 #[derive(
     Debug,
     Clone,
@@ -88,89 +90,91 @@
 pub struct Ballot {
     /// The round.
     pub round: u64,
-    /// Who called it.
+    /// The node that proposes.
     pub proposer: NodeId,
-    /// In which of the proposer's lives: one that restarted may want another record.
+    /// The boot id of the proposer, which may propose another record after a restart.
     pub boot_id: BootId,
 }
 
-/// What core nodes say about epochs. A message names the epoch record it builds on.
+/// Messages between control nodes about epochs. A proposal contains the record that it follows.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum CoreMessage {
-    /// I am here and know this record.
+    /// Reports that the sender is alive, and the newest record it knows.
     Heartbeat {
-        /// The newest record decided, as far as the sender knows.
+        /// The newest decided record known to the sender.
         record: Option<EpochRecord>,
-        /// Core nodes the sender has lately heard.
+        /// The control nodes that the sender has recently heard from.
         reachable: Vec<CoreNode>,
         /// The sender's zone.
         zone: topazyard_types::ZoneName,
-        /// Whether its disk takes writes: without them it can neither vote nor hold a copy.
+        /// Whether its disk accepts writes; otherwise it can neither vote nor store a copy.
         takes_writes: bool,
     },
-    /// Promise to take nothing lower.
+    /// Asks for a promise to accept no lower ballot.
     Prepare {
         /// The record that the proposal follows.
         base: EpochRecord,
-        /// Under which ballot.
+        /// The ballot.
         ballot: Ballot,
     },
-    /// Promised, with what was accepted before.
+    /// The promise, with the record accepted earlier, if any.
     Promise {
         /// The epoch that is being decided.
         epoch: Epoch,
-        /// Under which ballot.
+        /// The ballot.
         ballot: Ballot,
-        /// What was accepted before.
+        /// The record accepted earlier, with its ballot.
         accepted: Option<(Ballot, EpochRecord)>,
     },
-    /// Accept this record.
+    /// Asks to accept a record.
     Accept {
         /// The record that the proposal follows.
         base: EpochRecord,
-        /// Under which ballot.
+        /// The ballot.
         ballot: Ballot,
-        /// The record proposed.
+        /// The proposed record.
         record: EpochRecord,
     },
-    /// Accepted.
+    /// The record was accepted.
     Accepted {
         /// The epoch that is being decided.
         epoch: Epoch,
-        /// Under which ballot.
+        /// The ballot.
         ballot: Ballot,
     },
-    /// The sender is about to end: others may stand in its place at once.
+    /// The sender is shutting down: other nodes may replace it at once.
     Leaving,
-    /// Refused: a higher ballot was promised.
+    /// The ballot was rejected because a higher one was promised.
     Rejected {
         /// The epoch that is being decided.
         epoch: Epoch,
-        /// The ballot promised.
+        /// The promised ballot.
         promised: Ballot,
     },
 }
 
-/// Who holds a shard in an epoch. The primary, the backups and the fallbacks each hold all that was
-/// ever answered; with fewer copies than the record asks for nothing is answered.
+/// The nodes that store a shard in an epoch. The primary, the backups and the fallbacks each have
+/// every acknowledged change. With fewer copies than the record requires, the shard doesn't serve
+/// requests.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ShardRecord {
     /// The epoch.
     pub epoch: Epoch,
-    /// How many copies, the primary's among them, must hold what is answered.
+    /// The number of copies, including the primary's, that must have a change before it is
+    /// acknowledged.
     pub copies: u16,
-    /// Who commits.
+    /// The node that commits changes.
     pub primary: CoreNode,
-    /// Who confirm each commit, all of them.
+    /// The nodes that must all confirm each commit.
     pub backups: Vec<CoreNode>,
-    /// Who still hold all that was ever answered, while backups are missing.
+    /// Former members that still have every acknowledged change, while backups are missing.
     pub fallbacks: Vec<CoreNode>,
-    /// Who are being given a copy.
+    /// Nodes that are being filled with a copy.
     pub learners: Vec<CoreNode>,
 }
 
 impl ShardRecord {
-    /// Whether enough copies are named for anything to be answered.
+    /// Whether there are enough members for the shard to serve requests.
     ///
     /// ```
     /// # use topazyard_wire::message::control::{CoreNode, ShardRecord};
@@ -190,35 +194,37 @@
         self.backups.iter().any(|node| node.id == id)
     }
 
-    /// Primary and backups.
+    /// The primary and the backups.
     pub fn members(&self) -> impl Iterator<Item = &CoreNode> {
         std::iter::once(&self.primary).chain(&self.backups)
     }
 
-    /// All who hold a copy or are being given one.
+    /// All nodes that have a copy or are being filled with one.
     pub fn holders(&self) -> impl Iterator<Item = &CoreNode> {
         self.members().chain(&self.fallbacks).chain(&self.learners)
     }
 }
 
-/// A shard primary's wish for another record.
+/// A request by a shard's primary to change the shard's record.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ShardChangeRequest {
     /// The shard.
     pub shard: ShardId,
-    /// The epoch the wish is made in; any other makes it void.
+    /// The epoch of the request. It is void in any other epoch.
     pub epoch: Epoch,
-    /// What is wished.
+    /// The requested change.
     pub change: ShardChange,
 }
 
-/// What a shard primary may wish.
+/// A change of a shard's record.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ShardChange {
-    /// These backups don't confirm: let them go. Nothing is answered from now on.
+    /// Removes backups that don't confirm changes. The primary stops serving requests.
     DropBackups(Vec<NodeId>),
-    /// The learners hold all: make them backups. Nothing is answered from now on.
+    /// Promotes the learners, which have all changes, to backups. The primary stops serving
+    /// requests.
     PromoteLearners,
-    /// This primary restarted and may lack what a backup has shown since: let a backup lead.
+    /// Makes a backup the primary. This primary restarted and may lack changes that a backup has
+    /// exposed since.
     HandOver,
 }
--- a/libraries/topazyard-wire/src/message/counter.rs
+++ b/libraries/topazyard-wire/src/message/counter.rs
@@ -2,123 +2,124 @@
 
 use topazyard_types::{BootId, DurationMs, EngineName, Epoch, HoldId, PoolName, ShardId, Tokens};
 
-/// A message to or from the counter's primary, under its epoch.
+/// A message to or from the primary of the token counter.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CounterMessage {
-    /// The epoch; a lower one is refused.
+    /// The epoch of the counter shard. Messages of a lower epoch are rejected.
     pub epoch: Epoch,
-    /// What is said.
+    /// The content of the message.
     pub body: CounterBody,
 }
 
-/// For what a hold is.
+/// The purpose of a hold.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub enum HoldKind {
-    /// A live prompt: may use the whole limit.
+    /// A live prompt, which may use the whole limit.
     Live,
-    /// A batch item: may use only what the weights leave.
+    /// A batch item, which may use only the share that the weights leave to batches.
     Item,
-    /// Room that a relay keeps for the requests of routes, from which it takes without asking.
-    /// It stands until its expiry, not only until the relay's lease: its relay may go on while
-    /// the counter changes hands.
+    /// A block of budget that a relay reserves for requests on routes and uses without further
+    /// requests to the counter. It is valid until its own expiry rather than the relay's lease, so
+    /// that the relay can go on while the primary of the counter changes.
     Block,
 }
 
-/// The most engines that a hold may name.
+/// The maximum number of engines in a hold.
 pub const MAX_ENGINES: usize = 8;
 
-/// A hold, named by the relay that asks and its own rising id.
+/// A hold, identified by the relay that requests it and an increasing id.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Hold {
-    /// Its id within the relay's life.
+    /// The id within this run of the relay.
     pub id: HoldId,
-    /// The budget.
+    /// The pool whose budget is held.
     pub pool: PoolName,
-    /// The cost held.
+    /// The held cost.
     pub cost: Tokens,
-    /// For what.
+    /// The purpose.
     pub kind: HoldKind,
-    /// While it is asked for: engines that it may use, the best first, [`MAX_ENGINES`] at most. Once
-    /// it is granted: the one that it uses. Empty where its engine is not chosen with it.
+    /// In a request: the engines that it may use, the best first, [`MAX_ENGINES`] at most. Once
+    /// granted: the engine that it uses. Empty if the hold doesn't choose the engine.
     pub engines: Vec<EngineName>,
-    /// The terms of the spec in force at the relay, whose word of control is fresh: the counter
-    /// may know an older one.
+    /// The terms of the configuration in force at the relay. The relay's control state is fresh;
+    /// the counter's may be older.
     pub terms: HoldTerms,
 }
 
-/// What a hold is checked against, and how long it stands.
+/// The limits that a hold is checked against, and its lifetime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HoldTerms {
-    /// The budget's limit.
+    /// The limit of the budget.
     pub limit: Tokens,
-    /// The part of it that holds of this kind may take.
+    /// The part of the limit that holds of this kind may use.
     pub part: Tokens,
-    /// After how long without a renewal it is taken back.
+    /// The time without a renewal after which the hold expires.
     pub expiry: DurationMs,
 }
 
-/// What relays, shard primaries and the counter say.
+/// Messages between relays or shard primaries and the counter.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum CounterBody {
-    /// Check and add, in one.
+    /// Requests a hold. The check and the addition are one atomic step.
     Add(Hold),
-    /// Whether it was added.
+    /// The response to a request for a hold.
     Added {
-        /// Which hold.
+        /// The id of the hold.
         id: HoldId,
-        /// Whether it was added.
+        /// Whether the hold was granted.
         granted: bool,
-        /// Which of the engines that it may use it was given.
+        /// The engine that it was assigned, out of those that it may use.
         engine: Option<EngineName>,
     },
-    /// The return ended or was cut: let it go.
+    /// Releases a hold because its response has ended or was interrupted.
     Release(HoldId),
-    /// All my holds up to that id; any other of mine may go.
+    /// Renews the relay's holds with a complete list up to an id. The counter may release any other
+    /// hold of the relay up to that id.
     Renew {
-        /// Rises with each renewal.
+        /// The number of the renewal, which increases with each one.
         number: u64,
-        /// The greatest id that the lists speak of.
+        /// The greatest id that the lists cover.
         up_to: HoldId,
-        /// Holds that were granted: they stand even where the counter has lost them.
+        /// Granted holds. They are valid even if the counter has lost them.
         holds: Vec<Hold>,
-        /// Holds asked for and not yet answered: they stand where the counter has them.
+        /// Requested holds without a response so far. They are valid if the counter has them.
         pending: Vec<HoldId>,
-        /// By pool: what my requests held of my blocks, in the mean since the last renewal.
+        /// By pool: the mean use of the relay's blocks by its requests since the last renewal.
         used: Vec<(PoolName, Tokens)>,
     },
-    /// The lease runs anew from when that renewal was sent.
+    /// Renews the relay's lease, counted from when the renewal was sent.
     Renewed {
-        /// Which renewal.
+        /// The number of the renewal.
         number: u64,
     },
-    /// A batch shard's waiting cost, and how much more it asks to accept.
+    /// Reports the cost that waits at a batch shard, and requests to accept more.
     Waiting {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// The shard's epoch.
+        /// The epoch of the shard.
         shard_epoch: Epoch,
-        /// The life of the shard's primary.
+        /// The boot id of the shard's primary.
         boot_id: BootId,
-        /// Rises with each report of that life.
+        /// The number of the report, which increases with each one of that boot id.
         number: u64,
-        /// The cost that waits there: it stands, whatever the ceiling.
+        /// The waiting cost, which counts whatever the ceiling is.
         total: Tokens,
-        /// The cost asked for besides: checked against the ceiling and added, in one.
+        /// The additional cost. The check against the ceiling and the addition are one atomic step.
         requested: Tokens,
-        /// The ceiling by the spec in force at the relay that handed the batch in.
+        /// The ceiling of the configuration in force at the relay that submitted the batch.
         ceiling: Tokens,
     },
-    /// Whether the report stands.
+    /// The response to a report of the waiting cost.
     WaitingSettled {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Which report.
+        /// The number of the report.
         number: u64,
-        /// Whether it stands.
+        /// Whether the additional cost was accepted.
         granted: bool,
     },
-    /// I don't lead the counter, or can't yet.
+    /// The receiver is not the primary of the counter, or can't serve requests yet.
     NotPrimary,
 }
--- a/libraries/topazyard-wire/src/message/feed.rs
+++ b/libraries/topazyard-wire/src/message/feed.rs
@@ -1,98 +1,98 @@
-//! The numbered feed of control state.
+//! The feed of the control state to followers.
 
 use topazyard_types::{Epoch, LogPosition, ShardId};
 
-/// What a follower and the control primary say.
+/// Messages between a follower and the control primary.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum FeedMessage {
-    /// What comes after this place?
+    /// Requests the changes after a position.
     Request {
-        /// Marks the return; freshness counts from when it was sent.
+        /// Identifies the response. Its freshness counts from when the request was sent.
         nonce: u64,
-        /// The place read so far.
+        /// The position reached so far.
         after: LogPosition,
-        /// The part of a snapshot that the asking node lacks next, while it fetches one.
+        /// The next part of a snapshot, while the follower fetches one.
         part: Option<PartRequest>,
-        /// How old the last return is that the asking node got, if it got any.
+        /// The age of the last response that the follower received, if any.
         last_response_age: Option<topazyard_types::DurationMs>,
-        /// How the asking node fares.
+        /// The state of the follower.
         health: Health,
     },
-    /// All up to `place`, confirmed by the replica after the asking.
+    /// All changes up to `position`, confirmed by the control group after the request was sent.
     Update {
-        /// Of which asking.
+        /// The nonce of the request.
         nonce: u64,
-        /// The place reached.
+        /// The position reached.
         position: LogPosition,
-        /// The changes since, or everything.
+        /// The changes, or a complete snapshot.
         content: UpdateContent,
     },
-    /// Ask there.
+    /// Refers the follower to the primary.
     Redirect {
-        /// Of which asking.
+        /// The nonce of the request.
         nonce: u64,
-        /// The epoch the sender knows.
+        /// The epoch known to the sender.
         epoch: Epoch,
-        /// Its primary, as far as the sender knows.
+        /// The address of the primary, if the sender knows it.
         primary: Option<std::net::SocketAddr>,
     },
 }
 
-/// The part of a snapshot that a follower lacks next.
+/// The part of a snapshot that a follower requests next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct PartRequest {
-    /// The place of the snapshot.
+    /// The position of the snapshot.
     pub position: LogPosition,
-    /// The part, counted from 0.
+    /// The number of the part, counted from 0.
     pub part: u32,
 }
 
 /// A part of an encoded snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SnapshotPart {
-    /// Which part, counted from 0.
+    /// The number of the part, counted from 0.
     pub part: u32,
-    /// How many there are.
+    /// The number of parts.
     pub parts: u32,
-    /// Its bytes; all parts together are the encoded rows.
+    /// The bytes. All parts together are the encoded rows.
     pub bytes: bytes::Bytes,
 }
 
-/// What a return of the feed brings.
+/// The content of an update.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum UpdateContent {
-    /// The changes since the place asked for.
+    /// The changes after the requested position.
     Changes(Vec<crate::RowChange>),
-    /// Everything: the place asked for is too old or unknown.
+    /// All rows, because the requested position is too old or unknown.
     Snapshot(Vec<(String, bytes::Bytes)>),
-    /// A part of everything, where that is too large for one return. It was confirmed when the
-    /// snapshot was made, and says nothing of what was acknowledged since.
+    /// A part of a snapshot that is too large for one response. It was confirmed when the snapshot
+    /// was taken, and doesn't cover changes acknowledged since.
     Part(SnapshotPart),
 }
 
-/// How the asking node fares.
+/// The state of a follower's node.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Health {
-    /// An edge node: what waits there and what it holds.
+    /// An edge node.
     Edge {
         /// Whether its relay is ready.
         ready: bool,
-        /// Prompts that wait.
+        /// The number of waiting prompts.
         waiting: u32,
-        /// Prompts refused since the last asking for want of budget.
+        /// The number of prompts rejected for lack of budget since the last request.
         refused: u32,
     },
     /// A storage node.
     Storage {
-        /// Who and where it is.
+        /// Its id, address and zone.
         member: crate::message::membership::Member,
-        /// How its disk fares.
+        /// The state of its disk.
         disk: crate::disk::DiskState,
-        /// How long the oldest write not yet synced has taken.
+        /// The time that the oldest unsynced write has waited.
         write_wait_ms: u64,
-        /// Waiting cost of each batch shard that it leads.
+        /// The waiting cost of each batch shard of which it is the primary.
         waiting: Vec<(ShardId, u64)>,
-        /// Live tokens in flight, if it leads the counter.
+        /// The live tokens in flight, if it is the primary of the counter.
         live_tokens: Option<u64>,
     },
 }
--- a/libraries/topazyard-wire/src/message/membership.rs
+++ b/libraries/topazyard-wire/src/message/membership.rs
@@ -1,95 +1,96 @@
-//! Membership: probes to a few in turn, second opinions, news that spreads with them.
+//! Membership and failure detection: direct and indirect probes, with updates about members
+//! piggybacked on them.
 
 use topazyard_types::{Incarnation, NodeId, ZoneName};
 
-/// What a member does in the fleet.
+/// The role of a member in the fleet.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum MemberRole {
-    /// Keeps control state.
+    /// Stores the control state.
     Control,
-    /// Keeps shards.
+    /// Stores shards.
     Storage,
-    /// Serves clients; its agent answers for it.
+    /// Serves clients. Its agent responds to probes.
     Edge,
 }
 
-/// Who a member is.
+/// A member of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Member {
     /// Its id.
     pub id: NodeId,
-    /// The name its operators know it by, if it has one.
+    /// The name given by the operators, if any.
     pub name: Option<String>,
-    /// Where it takes frames.
+    /// The address at which it receives frames.
     pub address: std::net::SocketAddr,
-    /// Where it serves HTTP, if it does.
+    /// The address of its HTTP server, if it has one.
     pub http: Option<std::net::SocketAddr>,
-    /// What it does.
+    /// Its role.
     pub role: MemberRole,
     /// Its failure zone.
     pub zone: ZoneName,
 }
 
-/// How a member stands.
+/// The status of a member.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStatus {
-    /// It returns probes.
+    /// It responds to probes.
     Alive,
-    /// Neither we nor those asked for a second opinion hear it.
+    /// It responds neither to direct nor to indirect probes.
     Suspect,
-    /// It never refuted the suspicion, or it left.
+    /// It did not refute the suspicion, or it left.
     Removed,
 }
 
-/// News of a member.
+/// An update about a member.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MemberUpdate {
-    /// Of whom.
+    /// The member.
     pub member: Member,
-    /// Under which of the member's own incarnations.
+    /// The incarnation of the member.
     pub incarnation: Incarnation,
-    /// How it stands.
+    /// The status.
     pub status: MemberStatus,
 }
 
-/// What members say.
+/// Messages between members.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum MembershipMessage {
-    /// Are you there?
+    /// Asks for a response, to detect failures.
     Probe {
-        /// Marks the return.
+        /// Identifies the response.
         nonce: u64,
-        /// News on the way.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// I am.
+    /// The response to a probe.
     ProbeAck {
-        /// Of which probe.
+        /// The nonce of the probe.
         nonce: u64,
-        /// News on the way.
+        /// Piggybacked updates.
         updates: Vec<MemberUpdate>,
     },
-    /// Probe that member for me.
+    /// Asks the receiver to probe another member for the sender.
     IndirectProbe {
-        /// Marks the return.
+        /// Identifies the response.
         nonce: u64,
-        /// Whom to probe.
+        /// The address of the member to probe.
         target: std::net::SocketAddr,
     },
-    /// Tell me of everyone.
+    /// Requests the member list.
     Join {
-        /// News of the one that joins.
+        /// The update about the joining member.
         update: MemberUpdate,
     },
-    /// Everyone I know.
+    /// All members known to the sender.
     MemberList {
-        /// News of each.
+        /// An update about each of them.
         updates: Vec<MemberUpdate>,
     },
 }
--- a/libraries/topazyard-wire/src/message/mod.rs
+++ b/libraries/topazyard-wire/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! What the system's own processes say to each other.
+//! The messages between the processes of a fleet.
 
 pub mod batch;
 pub mod confirm;
@@ -11,67 +11,67 @@
 
 use topazyard_types::{FleetId, NodeId};
 
-/// The version of the frames; any other is refused.
+/// The version of the frame format. Frames of any other version are rejected.
 pub const FRAME_VERSION: u16 = 7;
 
-/// The largest frame taken, in bytes.
+/// The maximum size of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// One message with the marks that every message carries.
+/// A message with the header that every message has.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Frame {
-    /// Which version of the frames.
+    /// The version of the frame format.
     pub version: u16,
-    /// Which fleet.
+    /// The fleet of the sender.
     pub fleet: FleetId,
-    /// Who sends it.
+    /// The sender.
     pub sender: NodeId,
-    /// Where the sender takes frames.
+    /// The address at which the sender receives frames.
     pub address: std::net::SocketAddr,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
-/// The protocols.
+/// A message of one of the protocols.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// Membership.
+    /// Membership and failure detection.
     Membership(membership::MembershipMessage),
-    /// Epochs of the control replica.
+    /// Epochs of the control group.
     Core(control::CoreMessage),
-    /// A primary, its backups and its learners.
+    /// Replication between a primary, its backups and its learners.
     Replica(replica::ReplicaMessage),
-    /// The numbered feed of control state.
+    /// The feed of the control state.
     Feed(feed::FeedMessage),
-    /// A shard primary's wish for another record.
+    /// A request by a shard's primary to change the shard's record.
     ShardChangeRequest(control::ShardChangeRequest),
-    /// An operator's call passed on.
+    /// An operator's request, forwarded between control nodes.
     Operate(operate::OperatorMessage),
-    /// Holds on the budget.
+    /// Holds on the token budget.
     Counter(counter::CounterMessage),
     /// Batches.
     Batch(batch::BatchMessage),
-    /// A shard's record, passed on to a holder that has not heard of it.
+    /// The record of a shard, forwarded to a holder that doesn't know it yet.
     ShardRecord(topazyard_types::ShardId, control::ShardRecord),
-    /// Confirming a copy for a read while primaries are silent.
+    /// Confirmation of a copy for reads while primaries are unreachable.
     Confirm(confirm::ConfirmMessage),
 }
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
 pub enum FrameError {
-    /// the bytes are no frame
+    /// malformed frame
     Malformed,
-    /// the frame is of version {0}
+    /// the frame has version {0}
     Version(u16),
-    /// the frame is of fleet {0}
+    /// the frame belongs to fleet {0}
     Fleet(FleetId),
 }
 
 impl std::error::Error for FrameError {}
 
 impl Frame {
-    /// The frame's bytes.
+    /// Encodes the frame.
     ///
     /// ```
     /// use topazyard_wire::message::{membership::MembershipMessage, Frame, Message, FRAME_VERSION};
@@ -88,10 +88,10 @@
         crate::rows::encode(self)
     }
 
-    /// Reads a frame of this version and fleet.
+    /// Decodes a frame of this version and fleet.
     ///
     /// # Errors
-    /// Bytes that are no frame, or a frame of another version or fleet.
+    /// The bytes are not a frame, or the frame has another version or fleet.
     pub fn decode(bytes: &[u8], fleet: FleetId) -> Result<Self, FrameError> {
         let (version, _) =
             postcard::take_from_bytes::<u16>(bytes).map_err(|_| FrameError::Malformed)?;
--- a/libraries/topazyard-wire/src/message/operate.rs
+++ b/libraries/topazyard-wire/src/message/operate.rs
@@ -1,153 +1,156 @@
-//! What operators and the platform ask of control: commands and queries apart.
+//! Requests of operators and the platform to control, divided into commands and queries.
 
 use topazyard_types::{ConfigurationVersion, NodeId};
 
-/// An operator's call passed on between control nodes.
+/// An operator's request, forwarded between control nodes.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum OperatorMessage {
-    /// Asked of the primary.
+    /// A request to the primary.
     Request {
-        /// Marks the return.
+        /// Identifies the response.
         id: u64,
-        /// What is asked.
+        /// The request.
         request: OperatorRequest,
     },
-    /// Returned by it.
+    /// The response of the primary.
     Response {
-        /// Of which asking.
+        /// The id of the request.
         id: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: OperatorOutcome,
     },
-    /// Asked by the primary before it works on a command that must not be worked on late: does its
-    /// caller still wait?
+    /// Sent by the primary before it executes a command that must not be executed late. It asks
+    /// whether the caller still waits.
     ConfirmWaiting {
-        /// Of which asking.
+        /// The id of the request.
         id: u64,
-        /// The primary's own number for this copy of the command.
+        /// The primary's number for this copy of the command.
         offer: u64,
     },
-    /// The caller does, and no other copy of the command was confirmed.
+    /// The caller still waits, and no other copy of the command was confirmed.
     StillWaiting {
-        /// Which copy.
+        /// The primary's number for this copy of the command.
         offer: u64,
     },
 }
 
-/// Anything that may be asked.
+/// A request to control.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum OperatorRequest {
-    /// Changes state.
+    /// Changes the control state.
     Command(Command),
-    /// Reads state.
+    /// Reads the control state.
     Query(Query),
 }
 
-/// A partial change of the source that an outer adapter made a bundle from. The source is JSON
-/// then, with lists of named items.
+/// A partial change of the source from which an external adapter made a configuration. Such a
+/// source is JSON with lists of named items.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SourcePatch {
-    /// The order as the adapter got it, which tells it from others.
+    /// The order as the adapter received it, which distinguishes it from other orders.
     pub order: bytes::Bytes,
     /// The change, as a [`topazyard_spec::Patch`] in JSON.
     pub patch: String,
-    /// The largest source that the adapter takes, in bytes.
+    /// The maximum size of a source that the adapter accepts, in bytes.
     pub max_bytes: u64,
 }
 
-/// What changes state.
+/// A request that changes the control state.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Command {
-    /// Submit a bundle that builds on a version.
+    /// Submits a configuration that is based on a version.
     SubmitConfiguration {
-        /// The version it builds on; 0 for the first.
+        /// The version that it is based on; 0 for the first.
         base: ConfigurationVersion,
-        /// The bundle as JSON.
+        /// The configuration in JSON.
         text: String,
     },
-    /// Sign a submitted version off.
+    /// Signs off a submitted version.
     SignOff {
-        /// Which.
+        /// The version.
         version: ConfigurationVersion,
-        /// Who signs.
+        /// The operator who signs.
         by: String,
     },
-    /// Put a signed version in force.
+    /// Puts a signed version in force.
     RollOut {
-        /// Which.
+        /// The version.
         version: ConfigurationVersion,
     },
-    /// Check a bundle, take it and put it in force in one step, under a version that the operator
-    /// gave. Said again with the same source it is acknowledged again.
+    /// Validates a configuration and puts it in force in one step, with a version chosen by the
+    /// operator. A repetition with the same source is acknowledged again.
     ApplyConfiguration {
-        /// The version in force that it builds on; 0 for the first.
+        /// The version in force that it is based on; 0 for the first.
         base: ConfigurationVersion,
         /// Its own version, above the one in force.
         version: ConfigurationVersion,
-        /// The bundle as JSON.
+        /// The configuration in JSON.
         text: String,
-        /// What an outer adapter made it from; it is read back byte for byte.
+        /// The source from which an external adapter made it, stored byte for byte.
         source: bytes::Bytes,
     },
-    /// Submit the bundle that a partial change makes of a version.
+    /// Submits a partial change of a version as a new configuration.
     SubmitPatch {
-        /// The version it builds on.
+        /// The version that it is based on.
         base: ConfigurationVersion,
         /// The change, as a [`topazyard_spec::Patch`] in JSON.
         patch: String,
     },
-    /// Change the spec in force in part, under the terms of [`Command::ApplyConfiguration`].
+    /// Applies a partial change to the configuration in force, like
+    /// [`Command::ApplyConfiguration`].
     PatchConfiguration {
-        /// The version in force that it builds on.
+        /// The version in force that it is based on.
         base: ConfigurationVersion,
         /// Its own version, above the one in force.
         version: ConfigurationVersion,
-        /// The change of the bundle, as a [`topazyard_spec::Patch`] in JSON.
+        /// The change of the configuration, as a [`topazyard_spec::Patch`] in JSON.
         patch: String,
-        /// The change of the source that is read back.
+        /// The change of the stored source.
         source: SourcePatch,
     },
-    /// Replace the engine list by one that this process was given by the platform.
+    /// Replaces the engine list with one that this process received from the platform.
     ListEngines(Vec<topazyard_spec::Engine>),
-    /// Replace the engine list.
+    /// Replaces the engine list.
     PutEngines {
-        /// The list as JSON.
+        /// The list in JSON.
         text: String,
     },
-    /// Move everything off a storage node.
+    /// Moves all shards off a storage node.
     EmptyStorage(NodeId),
-    /// Move everything off the storage node of that name, and retire it once that is done.
+    /// Moves all shards off the storage node with this name, and retires it after that.
     RetireNamed(String),
-    /// Let a storage node host shards again.
+    /// Allows a storage node to host shards again.
     AddStorage(NodeId),
-    /// Forget an emptied storage node.
+    /// Removes an emptied storage node.
     RetireStorage(NodeId),
-    /// Set a pool's live share, by the duty of tuning weights.
+    /// Sets the live share of a pool; sent by the task that tunes weights.
     SetWeight {
-        /// Under which control epoch it was worked out.
+        /// The control epoch in which the share was computed.
         epoch: topazyard_types::Epoch,
         /// The pool.
         pool: topazyard_types::PoolName,
-        /// The share.
+        /// The share, in percent.
         live_percent: u8,
     },
 }
 
 impl Command {
-    /// Whether a copy that arrives late could still be taken although the command was refused or
-    /// overtaken: its refusals depend on what may change back. A spec's don't: versions only rise,
-    /// so what was once refused stays so, and one that was taken is known by its digest.
+    /// Whether a copy that arrives late could be executed although the command was already rejected
+    /// or superseded, because the reason for the rejection can go away. Submitted configurations
+    /// don't need this: versions only increase, so a rejected one stays rejected, and an accepted
+    /// one is recognized by its digest.
     ///
     /// ```
     /// use topazyard_wire::message::operate::Command;
     /// assert!(Command::RetireNamed("storage-1".into()).must_be_fresh());
-    /// assert!(!Command::SubmitConfiguration { base: Default::default(), text: "{}".into() }.must_be_fresh());
+    /// let text = "{}".into();
+    /// assert!(!Command::SubmitConfiguration { base: Default::default(), text }.must_be_fresh());
     /// ```
     pub fn must_be_fresh(&self) -> bool {
         match self {
             Self::SubmitConfiguration { .. } | Self::ApplyConfiguration { .. } => false,
             Self::SubmitPatch { .. } | Self::PatchConfiguration { .. } => false,
-            // This node's own duties: said again, or under an epoch.
+            // Tasks of this node: the list is sent again, the weight is bound to an epoch.
             Self::ListEngines(_) | Self::SetWeight { .. } => false,
             Self::SignOff { .. }
             | Self::RollOut { .. }
@@ -176,32 +179,32 @@
     }
 }
 
-/// What reads state.
+/// A request that reads the control state.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Query {
-    /// The spec in force, or a version.
+    /// The configuration in force, or the given version.
     ReadConfiguration(Option<ConfigurationVersion>),
-    /// The source of the newest spec taken by [`Command::ApplyConfiguration`].
+    /// The source of the newest configuration accepted with [`Command::ApplyConfiguration`].
     ReadSource,
-    /// All versions and how they stand.
+    /// All versions and their stages.
     ListConfigurations,
     /// The engine list.
     ListEngines,
-    /// Storage nodes and shards.
+    /// The storage nodes and shards.
     ListStorage,
-    /// How far the retirement of the storage node of that name has come.
+    /// The progress of retiring the storage node with this name.
     Retirement(String),
-    /// Everything about the fleet.
+    /// The complete state of the fleet.
     FleetState,
-    /// What the duty of tuning weights goes by.
+    /// The load figures for tuning weights.
     Load,
 }
 
-/// What came of a call.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum OperatorOutcome {
-    /// Done; the return as JSON.
+    /// Success, with the result in JSON.
     Done(String),
-    /// Refused, or unknown.
+    /// The request was rejected, or its outcome is unknown.
     Refused(crate::ApiError),
 }
--- a/libraries/topazyard-wire/src/message/replica.rs
+++ b/libraries/topazyard-wire/src/message/replica.rs
@@ -1,51 +1,51 @@
-//! A primary, its backups and its learners.
+//! Replication between a primary, its backups and its learners.
 
 use topazyard_types::{Digest, Epoch, Sequence};
 
-/// A message of one group's replica, under its epoch.
+/// A message between the replicas of a group.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ReplicaMessage {
-    /// Which group.
+    /// The group.
     pub group: crate::Group,
-    /// The epoch; a lower one is refused.
+    /// The epoch of the group. Messages of a lower epoch are rejected.
     pub epoch: Epoch,
-    /// What is said.
+    /// The content of the message.
     pub body: ReplicaBody,
 }
 
-/// What a node is to the primary that it is compared with.
+/// The role of a node relative to the primary that compares it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum FollowerRole {
-    /// A backup that the record of the epoch names: what it confirms may be answered.
+    /// A backup in the record of the epoch. What it confirms may be acknowledged.
     Backup,
-    /// A learner: nothing is answered on its word, and the epoch may not be decided yet.
+    /// A learner. Its confirmation acknowledges nothing, and the epoch may not be decided yet.
     Learner,
 }
 
-/// Which part of something that is sent in several frames.
+/// The part of something that is sent in several frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Part {
-    /// Counted from 0.
+    /// The number of the part, counted from 0.
     pub number: u32,
-    /// How many there are.
+    /// The number of parts.
     pub of: u32,
 }
 
-/// A range's rows, or some of them where the range is large.
+/// The rows of a range, or a part of them if the range is large.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RangePart {
-    /// Of which comparison.
+    /// The round of the comparison.
     pub round: u64,
     /// The range.
     pub range: u16,
-    /// Which part of it.
+    /// The part of the range.
     pub part: Part,
-    /// The part's rows.
+    /// The rows of the part.
     pub rows: Vec<(String, bytes::Bytes)>,
 }
 
 impl ReplicaBody {
-    /// Whether only a backup may be told this: one that knows the record that names it.
+    /// Whether this may only be sent to a backup that knows the record in which it is named.
     pub fn is_for_backups(&self) -> bool {
         matches!(
             self,
@@ -56,57 +56,58 @@
     }
 }
 
-/// What a replica says.
+/// The content of a message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ReplicaBody {
-    /// Take these changes; no changes ask only for a confirmation.
+    /// Appends changes. Without changes it only requests a confirmation.
     Append {
-        /// Marks the confirmation.
+        /// Identifies the confirmation.
         round: u64,
-        /// The sequence after the changes.
+        /// The sequence number after the changes.
         sequence: Sequence,
         /// The changes.
         changes: Vec<crate::RowChange>,
     },
-    /// Taken and synced.
+    /// The changes were appended and synced.
     Appended {
-        /// Which round.
+        /// The round of the append.
         round: u64,
     },
-    /// I can't follow: compare us.
+    /// The sender can't append the changes and requests a comparison.
     OutOfSync,
-    /// Compare with these digests, one a range.
+    /// Starts a comparison with the digests of all ranges.
     Digests {
-        /// Marks the returns.
+        /// Identifies the responses.
         round: u64,
-        /// The primary's sequence.
+        /// The sequence number of the primary.
         sequence: Sequence,
-        /// A digest of each range.
+        /// The digest of each range.
         digests: Vec<Digest>,
-        /// What the other node is to the sender in this epoch.
+        /// The role of the receiver in this epoch.
         of: FollowerRole,
     },
-    /// These ranges differ.
+    /// Reports the ranges that differ.
     Differ {
-        /// Of which comparison.
+        /// The round of the comparison.
         round: u64,
         /// The ranges.
         ranges: Vec<u16>,
     },
-    /// What a range holds, or a part of it.
+    /// The rows of a range, or a part of them.
     Range(RangePart),
-    /// No range differs, and all is synced.
+    /// No range differs, and everything is synced.
     InSync {
-        /// Of which comparison.
+        /// The round of the comparison.
         round: u64,
-        /// The sequence held.
+        /// The sequence number of the copy.
         sequence: Sequence,
     },
-    /// The primary's own disk has synced that round's batch; its backups may still be at it.
+    /// The primary's own disk has synced the change batch of a round. Its backups may not have
+    /// synced it yet.
     Synced {
-        /// Which round.
+        /// The round of the append.
         round: u64,
     },
-    /// I hold no copy of this group.
+    /// The sender has no copy of this group.
     NotHeld,
 }
--- a/libraries/topazyard-wire/src/rows.rs
+++ b/libraries/topazyard-wire/src/rows.rs
@@ -1,18 +1,18 @@
-//! Rows: the one shape in which state is replicated, fed to followers and kept on disk.
+//! Rows: the common format in which state is replicated, sent in the feed and stored on disk.
 
 use topazyard_types::ShardId;
 
-/// A change of one row: a new value, or none where the row goes away.
+/// A change of one row: a new value, or none to delete the row.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RowChange {
     /// The row's key.
     pub key: String,
-    /// Its new value.
+    /// The new value.
     pub value: Option<bytes::Bytes>,
 }
 
 impl RowChange {
-    /// A row set to the encoded value.
+    /// Sets a row to the encoded value.
     ///
     /// ```
     /// let change = topazyard_wire::RowChange::put("weights/main", &70_u8);
@@ -22,7 +22,7 @@
         Self { key: key.into(), value: Some(encode(value)) }
     }
 
-    /// A row taken away.
+    /// Deletes a row.
     ///
     /// ```
     /// assert_eq!(topazyard_wire::RowChange::delete("engine/e1").value, None);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Encodes a value as a row keeps it.
+/// Encodes the value of a row.
 ///
 /// ```
 /// assert_eq!(topazyard_wire::rows::encode(&5_u8).as_ref(), &[5]);
@@ -41,7 +41,7 @@
     postcard::to_stdvec(value).map(bytes::Bytes::from).unwrap_or_default()
 }
 
-/// Decodes a row's value; none where the bytes are of another shape.
+/// Decodes the value of a row; none if the bytes don't match the type.
 ///
 /// ```
 /// assert_eq!(topazyard_wire::rows::decode::<u64>(&[]), None);
@@ -50,23 +50,23 @@
     postcard::from_bytes(bytes).ok()
 }
 
-/// A group of rows kept together: one table on disk, one replica that replicates it.
+/// A group of rows that are stored in one table and replicated together.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub enum Group {
-    /// What a node knows of itself; never replicated.
+    /// The node's own state. It is never replicated.
     Node,
-    /// What a witness promised; never replicated.
+    /// The promises of a witness. They are never replicated.
     Witness,
     /// The control state.
     Control,
-    /// A shard.
+    /// The state of a shard.
     Shard(ShardId),
 }
 
 impl Group {
-    /// The table that keeps the group's rows.
+    /// The name of the table with the group's rows.
     ///
     /// ```
     /// assert_eq!(topazyard_wire::Group::Control.table(), "control");
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The group whose rows a table keeps.
+    /// The group whose rows are in a table.
     ///
     /// ```
     /// use topazyard_wire::Group;
@@ -97,6 +97,6 @@
     }
 }
 
-/// Everything a disk held when a process started.
+/// All rows that were on disk when the process started.
 pub type LoadedRows =
     std::collections::BTreeMap<Group, std::collections::BTreeMap<String, bytes::Bytes>>;
--- a/libraries/topazyard-wire/src/state.rs
+++ b/libraries/topazyard-wire/src/state.rs
@@ -1,48 +1,51 @@
-//! The rows of the control state, and the view that followers decode from them.
+//! The rows of the control state, and the snapshot that followers decode from them.
 
 use topazyard_types::{ConfigurationVersion, EngineName, NodeId, PoolName, ShardId};
 
-/// The row of the spec in force.
+/// The key of the row with the configuration in force.
 pub const IN_FORCE: &str = "in-force";
-/// Rows of engines start so.
+/// Key prefix of the rows of engines.
 pub const ENGINES: &str = "engine/";
-/// Rows of storage nodes start so.
+/// Key prefix of the rows of storage nodes.
 pub const STORAGE: &str = "storage/";
-/// Rows of shards start so.
+/// Key prefix of the rows of shards.
 pub const SHARDS: &str = "shard/";
-/// Rows of weights start so.
+/// Key prefix of the rows of pool weights.
 pub const WEIGHTS: &str = "weight/";
-/// Rows of the routes of the spec in force start so: a change of one route moves one row.
+/// Key prefix of the rows of routes of the configuration in force. Each route has its own row, so
+/// that a change of one route changes one row.
 pub const ROUTES: &str = "route/";
-/// The share of what the engines hold that is let in: 80 to 85 % of the knee, as the source says.
+/// The share of the engines' capacity that requests may use, in percent: the upper end of the
+/// recommended 80 to 85 % of the knee.
 pub const KNEE_PERCENT: u64 = 85;
-/// Rows of submitted specs start so; the feed leaves them out.
+/// Key prefix of the rows of submitted configurations. They are not part of the feed.
 pub const CONFIGURATIONS: &str = "spec/";
-/// Rows that remember which orders were taken start so; the feed leaves them out.
+/// Key prefix of the rows of accepted orders. They are not part of the feed.
 pub const ORDERS: &str = "order/";
-/// The row of the newest version among the orders that are no longer remembered; the feed leaves it
-/// out.
+/// The key of the row with the newest version among the accepted orders that were deleted. It is
+/// not part of the feed.
 pub const ORDERS_FORGOTTEN: &str = "orders-forgotten";
-/// How many orders a row remembers.
+/// The maximum number of orders in a row.
 pub const ORDERS_IN_ROW: usize = 64;
 
-/// The key of a submitted spec; keys rise with the versions.
+/// The key of a submitted configuration. Keys sort by version.
 ///
 /// ```
 /// use topazyard_types::ConfigurationVersion;
 /// use topazyard_wire::state::configuration_key;
-/// assert!(configuration_key(ConfigurationVersion(9)) < configuration_key(ConfigurationVersion(10)));
+/// let key = |version| configuration_key(ConfigurationVersion(version));
+/// assert!(key(9) < key(10));
 /// ```
 pub fn configuration_key(version: ConfigurationVersion) -> String {
     format!("{CONFIGURATIONS}{:020}", version.0)
 }
 
-/// The key of the row that remembers orders from a version on; keys rise with the versions.
+/// The key of the row whose accepted orders begin with this version. Keys sort by version.
 pub fn orders_key(first: ConfigurationVersion) -> String {
     format!("{ORDERS}{:020}", first.0)
 }
 
-/// Whether followers of the feed are told of a row.
+/// Whether a row is part of the feed.
 ///
 /// ```
 /// use topazyard_wire::state::{IN_FORCE, ORDERS_FORGOTTEN, is_in_feed};
@@ -68,67 +71,67 @@
     format!("{SHARDS}{:05}", shard.0)
 }
 
-/// The key of a pool's weight.
+/// The key of the weight of a pool.
 pub fn weight_key(pool: &PoolName) -> String {
     format!("{WEIGHTS}{pool}")
 }
 
-/// The key of a route of the spec in force.
+/// The key of a route of the configuration in force.
 pub fn route_key(name: &topazyard_types::RouteName) -> String {
     format!("{ROUTES}{name}")
 }
 
-/// How far a spec has come.
+/// The stage of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationStage {
-    /// Handed in and checked.
+    /// Submitted and validated.
     Submitted,
     /// Signed off.
     Signed,
-    /// Put in force, maybe superseded since.
+    /// Put in force, possibly superseded since.
     RolledOut,
 }
 
-/// A submitted spec.
+/// A submitted configuration.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ConfigurationRow {
     /// Its version.
     pub version: ConfigurationVersion,
-    /// The version it builds on.
+    /// The version that it is based on.
     pub base: ConfigurationVersion,
-    /// How far it has come.
+    /// The stage that it has reached.
     pub stage: ConfigurationStage,
-    /// Who signed it off.
+    /// The operator who signed it off.
     pub signed_by: Option<String>,
-    /// The bundle as it was handed in.
+    /// The configuration in JSON, as submitted.
     pub text: String,
-    /// The declaration that an outer adapter made the bundle from, byte for byte.
+    /// The declaration from which an external adapter made the configuration, byte for byte.
     pub source: Option<bytes::Bytes>,
 }
 
-/// An order that was taken: a digest tells it from another under the same version.
+/// An accepted order. The digest distinguishes it from another order with the same version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct AcceptedOrder {
-    /// The version that it made.
+    /// The version that it created.
     pub version: ConfigurationVersion,
-    /// The digest of what came.
+    /// The digest of the order.
     pub digest: topazyard_types::Digest,
 }
 
-/// Orders that were taken one after another, the oldest first, [`ORDERS_IN_ROW`] at most.
+/// Consecutive accepted orders, the oldest first, [`ORDERS_IN_ROW`] at most.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct OrdersRow {
     /// The orders.
     pub orders: Vec<AcceptedOrder>,
 }
 
-/// The spec in force.
+/// The configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct InForceRow {
     /// Its version.
     pub version: ConfigurationVersion,
-    /// The bundle without its routes, which have rows of their own.
+    /// The configuration in JSON without its routes, which have their own rows.
     pub text: String,
 }
 
@@ -136,46 +139,46 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StorageStage {
-    /// It may.
+    /// It may host shards.
     Active,
-    /// Its shards are being moved off.
+    /// Its shards are being moved to other nodes.
     Emptying,
-    /// It holds nothing and is given nothing; it is forgotten once it is down.
+    /// It holds no shards and gets none. Its row is deleted once it is down.
     Retired,
-    /// Its shards are being moved off, and once they are it is retired.
+    /// Its shards are being moved to other nodes; it is retired after that.
     Retiring,
 }
 
 /// A storage node.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StorageRow {
-    /// Who and where it is.
+    /// Its id, address and zone.
     pub member: crate::message::membership::Member,
     /// Whether it may host shards.
     pub stage: StorageStage,
 }
 
-/// A pool's weight.
+/// The weight of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WeightRow {
-    /// The share of the budget kept for live prompts, in percent.
+    /// The share of the budget that is reserved for live prompts, in percent.
     pub live_percent: u8,
 }
 
-/// What a follower knows of the control state.
+/// The control state as decoded by a follower of the feed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FleetSnapshot {
-    /// The spec in force.
+    /// The configuration in force, with its version.
     pub configuration: Option<(ConfigurationVersion, topazyard_spec::Configuration)>,
-    /// The routes of the spec in force.
+    /// The routes of the configuration in force.
     pub routes: RouteTable,
     /// The platform's engines.
     pub engines: std::collections::BTreeMap<EngineName, topazyard_spec::Engine>,
-    /// Who holds each shard.
+    /// The record of each shard.
     pub shards: std::collections::BTreeMap<ShardId, crate::message::control::ShardRecord>,
-    /// Storage nodes.
+    /// The storage nodes.
     pub storage: std::collections::BTreeMap<NodeId, StorageRow>,
-    /// Live shares by pool.
+    /// The live share of each pool.
     pub weights: std::collections::BTreeMap<PoolName, WeightRow>,
 }
 
@@ -184,28 +187,30 @@
 }
 
 impl FleetSnapshot {
-    /// Decodes a view from rows; rows of no known kind are passed over.
+    /// Decodes a snapshot from rows. Rows of an unknown kind are ignored.
     ///
     /// ```
-    /// let view = topazyard_wire::state::FleetSnapshot::read(&Default::default());
-    /// assert!(view.configuration.is_none());
+    /// let snapshot = topazyard_wire::state::FleetSnapshot::read(&Default::default());
+    /// assert!(snapshot.configuration.is_none());
     /// ```
     pub fn read(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let mut view = Self::default();
+        let mut snapshot = Self::default();
         for (key, value) in rows {
-            view.take(key, value);
+            snapshot.apply(key, value);
         }
-        view
+        snapshot
     }
 
-    fn take(&mut self, key: &str, value: &[u8]) -> Option<()> {
+    fn apply(&mut self, key: &str, value: &[u8]) -> Option<()> {
         use crate::rows::decode;
         if key == IN_FORCE {
             let row: InForceRow = decode(value)?;
-            // It was checked before it was taken; one that can't be read is not in force. Without
-            // its routes it may lack what a whole bundle must have.
-            self.configuration =
-                serde_json::from_str(&row.text).ok().map(|bundle| (row.version, bundle));
+            // It was validated when it was accepted, so it is not validated again: without its
+            // routes it may fail the checks of a complete configuration. One that can't be parsed
+            // is not in force.
+            self.configuration = serde_json::from_str(&row.text)
+                .ok()
+                .map(|configuration| (row.version, configuration));
         } else if suffix(key, ROUTES).is_some() {
             self.routes.insert(decode(value)?);
         } else if let Some(name) = suffix(key, ENGINES) {
@@ -220,8 +225,8 @@
         Some(())
     }
 
-    /// A pool's budget. Where the shape of its engines is told it is [`KNEE_PERCENT`] of what the
-    /// engines on the list hold, else what the spec says.
+    /// The budget of a pool: [`KNEE_PERCENT`] of the capacity of the engines in the list if the
+    /// configuration gives the shape of an engine, otherwise the configured limit.
     pub fn limit(&self, pool: &topazyard_spec::Pool) -> topazyard_types::Tokens {
         let Some(shape) = &pool.engine else { return pool.limit_tokens };
         let engines = self.engines.values().filter(|engine| {
@@ -230,9 +235,9 @@
         topazyard_types::Tokens(engines.count() as u64 * shape.kv_tokens * KNEE_PERCENT / 100)
     }
 
-    /// What an item of so many tokens takes of a pool's budget: at least the memory that goes with
-    /// one of an engine's slots, which it holds for a second and more. Slots run out before memory
-    /// where prompts are short.
+    /// The share of a pool's budget that an item of so many tokens uses: at least the memory of one
+    /// of an engine's slots, which it occupies for a second or more. With short prompts slots run
+    /// out before memory does.
     ///
     /// ```
     /// # use topazyard_wire::state::FleetSnapshot;
@@ -250,13 +255,13 @@
         topazyard_types::Tokens(tokens.0.max(slot))
     }
 
-    /// The part of a pool's budget that batch items may hold.
+    /// The part of a pool's budget that batch items may use.
     ///
     /// ```
     /// use topazyard_wire::state::{FleetSnapshot, WeightRow};
-    /// let mut view = FleetSnapshot::default();
-    /// view.weights.insert("main".into(), WeightRow { live_percent: 70 });
-    /// let part = view.batch_share(&"main".into(), topazyard_types::Tokens(1_000));
+    /// let mut snapshot = FleetSnapshot::default();
+    /// snapshot.weights.insert("main".into(), WeightRow { live_percent: 70 });
+    /// let part = snapshot.batch_share(&"main".into(), topazyard_types::Tokens(1_000));
     /// assert_eq!(part, topazyard_types::Tokens(300));
     /// ```
     pub fn batch_share(
@@ -269,10 +274,10 @@
     }
 }
 
-/// The routes of the spec in force, by host and path.
+/// The routes of the configuration in force, by host and path.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteTable {
-    /// For each host its routes, the longest prefix first.
+    /// The routes of each host, the longest prefix first.
     by_host: std::collections::BTreeMap<String, Vec<topazyard_spec::Route>>,
 }
 
@@ -284,7 +289,7 @@
         routes.insert(at, route);
     }
 
-    /// The route of a request: of its host, the one with the longest prefix that begins its path.
+    /// The route of a request: the one of its host with the longest matching path prefix.
     ///
     /// ```
     /// let table = topazyard_wire::state::RouteTable::default();
@@ -295,7 +300,7 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The route of that name.
+    /// The route with this name.
     pub fn named(&self, name: &topazyard_types::RouteName) -> Option<&topazyard_spec::Route> {
         self.iter().find(|route| route.name == *name)
     }
