--- a/libraries/topazyard-spec/src/settings/check.rs
+++ b/libraries/topazyard-spec/src/settings/check.rs
@@ -134,7 +134,7 @@
                 let from_file: crate::Settings = serde_json::from_str(&text).map_err(|error| {
                     SettingsError::Malformed { line: error.line(), reason: error.to_string(), file }
                 })?;
-                flags.over(from_file)
+                flags.merged_with(from_file)
             }
         };
         let fleet = FleetId(settings.fleet.ok_or(SettingsError::Missing("fleet"))?);
--- a/libraries/topazyard-spec/src/settings/raw.rs
+++ b/libraries/topazyard-spec/src/settings/raw.rs
@@ -41,11 +41,11 @@
     /// use topazyard_spec::Settings;
     /// let flags = Settings { fleet: Some(7), ..Settings::default() };
     /// let file = Settings { fleet: Some(1), zone: Some("north".into()), ..Settings::default() };
-    /// let both = flags.over(file);
-    /// assert_eq!((both.fleet, both.zone.as_deref()), (Some(7), Some("north")));
+    /// let merged = flags.merged_with(file);
+    /// assert_eq!((merged.fleet, merged.zone.as_deref()), (Some(7), Some("north")));
     /// ```
     #[must_use]
-    pub fn over(self, file: Self) -> Self {
+    pub fn merged_with(self, file: Self) -> Self {
         Self {
             settings: self.settings,
             fleet: self.fleet.or(file.fleet),
