--- a/libraries/topazyard-wire/src/message/batch.rs
+++ b/libraries/topazyard-wire/src/message/batch.rs
@@ -182,7 +182,7 @@
     /// Leases items of these models and routes.
     Lease {
         /// The maximum number of items.
-        most: u32,
+        max_items: u32,
         /// The models that have a ready engine.
         models: Vec<ModelName>,
         /// The batch routes that have a ready engine.
