--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -1,41 +1,44 @@
-//! How a relay ends in order after SIGTERM: a state machine without input or output.
+//! Graceful shutdown of a relay after SIGTERM, as a state machine without I/O.
 //!
-//! A relay that ends goes through the stages of its listeners. First clients are told to leave, while
-//! some are still sent here. Then idle connections are closed, and a request is taken only if its
-//! deadline comes before the moment up to which the relay serves: whatever is taken has the time that
-//! it may need. Once nothing is under way, or at that moment, nothing is taken any more, and what is
-//! still without a response gets its final answer at once. A part of the grace is left to send it.
+//! A draining relay leads its listeners through stages. First clients are told to disconnect, while
+//! new ones may still be routed here. Then idle connections are closed, and a request is admitted
+//! only if its deadline lies before the end of serving, so that it has all the time it may need.
+//! Once no work is under way, or when serving ends, nothing more is admitted, and every request
+//! without a response gets its final response at once. The last part of the grace period is left
+//! for sending these.
 
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::http::inward::Stage;
 
-/// So long runs of routed items may go on. After it another relay is to go on with them.
+/// Sixteenths of the grace period after which runs of routed items are aborted, so that another
+/// relay resumes them.
 const RUNS_SIXTEENTHS: u64 = 12;
-/// Within so long calls on batches are answered, and what is left is for the answer's own way.
+/// Sixteenths of the grace period within which batch calls are answered; the rest is left for
+/// delivering the responses.
 const CALLS_SIXTEENTHS: u64 = 13;
-/// A relay serves for so many sixteenths of its grace.
+/// Sixteenths of the grace period during which the relay serves requests.
 const SERVES_SIXTEENTHS: u64 = 14;
-/// It has ended by itself after so many sixteenths, before it is killed.
+/// Sixteenths of the grace period after which the process exits by itself, before it is killed.
 const ENDS_SIXTEENTHS: u64 = 15;
 
-/// The times of a drain, counted from SIGTERM.
+/// The phases of a drain, as offsets from SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// For how long clients may still be sent here.
+    /// How long clients may still be routed to this relay.
     pub still_sent: DurationMs,
-    /// For how long runs of routed items go on.
+    /// How long runs of routed items may continue.
     pub runs: DurationMs,
-    /// Within how long calls on batches are answered.
+    /// Within which time batch calls are answered.
     pub calls: DurationMs,
-    /// For how long the relay serves.
+    /// How long the relay serves requests.
     pub serves: DurationMs,
-    /// When the process ends, whatever is under way.
+    /// When the process exits, whatever is under way.
     pub ends: DurationMs,
 }
 
 impl DrainTimes {
-    /// The times of a relay that is killed after `grace`, and to which clients may still be sent for
-    /// `still_sent`.
+    /// The phases for a relay that is killed after `grace` and to which clients may still be routed
+    /// for `deregistration_delay`.
     ///
     /// ```
     /// use topazyard_relay::drain::DrainTimes;
@@ -58,7 +61,7 @@
     }
 }
 
-/// When a relay that drains does what.
+/// A drain in progress: its start and its phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draining {
     begun: MonotonicMs,
@@ -66,44 +69,44 @@
 }
 
 impl Draining {
-    /// A drain that begins now.
+    /// Starts a drain now.
     pub fn begin(times: DrainTimes, now: MonotonicMs) -> Self {
         Self { begun: now, times }
     }
 
-    /// How long it has lasted.
+    /// The time since the drain started.
     pub fn lasted(&self, now: MonotonicMs) -> DurationMs {
         now.since(self.begun)
     }
 
-    /// When runs of routed items that are left are broken off, so that their shards hear in time how
-    /// far they came.
+    /// When the remaining runs of routed items are aborted, so that their shards learn their
+    /// progress in time.
     pub fn breaks_off_runs_at(&self) -> MonotonicMs {
         self.begun.plus(self.times.runs)
     }
 
-    /// Until when calls on batches are answered.
+    /// The time by which batch calls are answered.
     pub fn answers_calls_until(&self) -> MonotonicMs {
         self.begun.plus(self.times.calls)
     }
 
-    /// Up to when the relay serves.
+    /// The end of serving requests.
     pub fn serves_until(&self) -> MonotonicMs {
         self.begun.plus(self.times.serves)
     }
 
-    /// When the process ends, whatever is under way.
+    /// When the process exits, whatever is under way.
     pub fn ends_at(&self) -> MonotonicMs {
         self.begun.plus(self.times.ends)
     }
 
-    /// Up to when clients are still sent here.
+    /// Until when clients may still be routed to this relay.
     pub fn still_sent_until(&self) -> MonotonicMs {
         self.begun.plus(self.times.still_sent)
     }
 
-    /// For how long nothing needs to be looked at: until the next moment at which the stage may change
-    /// by itself, and no longer than `longest`. None where the process should have ended.
+    /// The delay until the next check: until the stage may next change by time alone, at most
+    /// `longest`. Zero where the process should have exited.
     ///
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
@@ -119,13 +122,13 @@
         next.map_or(DurationMs(0), |moment| moment.since(now).min(longest))
     }
 
-    /// Whether a request with this deadline may be taken: while clients are still sent here each is,
-    /// later only one that is surely over before the relay is.
+    /// Whether a request with this deadline may be admitted: any request while clients are still
+    /// routed here, later only one that ends before the relay stops serving.
     pub fn may_take(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
         now < self.still_sent_until() || deadline <= self.serves_until()
     }
 
-    /// The stage to be in, where so much is under way.
+    /// The stage at this time, given whether any work is under way.
     ///
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -1,76 +1,78 @@
-//! Admission: the estimate is made before; here the deadline is checked, then the budget.
+//! Admission of prompts on model routes. The cost is estimated beforehand; here the deadline is
+//! checked, then the budget.
 
-use super::{EngineUse, Out, Prompt, PromptId, RelayMachine, RelayReturn};
+use super::{EngineUse, Outputs, Prompt, PromptId, RelayMachine, RelayReturn};
 use topazyard_spec::LaneKind;
 use topazyard_types::{CallId, DurationMs, EngineName, HoldId, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::counter::HoldKind;
 
-/// The longest a prompt waits for room, however late its deadline.
-const LONGEST_WAIT: DurationMs = DurationMs(2_000);
-/// How often the first in the queue asks again when nothing was let go here meanwhile.
-const ASK_EVERY: DurationMs = DurationMs(40);
-/// How many askings may be on their way.
-const MOST_ASKINGS: usize = 64;
+/// Maximum time that a prompt waits for budget, however late its deadline.
+const MAX_QUEUE_WAIT: DurationMs = DurationMs(2_000);
+/// Interval at which the first prompt in the queue requests its hold again while no hold is
+/// released here.
+const HOLD_RETRY_INTERVAL: DurationMs = DurationMs(40);
+/// Maximum number of hold requests in flight.
+const MAX_HOLD_REQUESTS: usize = 64;
 
 #[derive(Debug)]
 enum Stage {
-    /// It waits for its turn to ask.
+    /// Waiting for its turn to request a hold.
     Waiting,
-    /// It asked the counter.
-    Asking(HoldId),
-    /// It holds its cost and was given an engine.
+    /// Has requested a hold from the counter.
+    Requesting(HoldId),
+    /// Holds its cost and was given an engine.
     Held(HoldId, EngineName),
 }
 
 #[derive(Debug)]
-struct Entry {
+struct PromptEntry {
     call: CallId,
     prompt: Prompt,
     pool: PoolName,
-    /// What its lane says it is worth.
+    /// The value of its model route.
     value: u32,
-    since: MonotonicMs,
+    queued_at: MonotonicMs,
     stage: Stage,
 }
 
-/// How long things take, learned from what went through.
+/// Estimates of queueing and service times from past requests.
 #[derive(Debug, Default)]
-struct Pace {
-    /// Moving average of the time between grants while prompts wait.
-    grant_every_ms: f64,
-    last_grant: Option<MonotonicMs>,
-    /// The best service time seen lately.
+struct PaceEstimate {
+    /// Moving average of the interval between grants while prompts wait.
+    grant_interval_ms: f64,
+    last_grant_at: Option<MonotonicMs>,
+    /// The best recent service time.
     best_service_ms: f64,
 }
 
-/// A pool's queue.
+/// The queue of one pool.
 #[derive(Debug, Default)]
 struct Queue {
     order: std::collections::VecDeque<PromptId>,
-    pace: Pace,
-    /// Whether the first was refused, so that those behind it wait.
-    full_since: Option<MonotonicMs>,
-    last_ask: Option<MonotonicMs>,
+    pace: PaceEstimate,
+    /// Set while the first prompt is refused, so that those behind it wait.
+    exhausted_since: Option<MonotonicMs>,
+    last_request_at: Option<MonotonicMs>,
 }
 
 /// Prompts that wait or hold.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    entries: std::collections::BTreeMap<PromptId, Entry>,
-    queuees: std::collections::BTreeMap<PoolName, Queue>,
-    askings: std::collections::BTreeMap<HoldId, PromptId>,
+    entries: std::collections::BTreeMap<PromptId, PromptEntry>,
+    queues: std::collections::BTreeMap<PoolName, Queue>,
+    requested_holds: std::collections::BTreeMap<HoldId, PromptId>,
 }
 
 impl Admission {
     pub(crate) fn waiting(&self) -> usize {
-        self.queuees.values().map(|queue| queue.order.len()).sum()
+        self.queues.values().map(|queue| queue.order.len()).sum()
     }
 
-    /// How many in an queue go before one that is worth so much: those worth as much or more.
+    /// How many prompts in a queue precede one of this value: those of the same or a higher value.
     fn ahead_of(&self, pool: &PoolName, value: u32) -> usize {
-        let Some(queue) = self.queuees.get(pool) else { return 0 };
+        let Some(queue) = self.queues.get(pool) else { return 0 };
         let is_less = |id: &PromptId| self.entries.get(id).is_none_or(|e| e.value < value);
         queue.order.iter().position(is_less).unwrap_or(queue.order.len())
     }
@@ -79,20 +81,20 @@
         self.entries.values().filter(|e| matches!(e.stage, Stage::Held(..))).count()
     }
 
-    pub(crate) fn asks(&self, id: HoldId) -> bool {
-        self.askings.contains_key(&id)
+    pub(crate) fn has_requested(&self, id: HoldId) -> bool {
+        self.requested_holds.contains_key(&id)
     }
 }
 
-impl Pace {
-    fn granted(&mut self, now: MonotonicMs, others_wait: bool) {
-        if let Some(last) = self.last_grant
-            && others_wait
+impl PaceEstimate {
+    fn granted(&mut self, now: MonotonicMs, others_waiting: bool) {
+        if let Some(last) = self.last_grant_at
+            && others_waiting
         {
             let gap_ms = now.since(last).0 as f64;
-            self.grant_every_ms += (gap_ms - self.grant_every_ms) / 16.0;
+            self.grant_interval_ms += (gap_ms - self.grant_interval_ms) / 16.0;
         }
-        self.last_grant = Some(now);
+        self.last_grant_at = Some(now);
     }
 
     fn served(&mut self, took: DurationMs) {
@@ -104,176 +106,184 @@
         }
     }
 
-    /// How long one that comes behind so many would wait.
+    /// The expected wait behind this many prompts.
     fn wait_behind(&self, ahead: usize) -> DurationMs {
-        DurationMs((self.grant_every_ms * ahead as f64) as u64)
+        DurationMs((self.grant_interval_ms * ahead as f64) as u64)
     }
 }
 
 impl RelayMachine {
-    /// Lets a prompt in, makes it wait briefly, or refuses it at once.
-    pub(super) fn allow(&mut self, call: CallId, prompt: Prompt, now: MonotonicMs, out: &mut Out) {
-        match self.judge(&prompt, now) {
-            Err(error) => self.refuse(call, error, out),
+    /// Admits a prompt, makes it wait briefly, or refuses it at once.
+    pub(super) fn admit_prompt(
+        &mut self,
+        call: CallId,
+        prompt: Prompt,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
+        match self.check_prompt(&prompt, now) {
+            Err(error) => self.refuse(call, error, effects),
             Ok((pool, value)) => {
                 let id = prompt.id;
                 let ahead = self.admission.ahead_of(&pool, value);
-                let queue = self.admission.queuees.entry(pool.clone()).or_default();
+                let queue = self.admission.queues.entry(pool.clone()).or_default();
                 queue.order.insert(ahead, id);
-                let entry = Entry {
+                let entry = PromptEntry {
                     call,
                     prompt,
                     pool: pool.clone(),
                     value,
-                    since: now,
+                    queued_at: now,
                     stage: Stage::Waiting,
                 };
                 self.admission.entries.insert(id, entry);
-                self.displace_last(&pool, out);
-                self.ask_in_order(&pool, now, out);
+                self.evict_last(&pool, effects);
+                self.request_holds(&pool, now, effects);
             }
         }
     }
 
-    fn refuse(&mut self, call: CallId, error: ApiError, out: &mut Out) {
-        self.count_refusal(error.code);
-        out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+    fn refuse(&mut self, call: CallId, error: ApiError, effects: &mut Outputs) {
+        self.record_refusal(error.code);
+        effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
     }
 
     /// The checks that need no other process, cheapest first.
-    fn judge(&self, prompt: &Prompt, now: MonotonicMs) -> Result<(PoolName, u32), ApiError> {
+    fn check_prompt(&self, prompt: &Prompt, now: MonotonicMs) -> Result<(PoolName, u32), ApiError> {
         let refused = |code| Err(ApiError::not_run(code));
-        if let Some(code) = self.unready(now).filter(|code| *code != Code::NoEngine) {
+        if let Some(code) = self.not_ready_reason(now).filter(|code| *code != Code::NoEngine) {
             return refused(code);
         }
-        let Some((_, bundle)) = &self.view.spec else { return refused(Code::StaleFeed) };
-        let Some(lane) = bundle.lane_for(LaneKind::Live, &prompt.model) else {
+        let Some((_, configuration)) = &self.fleet.spec else { return refused(Code::StaleFeed) };
+        let Some(model_route) = configuration.lane_for(LaneKind::Live, &prompt.model) else {
             return Err(ApiError::not_run(Code::NoLane).at("Topazyard-Model"));
         };
-        let queue = self.admission.queuees.get(&lane.pool);
-        let ahead = self.admission.ahead_of(&lane.pool, lane.value);
+        let queue = self.admission.queues.get(&model_route.pool);
+        let ahead = self.admission.ahead_of(&model_route.pool, model_route.value);
         let wait = queue.map_or(DurationMs(0), |queue| queue.pace.wait_behind(ahead));
         let best_ms = queue.map_or(0.0, |queue| queue.pace.best_service_ms);
         let left = prompt.deadline.since(now);
         if left.0 <= wait.0 + best_ms as u64 {
             return refused(Code::Deadline);
         }
-        if !self.has_engine(&lane.pool, &prompt.model) {
+        if !self.has_engine(&model_route.pool, &prompt.model) {
             return refused(Code::NoEngine);
         }
-        if ahead > self.depth(&lane.pool) {
+        if ahead > self.queue_depth(&model_route.pool) {
             return refused(Code::QueueFull);
         }
-        if wait >= LONGEST_WAIT {
+        if wait >= MAX_QUEUE_WAIT {
             return refused(Code::Budget);
         }
-        Ok((lane.pool.clone(), lane.value))
+        Ok((model_route.pool.clone(), model_route.value))
     }
 
-    fn depth(&self, pool: &PoolName) -> usize {
-        let bundle = self.view.spec.as_ref().map(|(_, bundle)| bundle);
-        let pool = bundle.and_then(|bundle| bundle.pool(pool));
+    fn queue_depth(&self, pool: &PoolName) -> usize {
+        let configuration = self.fleet.spec.as_ref().map(|(_, configuration)| configuration);
+        let pool = configuration.and_then(|configuration| configuration.pool(pool));
         pool.map_or(0, |pool| pool.queue_depth as usize)
     }
 
-    /// Gives up on the last of an queue that has become too long: it is worth least, and of those
-    /// it came last.
-    fn displace_last(&mut self, pool: &PoolName, out: &mut Out) {
-        let depth = self.depth(pool);
-        let Some(queue) = self.admission.queuees.get_mut(pool) else { return };
-        // One more than the queue holds is the one that asks.
-        if queue.order.len() <= depth + 1 {
+    /// Refuses the last prompt of a queue that has grown too long: the latest of those with the
+    /// lowest value.
+    fn evict_last(&mut self, pool: &PoolName, effects: &mut Outputs) {
+        let queue_depth = self.queue_depth(pool);
+        let Some(queue) = self.admission.queues.get_mut(pool) else { return };
+        // The prompt that requests a hold is not counted against the queue's depth.
+        if queue.order.len() <= queue_depth + 1 {
             return;
         }
         if let Some(last) = queue.order.pop_back() {
-            self.forget_asking(last, out);
-            self.give_up(last, Code::QueueFull, out);
+            self.cancel_hold_request(last, effects);
+            self.refuse_waiting(last, Code::QueueFull, effects);
         }
     }
 
-    /// Lets go of what a waiting prompt has asked for.
-    fn forget_asking(&mut self, id: PromptId, out: &mut Out) {
-        if let Some(Entry { stage: Stage::Asking(hold), .. }) = self.admission.entries.get(&id) {
+    /// Cancels the hold request of a waiting prompt.
+    fn cancel_hold_request(&mut self, id: PromptId, effects: &mut Outputs) {
+        if let Some(PromptEntry { stage: Stage::Requesting(hold), .. }) =
+            self.admission.entries.get(&id)
+        {
             let hold = *hold;
-            self.admission.askings.remove(&hold);
-            self.release_hold(hold, out);
+            self.admission.requested_holds.remove(&hold);
+            self.release_hold(hold, effects);
         }
     }
 
-    /// Lets those at the front ask the counter. When it has refused the first, only the first
-    /// asks again, so that nobody goes before it.
-    fn ask_in_order(&mut self, pool: &PoolName, now: MonotonicMs, out: &mut Out) {
-        let Some(queue) = self.admission.queuees.get_mut(pool) else { return };
-        let most = match (queue.full_since, queue.last_ask) {
-            (None, _) => MOST_ASKINGS,
-            (Some(_), Some(last)) if now.since(last) < ASK_EVERY => return,
+    /// Lets the first prompts request holds. After the counter refused the first, only the first
+    /// requests again, so that none overtakes it.
+    fn request_holds(&mut self, pool: &PoolName, now: MonotonicMs, effects: &mut Outputs) {
+        let Some(queue) = self.admission.queues.get_mut(pool) else { return };
+        let max_requests = match (queue.exhausted_since, queue.last_request_at) {
+            (None, _) => MAX_HOLD_REQUESTS,
+            (Some(_), Some(last)) if now.since(last) < HOLD_RETRY_INTERVAL => return,
             (Some(_), _) => 1,
         };
-        let first: Vec<PromptId> = queue.order.iter().take(most).copied().collect();
-        queue.last_ask = Some(now);
+        let first: Vec<PromptId> = queue.order.iter().take(max_requests).copied().collect();
+        queue.last_request_at = Some(now);
         for id in first {
             let Some(entry) = self.admission.entries.get(&id) else { continue };
             if !matches!(entry.stage, Stage::Waiting) {
                 continue;
             }
             let cost = entry.prompt.cost;
-            let hold = self.ask_hold(pool.clone(), cost, HoldKind::Live, now, out);
-            self.admission.askings.insert(hold, id);
+            let hold = self.request_hold(pool.clone(), cost, HoldKind::Live, now, effects);
+            self.admission.requested_holds.insert(hold, id);
             if let Some(entry) = self.admission.entries.get_mut(&id) {
-                entry.stage = Stage::Asking(hold);
+                entry.stage = Stage::Requesting(hold);
             }
         }
     }
 
-    pub(super) fn prompt_hold_settled(
+    pub(super) fn prompt_hold_decided(
         &mut self,
         hold: HoldId,
         granted: bool,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let Some(id) = self.admission.askings.remove(&hold) else { return };
+        let Some(id) = self.admission.requested_holds.remove(&hold) else { return };
         let Some(entry) = self.admission.entries.get_mut(&id) else { return };
         let pool = entry.pool.clone();
         if !granted {
             entry.stage = Stage::Waiting;
-            if let Some(queue) = self.admission.queuees.get_mut(&pool) {
-                queue.full_since.get_or_insert(now);
+            if let Some(queue) = self.admission.queues.get_mut(&pool) {
+                queue.exhausted_since.get_or_insert(now);
             }
             return;
         }
         let (model, prefix, cost) =
             (entry.prompt.model.clone(), entry.prompt.prefix.clone(), entry.prompt.cost);
         let target = self.choose_engine(&pool, &model, &prefix, None);
-        if let Some(queue) = self.admission.queuees.get_mut(&pool) {
+        if let Some(queue) = self.admission.queues.get_mut(&pool) {
             queue.order.retain(|other| *other != id);
-            queue.full_since = None;
-            let others_wait = !queue.order.is_empty();
-            queue.pace.granted(now, others_wait);
+            queue.exhausted_since = None;
+            let others_waiting = !queue.order.is_empty();
+            queue.pace.granted(now, others_waiting);
         }
         let Some(target) = target else {
-            self.release_hold(hold, out);
-            self.give_up(id, Code::NoEngine, out);
+            self.release_hold(hold, effects);
+            self.refuse_waiting(id, Code::NoEngine, effects);
             return;
         };
-        self.engines.begin(&target.engine, cost, &prefix);
+        self.engines.hold_started(&target.engine, cost, &prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
             self.allowed += 1;
-            out.push(Effect::Return { call: entry.call, value: RelayReturn::Held(target) });
+            effects.push(Effect::Return { call: entry.call, value: RelayReturn::Held(target) });
         }
-        self.ask_in_order(&pool, now, out);
+        self.request_holds(&pool, now, effects);
     }
 
-    /// Gives a waiting prompt its final answer.
-    fn give_up(&mut self, id: PromptId, code: Code, out: &mut Out) {
+    /// Refuses a waiting prompt as its final response.
+    fn refuse_waiting(&mut self, id: PromptId, code: Code, effects: &mut Outputs) {
         if let Some(entry) = self.admission.entries.remove(&id) {
-            self.refuse(entry.call, ApiError::not_run(code), out);
+            self.refuse(entry.call, ApiError::not_run(code), effects);
         }
     }
 
     /// The last check before a prompt is sent.
-    pub(super) fn dispatch(
+    pub(super) fn dispatch_prompt(
         &self,
         id: PromptId,
         engine: &EngineName,
@@ -284,14 +294,14 @@
         if !matches!(&entry.stage, Stage::Held(_, held) if held == engine) {
             return refused(Code::NoEngine);
         }
-        match self.go_until(engine, &entry.pool, &entry.prompt.model, LaneKind::Live, now) {
+        match self.send_deadline(engine, &entry.pool, &entry.prompt.model, LaneKind::Live, now) {
             Err(code) => refused(code),
             Ok(until) => RelayReturn::GoUntil(until.min(entry.prompt.deadline)),
         }
     }
 
-    /// Until when work of a lane may be sent to an engine, by all that is known now.
-    pub(super) fn go_until(
+    /// Until when work on a model route may be sent to an engine, given the current state.
+    pub(super) fn send_deadline(
         &self,
         engine: &EngineName,
         pool: &PoolName,
@@ -299,31 +309,31 @@
         kind: LaneKind,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
-        if let Some(code) = self.cut_off(now) {
+        if let Some(code) = self.lost_dependency(now) {
             return Err(code);
         }
-        let Some((_, bundle)) = &self.view.spec else { return Err(Code::StaleFeed) };
-        // The spec may have changed while it waited.
-        if bundle.lane_for(kind, model).is_none_or(|lane| lane.pool != *pool) {
+        let Some((_, configuration)) = &self.fleet.spec else { return Err(Code::StaleFeed) };
+        // The configuration may have changed while it waited.
+        if configuration.lane_for(kind, model).is_none_or(|model_route| model_route.pool != *pool) {
             return Err(Code::NoLane);
         }
         let fits = |e: &topazyard_spec::Engine| {
             e.pool == *pool && e.models.contains(model) && self.engines.is_usable(e)
         };
-        if !self.view.engines.get(engine).is_some_and(fits) {
+        if !self.fleet.engines.get(engine).is_some_and(fits) {
             return Err(Code::NoEngine);
         }
-        Ok(self.fresh_until().min(self.counting.leased_until()))
+        Ok(self.fresh_until().min(self.counter.lease_end()))
     }
 
-    /// Names another engine for a prompt that one failed.
-    pub(super) fn another(
+    /// Selects another engine for a prompt that this one failed.
+    pub(super) fn retry_prompt(
         &mut self,
         id: PromptId,
         failed: &EngineName,
         now: MonotonicMs,
     ) -> RelayReturn {
-        self.engines.failed(failed, now);
+        self.engines.record_failure(failed, now);
         let Some(entry) = self.admission.entries.get(&id) else {
             return RelayReturn::Refused(ApiError::not_run(Code::Deadline));
         };
@@ -336,85 +346,89 @@
         let Some(target) = target else {
             return RelayReturn::Refused(ApiError::not_run(Code::NoEngine));
         };
-        self.engines.end(&held, prompt.cost);
-        self.engines.begin(&target.engine, prompt.cost, &prompt.prefix);
+        self.engines.hold_ended(&held, prompt.cost);
+        self.engines.hold_started(&target.engine, prompt.cost, &prompt.prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
         }
         RelayReturn::Held(target)
     }
 
-    /// A prompt ended, whichever way: its hold is let go, once.
+    /// Ends a prompt, whatever the outcome, and releases its hold exactly once.
     pub(super) fn end_prompt(
         &mut self,
         id: PromptId,
         engine_use: EngineUse,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        self.forget_asking(id, out);
+        self.cancel_hold_request(id, effects);
         let Some(entry) = self.admission.entries.remove(&id) else { return };
         let pool = entry.pool;
-        if let Some(queue) = self.admission.queuees.get_mut(&pool) {
+        if let Some(queue) = self.admission.queues.get_mut(&pool) {
             queue.order.retain(|other| *other != id);
             if let EngineUse::Whole(took) = engine_use {
                 queue.pace.served(took);
             }
-            // There is room again: the first may ask at once.
-            queue.last_ask = None;
+            // Budget was released: the first prompt may request a hold at once.
+            queue.last_request_at = None;
         }
         if let Stage::Held(hold, engine) = entry.stage {
-            self.release_hold(hold, out);
-            self.engines.end(&engine, entry.prompt.cost);
+            self.release_hold(hold, effects);
+            self.engines.hold_ended(&engine, entry.prompt.cost);
             if engine_use == EngineUse::Failed {
-                self.engines.failed(&engine, now);
+                self.engines.record_failure(&engine, now);
             }
         }
-        self.ask_in_order(&pool, now, out);
+        self.request_holds(&pool, now, effects);
     }
 
-    pub(super) fn admission_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.give_up_late(now, out);
-        let pools: Vec<PoolName> = self.admission.queuees.keys().cloned().collect();
+    pub(super) fn admission_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        self.refuse_expired(now, effects);
+        let pools: Vec<PoolName> = self.admission.queues.keys().cloned().collect();
         for pool in pools {
-            if let Some(queue) = self.admission.queuees.get_mut(&pool)
+            if let Some(queue) = self.admission.queues.get_mut(&pool)
                 && queue.order.is_empty()
             {
-                queue.full_since = None;
+                queue.exhausted_since = None;
             }
-            self.ask_in_order(&pool, now, out);
+            self.request_holds(&pool, now, effects);
         }
     }
 
-    /// Gives up on those whose deadline can't be met any more, or that waited long enough. Their
-    /// final answer goes out at once.
-    fn give_up_late(&mut self, now: MonotonicMs, out: &mut Out) {
-        let cut_off = self.cut_off(now);
-        let mut late = Vec::new();
-        for queue in self.admission.queuees.values() {
+    /// Refuses prompts whose deadline can no longer be met or that waited too long. Their final
+    /// response is sent at once.
+    fn refuse_expired(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let lost_dependency = self.lost_dependency(now);
+        let mut expired = Vec::new();
+        for queue in self.admission.queues.values() {
             let best_ms = queue.pace.best_service_ms as u64;
             for id in &queue.order {
                 let Some(entry) = self.admission.entries.get(id) else { continue };
-                let code = if let Some(code) = cut_off {
+                let code = if let Some(code) = lost_dependency {
                     Some(code)
                 } else if entry.prompt.deadline.since(now).0 <= best_ms {
                     Some(Code::Deadline)
-                } else if now.since(entry.since) >= LONGEST_WAIT {
-                    Some(if queue.full_since.is_some() { Code::Budget } else { Code::NoCounter })
+                } else if now.since(entry.queued_at) >= MAX_QUEUE_WAIT {
+                    Some(if queue.exhausted_since.is_some() {
+                        Code::Budget
+                    } else {
+                        Code::NoCounter
+                    })
                 } else {
                     None
                 };
-                late.extend(code.map(|code| (*id, code)));
+                expired.extend(code.map(|code| (*id, code)));
             }
         }
-        for (id, code) in late {
+        for (id, code) in expired {
             let Some(entry) = self.admission.entries.get(&id) else { continue };
             let pool = entry.pool.clone();
-            self.forget_asking(id, out);
-            if let Some(queue) = self.admission.queuees.get_mut(&pool) {
+            self.cancel_hold_request(id, effects);
+            if let Some(queue) = self.admission.queues.get_mut(&pool) {
                 queue.order.retain(|other| *other != id);
             }
-            self.give_up(id, code, out);
+            self.refuse_waiting(id, code, effects);
         }
     }
 }
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -1,7 +1,7 @@
-//! Calls on batches: sent to the shard's primary until it returns or time is up. All of them may
-//! be sent twice without harm.
+//! Batch calls: sent to the shard's primary until a response arrives or the call times out. All of
+//! them are idempotent and may be sent twice.
 
-use super::{FRESH_FOR, Out, RelayMachine, RelayReturn};
+use super::{FRESH_FOR, Outputs, RelayMachine, RelayReturn};
 use topazyard_spec::LaneKind;
 use topazyard_types::{
     BatchId, CallId, DurationMs, Epoch, Life, MonotonicMs, RouteName, ShardId, Tokens,
@@ -13,77 +13,79 @@
     BatchBody, BatchCall, BatchMessage, BatchReturn, Item, RoutedBatch, Terms,
 };
 
-/// After how long without a return a call is sent again.
-const SEND_AGAIN: DurationMs = DurationMs(400);
-/// After how long a call is sent again to one that said it can't.
-const SEND_AGAIN_SOON: DurationMs = DurationMs(100);
-/// After how long without a return a read is asked aside, of every node that holds a copy.
-const ASK_ASIDE: DurationMs = DurationMs(150);
-/// How old the last word of control may be when a batch is handed to its shard. With the second
-/// that it may wait there it stays below the 2 s within which a spec is in force.
-const SUBMIT_FRESH_FOR: DurationMs = DurationMs(800);
-/// How long a client's call may take.
+/// Time without a response after which a call is sent again.
+const RETRY_INTERVAL: DurationMs = DurationMs(400);
+/// Time after which a call is sent again when its receiver could not handle it.
+const REFUSED_RETRY_INTERVAL: DurationMs = DurationMs(100);
+/// Time without a response after which a read is also sent to every node that holds a replica.
+const REPLICA_READ_DELAY: DurationMs = DurationMs(150);
+/// Maximum age of the last update from control when a batch is submitted to its shard. Together
+/// with the second that it may wait there, it stays below the 2 s within which a configuration
+/// applies.
+const MAX_SUBMIT_FEED_AGE: DurationMs = DurationMs(800);
+/// Timeout of a client's call.
 pub const CLIENT_LIMIT: DurationMs = DurationMs(5_000);
-/// Clients' calls that may be under way.
-const MOST_CALLS: usize = 2_048;
+/// Maximum number of calls under way.
+const MAX_PENDING_CALLS: usize = 2_048;
 
-/// Who waits for a return.
+/// Who waits for the response.
 #[derive(Debug)]
 pub(super) enum Caller {
     /// A client's call.
     Client(CallId),
-    /// This relay, which leases items of a shard since that moment.
+    /// This relay, which requested a lease of a shard's items at this time.
     Leasing(MonotonicMs),
-    /// This relay, for a run's start.
+    /// This relay, for the start of a run.
     Starting(topazyard_wire::message::batch::Run),
-    /// This relay, for a run's end.
+    /// This relay, for the end of a run.
     Finishing,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCall {
     caller: Caller,
     shard: ShardId,
     call: BatchCall,
-    until: MonotonicMs,
+    deadline: MonotonicMs,
     send_at: MonotonicMs,
-    aside_at: MonotonicMs,
-    /// The epoch of the primary that it was sent to last, which may have acted on it without saying so.
-    sent_in: Option<Epoch>,
+    replica_read_at: MonotonicMs,
+    /// The epoch of the primary that the call was last sent to; it may have applied the call
+    /// without responding.
+    last_sent_epoch: Option<Epoch>,
 }
 
-/// Calls under way.
+/// Batch calls under way.
 #[derive(Debug, Default)]
 pub(crate) struct BatchCalls {
-    pending: std::collections::BTreeMap<u64, Pending>,
-    last: u64,
+    pending: std::collections::BTreeMap<u64, PendingCall>,
+    last_id: u64,
 }
 
 impl BatchCalls {
     pub(super) fn new(life: Life) -> Self {
-        Self { last: life.first_number(), ..Self::default() }
+        Self { last_id: life.first_number(), ..Self::default() }
     }
 
     /// Clients' calls under way.
-    pub(super) fn of_clients(&self) -> usize {
-        let of_client = |pending: &&Pending| matches!(pending.caller, Caller::Client(_));
-        self.pending.values().filter(of_client).count()
+    pub(super) fn client_calls(&self) -> usize {
+        let is_client = |pending: &&PendingCall| matches!(pending.caller, Caller::Client(_));
+        self.pending.values().filter(is_client).count()
     }
 
-    /// Answers clients' calls under way by then.
-    pub(super) fn end_calls_by(&mut self, until: MonotonicMs) {
-        self.pending.values_mut().for_each(|pending| pending.end_by(until));
+    /// Limits the deadlines of the clients' calls under way to this time.
+    pub(super) fn limit_client_deadlines(&mut self, deadline: MonotonicMs) {
+        self.pending.values_mut().for_each(|pending| pending.limit_deadline(deadline));
     }
 
-    /// Askings for items whose answers have not come.
-    pub(super) fn leases_asked(&self) -> usize {
-        let is_lease = |pending: &&Pending| matches!(pending.caller, Caller::Leasing(_));
+    /// Lease requests without a response.
+    pub(super) fn pending_leases(&self) -> usize {
+        let is_lease = |pending: &&PendingCall| matches!(pending.caller, Caller::Leasing(_));
         self.pending.values().filter(is_lease).count()
     }
 
-    /// Ends of runs that their shards have not noted.
-    pub(super) fn ends_to_tell(&self) -> usize {
-        let is_end = |pending: &&Pending| matches!(pending.caller, Caller::Finishing);
+    /// Ends of runs that their shards have not acknowledged.
+    pub(super) fn unreported_ends(&self) -> usize {
+        let is_end = |pending: &&PendingCall| matches!(pending.caller, Caller::Finishing);
         self.pending.values().filter(is_end).count()
     }
 }
@@ -123,75 +125,76 @@
     )
 }
 
-impl Pending {
-    /// Whether a refusal of that epoch's primary holds for good: a later one may take the call yet.
-    fn is_refused_by(&self, epoch: Epoch) -> bool {
-        self.sent_in.is_none_or(|sent_in| epoch >= sent_in)
+impl PendingCall {
+    /// Whether a refusal by the primary of that epoch is final: a later primary may still accept
+    /// the call.
+    fn is_refusal_final(&self, epoch: Epoch) -> bool {
+        self.last_sent_epoch.is_none_or(|last_sent_epoch| epoch >= last_sent_epoch)
     }
 
-    /// Has a client's call end by then.
-    fn end_by(&mut self, until: MonotonicMs) {
+    /// Limits the deadline of a client's call to this time.
+    fn limit_deadline(&mut self, deadline: MonotonicMs) {
         if matches!(self.caller, Caller::Client(_)) {
-            self.until = self.until.min(until);
+            self.deadline = self.deadline.min(deadline);
         }
     }
 }
 
 impl RelayMachine {
-    /// Takes a client's call on a batch.
+    /// Accepts a client's batch call.
     pub(super) fn call_batch(
         &mut self,
         call: CallId,
         request: BatchCall,
         limit: DurationMs,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        // A read reaches no engine and is confirmed by the shard itself, so that it may go on
-        // while control changes hands, and until this process ends.
+        // A read reaches no engine and is confirmed by the shard itself, so it is allowed while
+        // control changes hands and until this process exits.
         let changes = !is_read(&request);
         let refused = if changes && self.draining.is_some() {
             Some(Code::Draining)
         } else if changes && now >= self.fresh_until() {
             Some(Code::StaleFeed)
-        } else if self.batches.pending.len() >= MOST_CALLS {
+        } else if self.batches.pending.len() >= MAX_PENDING_CALLS {
             Some(Code::NoShard)
         } else {
             None
         };
         match (refused, shard_of(&request)) {
             (None, Some(shard)) => {
-                self.send_batch(Caller::Client(call), shard, request, limit, now, out);
+                self.send_batch(Caller::Client(call), shard, request, limit, now, effects);
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
             }
         }
     }
 
-    /// Checks a batch against the spec in force and hands it in.
+    /// Checks a batch against the configuration in force and submits it.
     pub(super) fn submit_batch(
         &mut self,
         call: CallId,
         batch: BatchId,
         items: Vec<Item>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
         match self.check_items(&items) {
             Ok(ceiling) => {
                 let request = BatchCall::Submit { batch, items, ceiling };
-                self.call_batch(call, request, CLIENT_LIMIT, now, out);
+                self.call_batch(call, request, CLIENT_LIMIT, now, effects);
             }
             Err(error) => {
-                self.count_refusal(error.code);
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                self.record_refusal(error.code);
+                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
             }
         }
     }
 
-    /// Hands in a batch of routed items.
+    /// Submits a batch of routed items.
     pub(super) fn submit_routed(
         &mut self,
         call: CallId,
@@ -199,14 +202,14 @@
         items: Vec<Item>,
         limit: DurationMs,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let route = self.view.routes.named(route);
-        let of_batches = route.and_then(|route| Some((route, route.batch.as_ref()?)));
-        let Some((route, terms)) = of_batches else {
-            self.count_refusal(Code::NoLane);
+        let route = self.fleet.routes.named(route);
+        let batch_route = route.and_then(|route| Some((route, route.batch.as_ref()?)));
+        let Some((route, terms)) = batch_route else {
+            self.record_refusal(Code::NoLane);
             let error = ApiError::not_run(Code::NoLane);
-            return out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+            return effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
         };
         let routed = RoutedBatch {
             batch,
@@ -220,15 +223,15 @@
             items,
             ceiling: terms.ceiling_tokens,
         };
-        self.call_batch(call, BatchCall::SubmitRouted(routed), limit, now, out);
+        self.call_batch(call, BatchCall::SubmitRouted(routed), limit, now, effects);
     }
 
-    /// Checks items against the spec in force, and gives its ceiling on waiting work.
+    /// Checks items against the configuration in force and returns its ceiling on waiting work.
     fn check_items(&self, items: &[Item]) -> Result<Tokens, ApiError> {
-        let Some((_, bundle)) = &self.view.spec else {
+        let Some((_, configuration)) = &self.fleet.spec else {
             return Err(ApiError::not_run(Code::StaleFeed));
         };
-        let limits = &bundle.batches;
+        let limits = &configuration.batches;
         if items.is_empty() || items.len() > limits.max_items as usize {
             return Err(ApiError::not_run(Code::Malformed).at("items"));
         }
@@ -237,7 +240,7 @@
                 let error = ApiError::not_run(Code::BodyTooLarge);
                 return Err(error.at(format!("items[{index}].body")));
             }
-            if bundle.lane_for(LaneKind::Batch, &item.model).is_none() {
+            if configuration.lane_for(LaneKind::Batch, &item.model).is_none() {
                 return Err(ApiError::not_run(Code::NoLane).at(format!("items[{index}].model")));
             }
         }
@@ -251,121 +254,138 @@
         call: BatchCall,
         limit: DurationMs,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        self.batches.last += 1;
-        let id = self.batches.last;
-        let until = now.plus(limit);
-        let aside_at = now.plus(ASK_ASIDE);
-        let mut pending =
-            Pending { caller, shard, call, until, send_at: now, aside_at, sent_in: None };
+        self.batches.last_id += 1;
+        let id = self.batches.last_id;
+        let deadline = now.plus(limit);
+        let replica_read_at = now.plus(REPLICA_READ_DELAY);
+        let mut pending = PendingCall {
+            caller,
+            shard,
+            call,
+            deadline,
+            send_at: now,
+            replica_read_at,
+            last_sent_epoch: None,
+        };
         if let Some(draining) = &self.draining {
-            pending.end_by(draining.answers_calls_until());
+            pending.limit_deadline(draining.answers_calls_until());
         }
         self.batches.pending.insert(id, pending);
-        self.send_pending(id, now, out);
+        self.send_pending(id, now, effects);
     }
 
-    fn send_pending(&mut self, id: u64, now: MonotonicMs, out: &mut Out) {
-        let ceiling =
-            self.view.spec.as_ref().map(|(_, bundle)| bundle.batches.waiting_ceiling_tokens);
-        let heard_lately = now.plus(FRESH_FOR) < self.fresh_until().plus(SUBMIT_FRESH_FOR);
+    fn send_pending(&mut self, id: u64, now: MonotonicMs, effects: &mut Outputs) {
+        let ceiling = self
+            .fleet
+            .spec
+            .as_ref()
+            .map(|(_, configuration)| configuration.batches.waiting_ceiling_tokens);
+        let is_feed_recent = now.plus(FRESH_FOR) < self.fresh_until().plus(MAX_SUBMIT_FEED_AGE);
         let Some(pending) = self.batches.pending.get_mut(&id) else { return };
-        if let BatchCall::Submit { ceiling: told, .. } = &mut pending.call {
-            // It waits at the shard only as long as it is told the ceiling in force.
-            match ceiling.filter(|_| heard_lately) {
-                Some(ceiling) => *told = ceiling,
-                None => return pending.send_at = now.plus(SEND_AGAIN_SOON),
+        if let BatchCall::Submit { ceiling: current_ceiling, .. } = &mut pending.call {
+            // Sent only with the ceiling in force: the shard lets the batch wait on that ceiling.
+            match ceiling.filter(|_| is_feed_recent) {
+                Some(ceiling) => *current_ceiling = ceiling,
+                None => return pending.send_at = now.plus(REFUSED_RETRY_INTERVAL),
             }
         }
         if let BatchCall::SubmitRouted(routed) = &mut pending.call {
-            // The ceiling in force comes with each sending; a route that went takes nothing more.
-            match self.view.routes.named(&routed.terms.route).and_then(|r| r.batch.as_ref()) {
-                Some(terms) if heard_lately => routed.ceiling = terms.ceiling_tokens,
-                _ => return pending.send_at = now.plus(SEND_AGAIN_SOON),
+            // Each attempt carries the ceiling in force; a route that was removed accepts no more
+            // batches.
+            match self.fleet.routes.named(&routed.terms.route).and_then(|r| r.batch.as_ref()) {
+                Some(terms) if is_feed_recent => routed.ceiling = terms.ceiling_tokens,
+                _ => return pending.send_at = now.plus(REFUSED_RETRY_INTERVAL),
             }
         }
         let Some(pending) = self.batches.pending.get(&id) else { return };
-        let Some((to, epoch)) = self.leads(pending.shard) else { return };
+        let Some((to, epoch)) = self.primary_of(pending.shard) else { return };
         let body = BatchBody::Call(pending.call.clone());
         let shard = pending.shard;
         let message = BatchMessage { shard, epoch, call: id, body };
-        out.push(Effect::Send { to, message: Message::Batch(message) });
+        effects.push(Effect::Send { to, message: Message::Batch(message) });
         if let Some(pending) = self.batches.pending.get_mut(&id) {
-            pending.send_at = now.plus(SEND_AGAIN);
-            pending.sent_in = Some(epoch);
+            pending.send_at = now.plus(RETRY_INTERVAL);
+            pending.last_sent_epoch = Some(epoch);
         }
     }
 
-    /// Tells a shard something that needs no return.
-    pub(super) fn tell_batch(&self, shard: ShardId, call: BatchCall, out: &mut Out) {
-        if let Some((to, epoch)) = self.leads(shard) {
+    /// Sends a shard a call that needs no response.
+    pub(super) fn notify_shard(&self, shard: ShardId, call: BatchCall, effects: &mut Outputs) {
+        if let Some((to, epoch)) = self.primary_of(shard) {
             let body = BatchBody::Call(call);
             let message = BatchMessage { shard, epoch, call: 0, body };
-            out.push(Effect::Send { to, message: Message::Batch(message) });
+            effects.push(Effect::Send { to, message: Message::Batch(message) });
         }
     }
 
-    pub(super) fn receive_batch(&mut self, message: BatchMessage, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn receive_batch(
+        &mut self,
+        message: BatchMessage,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
         let BatchBody::Return(value) = message.body else { return };
         if value == BatchReturn::NotHere {
-            self.tell_record(message.shard, message.epoch, out);
+            self.forward_record(message.shard, message.epoch, effects);
             if let Some(pending) = self.batches.pending.get_mut(&message.call) {
-                pending.send_at = now.plus(SEND_AGAIN_SOON);
+                pending.send_at = now.plus(REFUSED_RETRY_INTERVAL);
             }
             return;
         }
         if value == BatchReturn::CeilingReached
             && let Some(pending) = self.batches.pending.get(&message.call)
-            && !pending.is_refused_by(message.epoch)
+            && !pending.is_refusal_final(message.epoch)
         {
             return;
         }
         let Some(pending) = self.batches.pending.remove(&message.call) else { return };
         match (pending.caller, value) {
             (Caller::Client(call), BatchReturn::CeilingReached) => {
-                self.count_refusal(Code::BatchCeiling);
+                self.record_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
             }
             (Caller::Client(call), value) => {
-                out.push(Effect::Return { call, value: RelayReturn::Batch(value) });
+                effects.push(Effect::Return { call, value: RelayReturn::Batch(value) });
             }
-            (Caller::Leasing(since), BatchReturn::Leased(items)) => {
-                self.items_leased(pending.shard, items, since, now, out);
+            (Caller::Leasing(requested_at), BatchReturn::Leased(items)) => {
+                self.items_leased(pending.shard, items, requested_at, now, effects);
             }
-            (Caller::Leasing(_), _) => self.items.lease_over(pending.shard),
-            (Caller::Starting(run), BatchReturn::MayStart(may)) => {
-                self.start_settled(run, may, now, out);
+            (Caller::Leasing(_), _) => self.items.lease_request_ended(pending.shard),
+            (Caller::Starting(run), BatchReturn::MayStart(may_start)) => {
+                self.start_decided(run, may_start, now, effects);
             }
-            (Caller::Starting(run), _) => self.start_settled(run, false, now, out),
+            (Caller::Starting(run), _) => self.start_decided(run, false, now, effects),
             (Caller::Finishing, _) => {}
         }
     }
 
-    pub(super) fn batches_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        let late: Vec<u64> = self
+    pub(super) fn batches_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let expired: Vec<u64> = self
             .batches
             .pending
             .iter()
-            .filter(|(_, pending)| now >= pending.until)
+            .filter(|(_, pending)| now >= pending.deadline)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             let Some(pending) = self.batches.pending.remove(&id) else { continue };
             match pending.caller {
                 Caller::Client(call) => {
-                    let unknown = changes_state(&pending.call) && pending.sent_in.is_some();
-                    let error = if unknown {
+                    let outcome_unknown =
+                        changes_state(&pending.call) && pending.last_sent_epoch.is_some();
+                    let error = if outcome_unknown {
                         ApiError::may_have_run(Code::OutcomeUnknown)
                     } else {
                         ApiError::not_run(Code::NoShard)
                     };
-                    self.count_refusal(error.code);
-                    out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                    self.record_refusal(error.code);
+                    effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
                 }
-                Caller::Leasing(_) => self.items.lease_over(pending.shard),
-                Caller::Starting(run) => self.start_settled(run, false, now, out),
+                Caller::Leasing(_) => self.items.lease_request_ended(pending.shard),
+                Caller::Starting(run) => self.start_decided(run, false, now, effects),
                 Caller::Finishing => {}
             }
         }
@@ -377,24 +397,24 @@
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            self.send_pending(id, now, out);
+            self.send_pending(id, now, effects);
         }
-        self.ask_aside(now, out);
+        self.send_replica_reads(now, effects);
     }
 
-    /// Asks reads that a primary leaves unanswered of every node that holds a copy.
-    fn ask_aside(&mut self, now: MonotonicMs, out: &mut Out) {
+    /// Sends reads that the primary left unanswered to every node that holds a replica.
+    fn send_replica_reads(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         for (id, pending) in &mut self.batches.pending {
-            let Some(record) = self.view.shards.get(&pending.shard) else { continue };
-            if now < pending.aside_at || !is_read(&pending.call) {
+            let Some(record) = self.fleet.shards.get(&pending.shard) else { continue };
+            if now < pending.replica_read_at || !is_read(&pending.call) {
                 continue;
             }
-            pending.aside_at = now.plus(ASK_ASIDE);
-            for holder in record.members() {
+            pending.replica_read_at = now.plus(REPLICA_READ_DELAY);
+            for member in record.members() {
                 let body = BatchBody::Aside(pending.call.clone());
                 let (shard, epoch) = (pending.shard, record.epoch);
                 let message = BatchMessage { shard, epoch, call: *id, body };
-                out.push(Effect::Send { to: holder.address, message: Message::Batch(message) });
+                effects.push(Effect::Send { to: member.address, message: Message::Batch(message) });
             }
         }
     }
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -1,9 +1,10 @@
-//! Batch items run here: leased, held, recorded as started on both, and only then sent.
+//! Batch items run by this relay. An item is leased from its shard, gets a budget hold, has its
+//! start recorded on both replicas, and only then is sent.
 
 use super::batches::Caller;
-use super::choice::Wanted;
+use super::engine_selection::EngineQuery;
 use super::requests::PromptPart;
-use super::{EngineUse, Out, RelayMachine, RelayReturn, RelayTask, Target};
+use super::{EngineUse, Outputs, RelayMachine, RelayReturn, RelayTask, Target};
 use topazyard_spec::{LaneKind, RouteKind};
 use topazyard_types::{
     BatchId, Digest, DurationMs, EngineName, HoldId, ModelName, MonotonicMs, PoolName, RouteName,
@@ -15,85 +16,85 @@
 use topazyard_wire::message::counter::{HoldKind, MOST_ENGINES};
 use topazyard_wire::state::FleetView;
 
-/// How long an item may run. A dark engine holds its budget no longer than this.
+/// Timeout of an item's run. An unresponsive engine holds its budget no longer than this.
 pub const RUN_LIMIT: DurationMs = DurationMs(30_000);
-/// Items that one relay leases or runs at a time where nobody says what engines can take.
-const MOST_ITEMS: usize = 24;
-/// Of what engines can take at once, the part that one relay may lease: one in so many.
-const SLOTS_SHARE: usize = 4;
-/// Items asked for in one lease, at the least.
-const MOST_LEASED: usize = 4;
-/// How often a shard that has items is asked for more.
-const LEASE_EVERY: DurationMs = DurationMs(120);
-/// How often one that had none is asked, at the least.
-const LEASE_IDLE: DurationMs = DurationMs(600);
-/// How long nothing more is leased after the counter had no room for an item.
-const NO_ROOM_PAUSE: DurationMs = DurationMs(200);
-/// How often the share of waiting items is halved at most, while the counter has no room.
-const HALVE_EVERY: DurationMs = DurationMs(100);
-/// Items that ask at once when another was given room.
-const ASK_AFTER_GRANT: usize = 2;
-/// How long a leased item may wait here for room; below the shard's lease.
-const WAIT_FOR_ROOM: DurationMs = DurationMs(1_200);
-/// How often the counter is asked again after it had no room, for the item that waits longest.
-const ASK_EVERY: DurationMs = DurationMs(50);
-/// How long after a start was asked for the item may still be sent. With the asking's own way it
-/// stays below the 3 s within which an ended batch starts nothing more.
-const START_WITHIN: DurationMs = DurationMs(2_000);
-/// How often shards hear which runs go on.
-const SPEAK_EVERY: DurationMs = DurationMs(500);
-/// How long the end of a run is told again until it is noted.
-const FINISH_LIMIT: DurationMs = DurationMs(60_000);
+/// Items that one relay may lease or run at a time where the engines' slots are unknown or few.
+const DEFAULT_MAX_ITEMS: usize = 24;
+/// One relay may lease up to one in this many of the engines' slots.
+const SLOTS_DIVISOR: usize = 4;
+/// Minimum of the limit on items requested in one lease.
+const MIN_LEASE_ITEMS: usize = 4;
+/// Interval between lease requests to a shard that has items.
+const LEASE_INTERVAL: DurationMs = DurationMs(120);
+/// Maximum interval between lease requests to a shard without items.
+const MAX_IDLE_LEASE_INTERVAL: DurationMs = DurationMs(600);
+/// How long no more items are leased after the counter refused an item's hold.
+const LEASE_BACKOFF: DurationMs = DurationMs(200);
+/// Minimum interval between two halvings of the window for waiting items.
+const WINDOW_HALVING_INTERVAL: DurationMs = DurationMs(100);
+/// Waiting items that request a hold when another item's hold was granted.
+const HOLD_REQUESTS_PER_GRANT: usize = 2;
+/// How long a leased item may wait here for a hold; below the shard's lease.
+const MAX_HOLD_WAIT: DurationMs = DurationMs(1_200);
+/// Interval at which the item that has waited longest requests its hold again after a refusal.
+const HOLD_RETRY_INTERVAL: DurationMs = DurationMs(50);
+/// How long after its start was requested an item may still be sent. Together with the request's
+/// own travel time, it stays below the 3 s within which an ended batch starts nothing more.
+const START_TIMEOUT: DurationMs = DurationMs(2_000);
+/// Interval between reports to shards of the runs in progress.
+const RUN_REPORT_INTERVAL: DurationMs = DurationMs(500);
+/// How long the end of a run is reported again until it is acknowledged.
+const FINISH_TIMEOUT: DurationMs = DurationMs(60_000);
 
 #[derive(Debug)]
 enum Stage {
-    /// Leased; it waits for room.
+    /// Leased; waiting for budget.
     Leased,
-    /// It asked the counter.
-    Asking(HoldId),
-    /// It holds its cost and asked whether it may start.
+    /// Has requested a hold from the counter.
+    Requesting(HoldId),
+    /// Holds its cost and has requested, at this time, that its start be recorded.
     Starting(HoldId, MonotonicMs),
-    /// Its start is recorded, or it needs no record; it is being sent, or runs. It may be sent
-    /// before that moment.
+    /// Its start is recorded, or needs no record; it is being sent or runs. It may be sent until
+    /// this time.
     Started(HoldId, MonotonicMs, EngineName),
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ItemEntry {
     item: Item,
     pool: PoolName,
-    since: MonotonicMs,
+    leased_at: MonotonicMs,
     stage: Stage,
-    routed: Option<Routed>,
+    routed: Option<RoutedItem>,
 }
 
-/// What a leased item has that a route directs.
+/// The data of a leased item whose run is governed by a route.
 #[derive(Debug)]
-struct Routed {
+struct RoutedItem {
     route: RouteName,
     host: String,
     progress: Progress,
     /// Until when it may be sent under its lease.
-    start_until: MonotonicMs,
+    start_deadline: MonotonicMs,
 }
 
 /// Items leased or running here.
 #[derive(Debug, Default)]
 pub(crate) struct Items {
-    entries: std::collections::BTreeMap<Run, Entry>,
-    /// Shards that were asked for items, and for how many.
-    leasing: std::collections::BTreeMap<ShardId, usize>,
-    /// How many items may wait for room here. It follows what the counter grants: one more with each
-    /// grant, half when it has no room, so that items wait at their shards and not here.
+    entries: std::collections::BTreeMap<Run, ItemEntry>,
+    /// Shards with a pending lease request, and for how many items.
+    pending_leases: std::collections::BTreeMap<ShardId, usize>,
+    /// How many items may wait for a hold here. It follows the counter's decisions: one more with
+    /// each grant, half after a refusal, so that items wait at their shards and not here.
     window: Option<usize>,
-    halved_at: MonotonicMs,
-    /// When the counter may be asked again, after it had no room.
-    ask_again_at: Option<MonotonicMs>,
-    next_lease: std::collections::BTreeMap<ShardId, (MonotonicMs, DurationMs)>,
-    no_room_until: MonotonicMs,
-    last_spoken: MonotonicMs,
-    /// When a draining relay breaks off the runs that are left.
-    break_off_at: Option<MonotonicMs>,
+    window_halved_at: MonotonicMs,
+    /// When the counter may be asked again after a refusal.
+    next_hold_request_at: Option<MonotonicMs>,
+    next_lease_request: std::collections::BTreeMap<ShardId, (MonotonicMs, DurationMs)>,
+    lease_backoff_until: MonotonicMs,
+    last_run_report_at: MonotonicMs,
+    /// When a draining relay aborts the remaining runs.
+    abort_runs_at: Option<MonotonicMs>,
 }
 
 impl Items {
@@ -101,77 +102,78 @@
         self.entries.len()
     }
 
-    pub(super) fn lease_over(&mut self, shard: ShardId) {
-        self.leasing.remove(&shard);
+    pub(super) fn lease_request_ended(&mut self, shard: ShardId) {
+        self.pending_leases.remove(&shard);
     }
 
-    /// Items that wait for room.
+    /// Items that wait for a hold.
     fn waiting(&self) -> usize {
-        let waits = |entry: &&Entry| matches!(entry.stage, Stage::Leased | Stage::Asking(_));
-        self.entries.values().filter(waits).count()
+        let is_waiting =
+            |entry: &&ItemEntry| matches!(entry.stage, Stage::Leased | Stage::Requesting(_));
+        self.entries.values().filter(is_waiting).count()
     }
 
-    fn refused(&mut self, now: MonotonicMs) {
-        self.no_room_until = now.plus(NO_ROOM_PAUSE);
-        self.ask_again_at = Some(now.plus(ASK_EVERY));
+    fn hold_refused(&mut self, now: MonotonicMs) {
+        self.lease_backoff_until = now.plus(LEASE_BACKOFF);
+        self.next_hold_request_at = Some(now.plus(HOLD_RETRY_INTERVAL));
         if let Some(window) = &mut self.window
-            && now.since(self.halved_at) >= HALVE_EVERY
+            && now.since(self.window_halved_at) >= WINDOW_HALVING_INTERVAL
         {
             *window = (*window / 2).max(1);
-            self.halved_at = now;
+            self.window_halved_at = now;
         }
     }
 
-    fn granted(&mut self) {
-        self.ask_again_at = None;
+    fn hold_granted(&mut self) {
+        self.next_hold_request_at = None;
         if let Some(window) = &mut self.window {
             *window += 1;
         }
     }
 
-    /// The item that has waited longest without asking.
+    /// The item that has waited longest without a pending hold request.
     fn longest_waiting(&self) -> Option<Run> {
-        let waits = self.entries.iter().filter(|(_, e)| matches!(e.stage, Stage::Leased));
-        waits.min_by_key(|(_, entry)| entry.since).map(|(run, _)| *run)
+        let waiting = self.entries.iter().filter(|(_, e)| matches!(e.stage, Stage::Leased));
+        waiting.min_by_key(|(_, entry)| entry.leased_at).map(|(run, _)| *run)
     }
 }
 
 impl RelayMachine {
-    pub(super) fn items_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.speak_of_runs(now, out);
-        self.ask_for_waiting(now, out);
-        self.lease_more(now, out);
-        self.break_off_late_runs(now, out);
+    pub(super) fn items_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        self.report_runs(now, effects);
+        self.retry_waiting_items(now, effects);
+        self.lease_more(now, effects);
+        self.abort_late_runs(now, effects);
     }
 
-    /// Takes no more items, and hands back what has not started.
+    /// Leases no more items, and hands back those that have not started.
     pub(super) fn drain_items(
         &mut self,
-        break_off_at: MonotonicMs,
+        abort_runs_at: MonotonicMs,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        self.items.break_off_at = Some(break_off_at);
-        self.hand_back_waiting(now, out);
+        self.items.abort_runs_at = Some(abort_runs_at);
+        self.hand_back_waiting(now, effects);
     }
 
-    /// Breaks off routed items that would outlast a draining relay: another goes on with them from
-    /// the last event that came. An item of a batch can't be taken up so, and keeps its time.
-    fn break_off_late_runs(&mut self, now: MonotonicMs, out: &mut Out) {
-        let is_routed = |entry: &Entry| entry.routed.is_some();
-        if self.items.break_off_at.is_some_and(|at| now >= at)
+    /// Aborts routed items that would outlast a draining relay: another relay resumes them after
+    /// the last event received. Other items cannot be resumed and keep their time.
+    fn abort_late_runs(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let is_routed = |entry: &ItemEntry| entry.routed.is_some();
+        if self.items.abort_runs_at.is_some_and(|at| now >= at)
             && self.items.entries.values().any(is_routed)
         {
-            out.push(Effect::Start(RelayTask::BreakOffRuns));
-            self.items.break_off_at = None;
+            effects.push(Effect::Start(RelayTask::BreakOffRuns));
+            self.items.abort_runs_at = None;
         }
     }
 
-    fn speak_of_runs(&mut self, now: MonotonicMs, out: &mut Out) {
-        if now.since(self.items.last_spoken) < SPEAK_EVERY {
+    fn report_runs(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        if now.since(self.items.last_run_report_at) < RUN_REPORT_INTERVAL {
             return;
         }
-        self.items.last_spoken = now;
+        self.items.last_run_report_at = now;
         let mut by_shard: std::collections::BTreeMap<ShardId, Vec<Run>> = Default::default();
         for (run, entry) in &self.items.entries {
             if matches!(entry.stage, Stage::Started(..)) {
@@ -179,38 +181,38 @@
             }
         }
         for (shard, runs) in by_shard {
-            self.tell_batch(shard, BatchCall::Running(runs), out);
+            self.notify_shard(shard, BatchCall::Running(runs), effects);
         }
     }
 
-    fn lease_more(&mut self, now: MonotonicMs, out: &mut Out) {
-        if now < self.items.no_room_until || self.unready(now).is_some() {
+    fn lease_more(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        if now < self.items.lease_backoff_until || self.not_ready_reason(now).is_some() {
             return;
         }
         let models = self.models_with_engine();
         let routes = self.batch_routes_with_engine();
-        let most_items = self.most_items();
-        let most = (most_items / SLOTS_SHARE).max(MOST_LEASED);
-        let window = self.items.window.get_or_insert(most);
-        *window = (*window).min(most);
+        let max_items = self.max_items();
+        let max_lease = (max_items / SLOTS_DIVISOR).max(MIN_LEASE_ITEMS);
+        let window = self.items.window.get_or_insert(max_lease);
+        *window = (*window).min(max_lease);
         let (window, waiting) = (*window, self.items.waiting());
         for shard in self.shards_with_work(&models, &routes) {
-            let under_way: usize = self.items.leasing.values().sum();
-            let room = most_items.saturating_sub(self.items.entries.len() + under_way);
-            let room = room.min(window.saturating_sub(waiting + under_way));
-            let next = self.items.next_lease.get(&shard);
-            if room == 0
-                || self.items.leasing.contains_key(&shard)
+            let requested: usize = self.items.pending_leases.values().sum();
+            let capacity = max_items.saturating_sub(self.items.entries.len() + requested);
+            let capacity = capacity.min(window.saturating_sub(waiting + requested));
+            let next = self.items.next_lease_request.get(&shard);
+            if capacity == 0
+                || self.items.pending_leases.contains_key(&shard)
                 || next.is_some_and(|(at, _)| now < *at)
             {
                 continue;
             }
-            self.items.leasing.insert(shard, most.min(room));
-            let most = most.min(room) as u32;
+            self.items.pending_leases.insert(shard, max_lease.min(capacity));
+            let most = max_lease.min(capacity) as u32;
             let models = models.clone();
             let call = BatchCall::Lease { most, models, routes: routes.clone() };
             let limit = DurationMs(1_000);
-            self.send_batch(Caller::Leasing(now), shard, call, limit, now, out);
+            self.send_batch(Caller::Leasing(now), shard, call, limit, now, effects);
         }
     }
 
@@ -218,142 +220,152 @@
         &mut self,
         shard: ShardId,
         leased: Vec<LeasedItem>,
-        asked: MonotonicMs,
+        requested_at: MonotonicMs,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        self.items.lease_over(shard);
-        // A shard without items is asked less and less often, so that a large idle fleet does
-        // not weigh on its storage nodes.
-        let before = self.items.next_lease.get(&shard).map_or(LEASE_EVERY, |(_, gap)| *gap);
-        let gap = match leased.is_empty() {
-            true => DurationMs((before.0 * 2).min(LEASE_IDLE.0)),
-            false => LEASE_EVERY,
+        self.items.lease_request_ended(shard);
+        // A shard without items is asked less and less often, so that a large idle fleet puts
+        // little load on its storage nodes.
+        let previous = self
+            .items
+            .next_lease_request
+            .get(&shard)
+            .map_or(LEASE_INTERVAL, |(_, interval)| *interval);
+        let interval = match leased.is_empty() {
+            true => DurationMs((previous.0 * 2).min(MAX_IDLE_LEASE_INTERVAL.0)),
+            false => LEASE_INTERVAL,
         };
-        self.items.next_lease.insert(shard, (now.plus(gap), gap));
+        self.items.next_lease_request.insert(shard, (now.plus(interval), interval));
         if self.draining.is_some() {
             for LeasedItem { run, .. } in leased {
-                self.finish_run(run, RunEnd::NotRun, now, out);
+                self.finish_run(run, RunEnd::NotRun, now, effects);
             }
             return;
         }
         for LeasedItem { run, item, route, progress } in leased {
             if let Some((route, host)) = route {
-                let start_until = asked.plus(self.start_within());
-                let routed = Routed { route, host, progress, start_until };
-                self.take_routed(run, item, routed, now, out);
+                let start_deadline = requested_at.plus(self.max_start_delay());
+                let routed = RoutedItem { route, host, progress, start_deadline };
+                self.accept_routed(run, item, routed, now, effects);
                 continue;
             }
-            let lane = self
-                .view
-                .spec
-                .as_ref()
-                .and_then(|(_, bundle)| bundle.lane_for(LaneKind::Batch, &item.model));
-            let Some(pool) = lane.map(|lane| lane.pool.clone()) else {
-                self.finish_run(run, RunEnd::NotRun, now, out);
+            let model_route = self.fleet.spec.as_ref().and_then(|(_, configuration)| {
+                configuration.lane_for(LaneKind::Batch, &item.model)
+            });
+            let Some(pool) = model_route.map(|model_route| model_route.pool.clone()) else {
+                self.finish_run(run, RunEnd::NotRun, now, effects);
                 continue;
             };
-            let entry = Entry { item, pool, since: now, stage: Stage::Leased, routed: None };
+            let entry =
+                ItemEntry { item, pool, leased_at: now, stage: Stage::Leased, routed: None };
             self.items.entries.insert(run, entry);
-            self.ask_for_item(run, now, out);
+            self.request_item_hold(run, now, effects);
         }
     }
 
-    fn ask_for_item(&mut self, run: Run, now: MonotonicMs, out: &mut Out) {
+    fn request_item_hold(&mut self, run: Run, now: MonotonicMs, effects: &mut Outputs) {
         let Some(entry) = self.items.entries.get(&run) else { return };
         let (pool, cost) = (entry.pool.clone(), entry.item.cost);
-        let declared = self.view.spec.as_ref().and_then(|(_, bundle)| bundle.pool(&pool));
-        // What a route directs is charged as its live requests are.
-        let cost = match declared.filter(|_| entry.routed.is_some()) {
-            Some(declared) => FleetView::charge(declared, cost),
+        let pool_configuration =
+            self.fleet.spec.as_ref().and_then(|(_, configuration)| configuration.pool(&pool));
+        // Routed items are charged like live requests on routes.
+        let cost = match pool_configuration.filter(|_| entry.routed.is_some()) {
+            Some(pool_configuration) => FleetView::charge(pool_configuration, cost),
             None => cost,
         };
         let engines = self.engines_for(run, now);
-        let hold = self.ask_hold_at(engines, pool, cost, HoldKind::Item, now, out);
-        self.set_stage(run, Stage::Asking(hold));
+        let hold = self.request_hold_at(engines, pool, cost, HoldKind::Item, now, effects);
+        self.set_stage(run, Stage::Requesting(hold));
     }
 
-    /// Engines that a routed item may run at, the best first.
+    /// Engines that a routed item may run at, best first.
     fn engines_for(&mut self, run: Run, now: MonotonicMs) -> Vec<EngineName> {
         let Some(entry) = self.items.entries.get(&run) else { return Vec::new() };
         if entry.routed.is_none() {
             return Vec::new();
         }
-        let prefix = prefix_of(&entry.item);
-        let wanted = Wanted { pool: &entry.pool, prefix: &prefix, not: &[] };
-        let ranked = self.engines.ranked(&self.view, &wanted, self.node, now);
+        let prefix = prompt_prefix(&entry.item);
+        let query = EngineQuery { pool: &entry.pool, prefix: &prefix, excluded: &[] };
+        let ranked = self.engines.ranked(&self.fleet, &query, self.node, now);
         ranked.into_iter().take(MOST_ENGINES).map(|engine| engine.name.clone()).collect()
     }
 
-    /// Lets items that wait ask, as many as that, those that wait longest first.
-    fn let_ask(&mut self, most: usize, now: MonotonicMs, out: &mut Out) {
-        for _ in 0..most {
+    /// Lets up to this many waiting items request holds, those that have waited longest first.
+    fn request_waiting_holds(
+        &mut self,
+        max_requests: usize,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
+        for _ in 0..max_requests {
             let Some(run) = self.items.longest_waiting() else { return };
-            self.ask_for_item(run, now, out);
+            self.request_item_hold(run, now, effects);
         }
     }
 
-    /// The one place where an item's stage changes.
+    /// The only place where an item's stage changes.
     fn set_stage(&mut self, run: Run, stage: Stage) {
         if let Some(entry) = self.items.entries.get_mut(&run) {
             entry.stage = stage;
         }
     }
 
-    /// Hands back what has not started: this relay takes nothing new, and others wait for its leases.
-    /// An item whose start is being recorded is handed back once that is settled.
-    fn hand_back_waiting(&mut self, now: MonotonicMs, out: &mut Out) {
-        let waits = |entry: &Entry| matches!(entry.stage, Stage::Leased | Stage::Asking(_));
-        let waiting = self.items.entries.iter().filter(|(_, entry)| waits(entry));
+    /// Hands back items that have not started: this relay accepts no new work, and others wait for
+    /// its leases. An item whose start is being recorded is handed back once the result is known.
+    fn hand_back_waiting(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let is_waiting =
+            |entry: &ItemEntry| matches!(entry.stage, Stage::Leased | Stage::Requesting(_));
+        let waiting = self.items.entries.iter().filter(|(_, entry)| is_waiting(entry));
         let waiting: Vec<Run> = waiting.map(|(run, _)| *run).collect();
         for run in waiting {
-            self.let_item_go(run, out);
-            self.finish_run(run, RunEnd::NotRun, now, out);
+            self.release_item(run, effects);
+            self.finish_run(run, RunEnd::NotRun, now, effects);
         }
     }
 
-    fn ask_for_waiting(&mut self, now: MonotonicMs, out: &mut Out) {
-        let waits_too_long = |entry: &Entry| {
-            let waits = matches!(entry.stage, Stage::Leased | Stage::Asking(_));
-            waits && now.since(entry.since) >= WAIT_FOR_ROOM
+    fn retry_waiting_items(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let is_overdue = |entry: &ItemEntry| {
+            let is_waiting = matches!(entry.stage, Stage::Leased | Stage::Requesting(_));
+            is_waiting && now.since(entry.leased_at) >= MAX_HOLD_WAIT
         };
-        let late = self.items.entries.iter().filter(|(_, entry)| waits_too_long(entry));
-        let late: Vec<Run> = late.map(|(run, _)| *run).collect();
-        for run in late {
-            self.let_item_go(run, out);
-            self.finish_run(run, RunEnd::NotRun, now, out);
+        let overdue = self.items.entries.iter().filter(|(_, entry)| is_overdue(entry));
+        let overdue: Vec<Run> = overdue.map(|(run, _)| *run).collect();
+        for run in overdue {
+            self.release_item(run, effects);
+            self.finish_run(run, RunEnd::NotRun, now, effects);
         }
-        if self.items.ask_again_at.is_some_and(|at| now >= at) {
-            self.items.ask_again_at = Some(now.plus(ASK_EVERY));
-            self.let_ask(1, now, out);
+        if self.items.next_hold_request_at.is_some_and(|at| now >= at) {
+            self.items.next_hold_request_at = Some(now.plus(HOLD_RETRY_INTERVAL));
+            self.request_waiting_holds(1, now, effects);
         }
     }
 
-    /// Forgets an item here and releases what it holds.
-    fn let_item_go(&mut self, run: Run, out: &mut Out) {
+    /// Removes an item here and releases its hold.
+    fn release_item(&mut self, run: Run, effects: &mut Outputs) {
         let Some(entry) = self.items.entries.remove(&run) else { return };
         match entry.stage {
             Stage::Leased => {}
-            Stage::Asking(hold) | Stage::Starting(hold, _) => self.release_hold(hold, out),
+            Stage::Requesting(hold) | Stage::Starting(hold, _) => self.release_hold(hold, effects),
             Stage::Started(hold, _, engine) => {
-                self.release_hold(hold, out);
+                self.release_hold(hold, effects);
                 if entry.routed.is_none() {
-                    self.engines.end(&engine, entry.item.cost);
+                    self.engines.hold_ended(&engine, entry.item.cost);
                 }
             }
         }
     }
 
-    /// The item that asked for a hold.
-    fn asked_by(&self, hold: HoldId) -> Option<Run> {
-        let asking = |entry: &Entry| matches!(entry.stage, Stage::Asking(asked) if asked == hold);
-        let found = self.items.entries.iter().find(|(_, entry)| asking(entry));
+    /// The item that requested a hold.
+    fn run_for_hold(&self, hold: HoldId) -> Option<Run> {
+        let is_requesting = |entry: &ItemEntry| matches!(entry.stage, Stage::Requesting(requested) if requested == hold);
+        let found = self.items.entries.iter().find(|(_, entry)| is_requesting(entry));
         found.map(|(run, _)| *run)
     }
 
     pub(super) fn item_hold_refused(&mut self, hold: HoldId, now: MonotonicMs) {
-        self.items.refused(now);
-        if let Some(run) = self.asked_by(hold) {
+        self.items.hold_refused(now);
+        if let Some(run) = self.run_for_hold(hold) {
             self.set_stage(run, Stage::Leased);
         }
     }
@@ -363,38 +375,52 @@
         hold: HoldId,
         engine: Option<&EngineName>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let Some(run) = self.asked_by(hold) else { return };
-        self.items.granted();
+        let Some(run) = self.run_for_hold(hold) else { return };
+        self.items.hold_granted();
         if self.items.entries.get(&run).is_some_and(|entry| entry.routed.is_some()) {
-            self.start_routed(run, hold, engine, now, out);
+            self.start_routed(run, hold, engine, now, effects);
         } else {
             self.set_stage(run, Stage::Starting(hold, now));
             let call = BatchCall::Start(run);
-            self.send_batch(Caller::Starting(run), run.batch.shard, call, START_WITHIN, now, out);
+            self.send_batch(
+                Caller::Starting(run),
+                run.batch.shard,
+                call,
+                START_TIMEOUT,
+                now,
+                effects,
+            );
         }
-        self.let_ask(ASK_AFTER_GRANT, now, out);
+        self.request_waiting_holds(HOLD_REQUESTS_PER_GRANT, now, effects);
     }
 
-    pub(super) fn start_settled(&mut self, run: Run, may: bool, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn start_decided(
+        &mut self,
+        run: Run,
+        may_start: bool,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
         let Some(entry) = self.items.entries.get(&run) else { return };
-        let Stage::Starting(hold, asked) = entry.stage else { return };
-        let may = may && now.since(asked) < START_WITHIN && self.draining.is_none();
+        let Stage::Starting(hold, requested_at) = entry.stage else { return };
+        let may_start =
+            may_start && now.since(requested_at) < START_TIMEOUT && self.draining.is_none();
         let (pool, model) = (entry.pool.clone(), entry.item.model.clone());
         let (body, cost) = (entry.item.body.clone(), entry.item.cost);
         let target = self.choose_engine(&pool, &model, &[], None);
-        match target.filter(|_| may) {
+        match target.filter(|_| may_start) {
             Some(target) => {
-                self.engines.begin(&target.engine, cost, &[]);
-                let until = asked.plus(START_WITHIN);
+                self.engines.hold_started(&target.engine, cost, &[]);
+                let until = requested_at.plus(START_TIMEOUT);
                 self.set_stage(run, Stage::Started(hold, until, target.engine.clone()));
-                out.push(Effect::Start(RelayTask::RunItem { run, target, body }));
+                effects.push(Effect::Start(RelayTask::RunItem { run, target, body }));
             }
             None => {
-                // If the start was recorded after all, this says that nothing ran.
-                self.let_item_go(run, out);
-                self.finish_run(run, RunEnd::NotRun, now, out);
+                // If the start was recorded after all, this reports that nothing ran.
+                self.release_item(run, effects);
+                self.finish_run(run, RunEnd::NotRun, now, effects);
             }
         }
     }
@@ -408,7 +434,7 @@
     ) -> RelayReturn {
         let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
         let Some(entry) = self.items.entries.get(&run) else { return refused(Code::NotFound) };
-        let Stage::Started(_, start_until, chosen) = &entry.stage else {
+        let Stage::Started(_, start_deadline, chosen) = &entry.stage else {
             return refused(Code::NotFound);
         };
         if chosen != engine {
@@ -418,60 +444,67 @@
             return refused(Code::Draining);
         }
         if let Some(routed) = &entry.routed {
-            return match self.routed_go_until(engine, &entry.pool, &routed.route, now) {
+            return match self.routed_send_deadline(engine, &entry.pool, &routed.route, now) {
                 Err(code) => refused(code),
-                Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
+                Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
             };
         }
-        match self.go_until(engine, &entry.pool, &entry.item.model, LaneKind::Batch, now) {
+        match self.send_deadline(engine, &entry.pool, &entry.item.model, LaneKind::Batch, now) {
             Err(code) => refused(code),
-            Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
+            Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
         }
     }
 
-    pub(super) fn item_ended(&mut self, run: Run, end: RunEnd, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn item_ended(
+        &mut self,
+        run: Run,
+        end: RunEnd,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
         if end == RunEnd::Unknown
-            && let Some(Entry { stage: Stage::Started(_, _, engine), .. }) =
+            && let Some(ItemEntry { stage: Stage::Started(_, _, engine), .. }) =
                 self.items.entries.get(&run)
         {
             let engine = engine.clone();
-            self.engines.failed(&engine, now);
+            self.engines.record_failure(&engine, now);
         }
-        self.let_item_go(run, out);
-        self.finish_run(run, end, now, out);
+        self.release_item(run, effects);
+        self.finish_run(run, end, now, effects);
     }
 
-    fn finish_run(&mut self, run: Run, end: RunEnd, now: MonotonicMs, out: &mut Out) {
+    fn finish_run(&mut self, run: Run, end: RunEnd, now: MonotonicMs, effects: &mut Outputs) {
         let call = BatchCall::Finish(run, end);
-        self.send_batch(Caller::Finishing, run.batch.shard, call, FINISH_LIMIT, now, out);
+        self.send_batch(Caller::Finishing, run.batch.shard, call, FINISH_TIMEOUT, now, effects);
     }
 }
 
-/// The parts of a routed item's prompt that others share.
-fn prefix_of(item: &Item) -> Vec<PromptPart> {
+/// The parts of a routed item's prompt that it shares with others.
+fn prompt_prefix(item: &Item) -> Vec<PromptPart> {
     let prefix = item.directions.as_ref().map_or(&[][..], |directions| &directions.prefix);
     let part =
         |(digest, tokens): &(Digest, Tokens)| PromptPart { digest: *digest, tokens: *tokens };
     prefix.iter().map(part).collect()
 }
 
-/// What a route directs: such items need no recorded start, for they may run again.
+/// Routed items need no recorded start, because they may run again.
 impl RelayMachine {
-    /// How long after a lease was asked for an item may be sent under it. It was given after it
-    /// was asked for, and nothing of a batch that ended since may start later than the bound.
-    fn start_within(&self) -> DurationMs {
+    /// How long after a lease was requested an item may be sent under it. The lease was granted
+    /// after the request, and nothing of a batch that has since ended may start later than the
+    /// bound.
+    fn max_start_delay(&self) -> DurationMs {
         DurationMs(self.bounds.cancel.0 * 2 / 3)
     }
 
     /// Batch routes that have an engine.
     fn batch_routes_with_engine(&self) -> Vec<RouteName> {
         let is_batch = |route: &&topazyard_spec::Route| route.kind == RouteKind::Batch;
-        let routes = self.view.routes.iter().filter(is_batch);
+        let routes = self.fleet.routes.iter().filter(is_batch);
         let ready = routes.filter(|route| {
             let pool_of = |engine: &topazyard_spec::Engine| {
                 route.pools.iter().any(|share| share.weight > 0 && share.pool == engine.pool)
             };
-            let mut engines = self.view.engines.values();
+            let mut engines = self.fleet.engines.values();
             engines.any(|engine| pool_of(engine) && self.engines.is_usable(engine))
         });
         ready.map(|route| route.name.clone()).collect()
@@ -479,115 +512,115 @@
 
     /// Shards that may have items of these models or routes.
     fn shards_with_work(&self, models: &[ModelName], routes: &[RouteName]) -> Vec<ShardId> {
-        let hosts = routes.iter().filter_map(|name| self.view.routes.named(name));
-        let of_hosts: std::collections::BTreeSet<ShardId> =
+        let hosts = routes.iter().filter_map(|name| self.fleet.routes.named(name));
+        let host_shards: std::collections::BTreeSet<ShardId> =
             hosts.map(|route| BatchId::of_host(&route.host, "").shard).collect();
-        let shards = self.view.shards.keys().copied().filter(|shard| !shard.is_counter());
-        shards.filter(|shard| !models.is_empty() || of_hosts.contains(shard)).collect()
+        let shards = self.fleet.shards.keys().copied().filter(|shard| !shard.is_counter());
+        shards.filter(|shard| !models.is_empty() || host_shards.contains(shard)).collect()
     }
 
     /// Items that this relay may lease or run at a time.
-    fn most_items(&self) -> usize {
-        let usable = self.view.engines.values().filter(|engine| self.engines.is_usable(engine));
+    fn max_items(&self) -> usize {
+        let usable = self.fleet.engines.values().filter(|engine| self.engines.is_usable(engine));
         let slots: usize = usable.map(|engine| engine.slots as usize).sum();
-        MOST_ITEMS.max(slots / SLOTS_SHARE)
+        DEFAULT_MAX_ITEMS.max(slots / SLOTS_DIVISOR)
     }
 
-    /// Takes a leased item that a route directs, if the route still does.
-    fn take_routed(
+    /// Accepts a leased routed item if its route still exists.
+    fn accept_routed(
         &mut self,
         run: Run,
         item: Item,
-        routed: Routed,
+        routed: RoutedItem,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let route = self.view.routes.named(&routed.route);
+        let route = self.fleet.routes.named(&routed.route);
         let Some(pool) = route.and_then(|route| super::routed_items::pool_of(route, run)) else {
-            return self.finish_run(run, RunEnd::NotRun, now, out);
+            return self.finish_run(run, RunEnd::NotRun, now, effects);
         };
         let stage = Stage::Leased;
-        let entry = Entry { item, pool, since: now, stage, routed: Some(routed) };
+        let entry = ItemEntry { item, pool, leased_at: now, stage, routed: Some(routed) };
         self.items.entries.insert(run, entry);
-        self.ask_for_item(run, now, out);
+        self.request_item_hold(run, now, effects);
     }
 
-    /// Starts a routed item that holds its cost, at the engine that came with it.
+    /// Starts a routed item that holds its cost, at the engine granted with the hold.
     fn start_routed(
         &mut self,
         run: Run,
         hold: HoldId,
         engine: Option<&EngineName>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
         let Some(entry) = self.items.entries.get(&run) else { return };
         let Some(routed) = &entry.routed else { return };
-        let prefix = prefix_of(&entry.item);
-        let listed = engine.and_then(|name| self.view.engines.get(name));
+        let prefix = prompt_prefix(&entry.item);
+        let listed = engine.and_then(|name| self.fleet.engines.get(name));
         let target = listed.map(|e| Target { engine: e.name.clone(), address: e.address });
-        let terms = self.view.routes.named(&routed.route);
-        let directed = (target, entry.item.directions.clone(), terms);
-        let (Some(target), Some(directions), Some(route)) = directed else {
-            self.set_stage(run, Stage::Asking(hold));
-            self.let_item_go(run, out);
-            return self.finish_run(run, RunEnd::NotRun, now, out);
+        let terms = self.fleet.routes.named(&routed.route);
+        let run_parts = (target, entry.item.directions.clone(), terms);
+        let (Some(target), Some(directions), Some(route)) = run_parts else {
+            self.set_stage(run, Stage::Requesting(hold));
+            self.release_item(run, effects);
+            return self.finish_run(run, RunEnd::NotRun, now, effects);
         };
-        let started = Stage::Started(hold, routed.start_until, target.engine.clone());
+        let started = Stage::Started(hold, routed.start_deadline, target.engine.clone());
         let routed_run = super::routed_items::RoutedRun {
             run,
             directions,
             host: routed.host.clone(),
             body: entry.item.body.clone(),
             progress: routed.progress.clone(),
-            silence: super::routed_items::silence_of(route),
+            silence: super::routed_items::silence_timeout(route),
             target,
         };
-        self.engines.open(&routed_run.target.engine, &prefix, now);
+        self.engines.request_started(&routed_run.target.engine, &prefix, now);
         self.set_stage(run, started);
-        out.push(Effect::Start(RelayTask::RunRouted(Box::new(routed_run))));
+        effects.push(Effect::Start(RelayTask::RunRouted(Box::new(routed_run))));
     }
 
     /// Until when a routed item may be sent to an engine.
-    fn routed_go_until(
+    fn routed_send_deadline(
         &self,
         engine: &EngineName,
         pool: &PoolName,
         route: &RouteName,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
-        if now >= self.routes_until() || self.view.spec.is_none() {
+        if now >= self.routes_fresh_until() || self.fleet.spec.is_none() {
             return Err(Code::StaleFeed);
         }
-        // Its hold was granted within the time that a run may start in; no lease is needed beside it.
-        // The routes may have changed while it waited.
-        let route = self.view.routes.named(route).ok_or(Code::NoLane)?;
+        // Its hold was granted within the time in which a run may start, so no counter lease is
+        // needed. The routes may have changed while it waited.
+        let route = self.fleet.routes.named(route).ok_or(Code::NoLane)?;
         if !route.pools.iter().any(|share| share.pool == *pool && share.weight > 0) {
             return Err(Code::NoLane);
         }
-        let engine = self.view.engines.get(engine);
+        let engine = self.fleet.engines.get(engine);
         if !engine.is_some_and(|e| e.pool == *pool && self.engines.is_usable(e)) {
             return Err(Code::NoEngine);
         }
-        Ok(self.routes_until())
+        Ok(self.routes_fresh_until())
     }
 
-    /// A routed item's run ended.
+    /// Ends the run of a routed item.
     pub(super) fn routed_ended(
         &mut self,
         run: Run,
         end: RunEnd,
         engine_use: EngineUse,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        if let Some(Entry { stage: Stage::Started(_, _, engine), .. }) =
+        if let Some(ItemEntry { stage: Stage::Started(_, _, engine), .. }) =
             self.items.entries.get(&run)
         {
             let engine = engine.clone();
-            self.engines.close(&engine, engine_use, now);
+            self.engines.request_ended(&engine, engine_use, now);
         }
-        self.let_item_go(run, out);
-        self.finish_run(run, end, now, out);
+        self.release_item(run, effects);
+        self.finish_run(run, end, now, effects);
     }
 }
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -1,12 +1,12 @@
-//! The relay's machine: what it knows of the fleet, its holds, its queue, its engines and the
-//! batch items it runs.
+//! The relay's state machine: its snapshot of the fleet, budget holds, queues, engine selection and
+//! the batch items that it runs.
 
 mod admission;
 pub mod batches;
-mod choice;
-mod counting;
+mod counter;
 mod engine_failures;
 mod engine_index;
+mod engine_selection;
 mod engines;
 pub mod items;
 pub mod requests;
@@ -25,276 +25,279 @@
 use topazyard_wire::state::FleetView;
 use topazyard_wire::{Effect, Input, Machine};
 
-/// How old the last confirmation of the feed may be. Below the 2 s that operators are promised.
+/// Maximum age of the feed's last confirmation. Below the 2 s within which operators are promised
+/// that a change applies.
 pub const FRESH_FOR: DurationMs = DurationMs(1_800);
 
-/// A block of budget stands for so many times the time in which trouble is over.
-const BLOCK_EXPIRY_OF_CONTACT: u64 = 4;
+/// A budget block expires after this multiple of `Bounds::contact`, the time within which faults
+/// are expected to be over.
+const BLOCK_EXPIRY_MULTIPLE: u64 = 4;
 
-/// Names a prompt within this process.
+/// Identifies a request within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PromptId(pub u64);
 
 static LAST_PROMPT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
 impl PromptId {
-    /// The next name in this process.
+    /// The next unused id in this process.
     pub fn next() -> Self {
         Self(1 + LAST_PROMPT.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
 }
 
-/// What admission must know of a prompt.
+/// What admission needs to know of a request on a model route.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// Names it.
+    /// The id.
     pub id: PromptId,
-    /// The model it wants.
+    /// The requested model.
     pub model: ModelName,
-    /// Its estimated cost.
+    /// The estimated cost.
     pub cost: Tokens,
-    /// Until when its client waits.
+    /// Until when the client waits.
     pub deadline: MonotonicMs,
-    /// The shared prefix parts it is built from, in order.
+    /// The shared prefix parts that the prompt is built from, in order.
     pub prefix: Vec<String>,
 }
 
-/// An engine to send to.
+/// An engine to send a request to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// The engine's name.
     pub engine: EngineName,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: std::net::SocketAddr,
 }
 
-/// What an engine says of its load with a response.
+/// The load that an engine reports with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the engine.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can process concurrently.
     pub slots: u32,
 }
 
-/// How a prompt's use of an engine ended.
+/// How the use of an engine for a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineUse {
-    /// The engine's whole return came, after so long.
+    /// The complete response was received; with the time until its head, or on a model route until
+    /// its end.
     Whole(DurationMs),
     /// The engine failed.
     Failed,
-    /// The relay or the client broke off, or the engine was never used.
+    /// The relay or the client aborted the request, or the engine was never used.
     BrokenOff,
-    /// It took no connection.
+    /// The engine accepted no connection.
     Unreachable,
-    /// It said that it didn't run it.
+    /// The engine reported that it did not run the request.
     TurnedAway,
-    /// The time to send it went by before it was sent.
+    /// The time in which it could be sent passed before it was sent.
     Unsent,
 }
 
-/// What may be asked of the relay's machine.
+/// Calls to the relay's state machine.
 #[derive(Debug)]
 pub enum RelayCall {
-    /// Let this prompt in, now or after a brief wait.
+    /// Admits a prompt, at once or after a short wait.
     Allow(Prompt),
-    /// May it be sent to that engine now?
+    /// Checks whether the prompt may be sent to that engine now.
     Dispatch(PromptId, EngineName),
-    /// That engine failed it: name another.
+    /// Requests another engine for a prompt that this one failed.
     Another(PromptId, EngineName),
-    /// The prompt has ended, whichever way.
+    /// The prompt ended, whatever the outcome.
     Ended(PromptId, EngineUse),
-    /// Find the route of this request and let it in, now or after a brief wait.
+    /// Finds the route of a request and admits it, at once or after a short wait.
     Arrive(requests::Arrival),
-    /// That request needs another engine, for this reason.
+    /// Requests another engine for a request, with the outcome at the last one.
     Retry(PromptId, EngineUse),
-    /// That engine has said nothing for longer than it should.
+    /// The engine has not responded for longer than expected.
     Doubt(EngineName),
     /// A request failed at that engine.
     EngineFailed(EngineName, Failure),
-    /// An engine said how loaded it is.
+    /// An engine reported its load.
     EngineLoad(EngineName, EngineLoad),
-    /// The request has ended, whichever way.
+    /// The request ended, whatever the outcome.
     RequestEnded(PromptId, EngineUse),
-    /// Whether an engine that was left alone took a connection.
+    /// Whether a paused engine accepted a connection.
     Reached(EngineName, bool),
-    /// A call on batches, within a limit.
+    /// A batch call with its timeout.
     Batch(BatchCall, DurationMs),
-    /// Hand in a batch.
+    /// Submits a batch.
     Submit(BatchId, Vec<Item>),
-    /// Hand in a batch of routed items, within a limit.
+    /// Submits a batch of routed items, with the call's timeout.
     SubmitRouted(BatchId, RouteName, Vec<Item>, DurationMs),
-    /// May this item's run be sent to that engine now?
+    /// Checks whether this item's run may be sent to that engine now.
     DispatchItem(Run, EngineName),
-    /// An item's run ended.
+    /// The run of an item ended.
     ItemEnded(Run, RunEnd),
-    /// A routed item's run ended, and so did its use of the engine.
+    /// The run of a routed item ended, with the outcome at the engine.
     RoutedEnded(Run, RunEnd, EngineUse),
-    /// What a look at an engine's health gave.
+    /// The result of an engine's health check.
     Looked(EngineName, bool),
-    /// Take from now on only what is over in time, and finish what is under way.
+    /// Starts a drain: from now on admits only what ends in time, and finishes what is under way.
     Drain(crate::drain::DrainTimes),
-    /// Is the relay ready?
+    /// Requests the relay's readiness.
     Ready,
-    /// How does it fare?
+    /// Requests the relay's health.
     Health,
 }
 
-/// What the relay's machine returns.
+/// Responses of the relay's state machine.
 #[derive(Debug)]
 pub enum RelayReturn {
-    /// The prompt holds its cost: send it there.
+    /// The prompt holds its cost: send it to this engine.
     Held(Target),
-    /// The request was let in.
+    /// The request was admitted.
     Admitted(Box<requests::Admitted>),
     /// Another engine for the request.
     Chosen(Box<requests::Chosen>),
     /// The request is for this batch route.
     OnBatchRoute(topazyard_types::RouteName),
-    /// It may be sent if it is sent before that moment.
+    /// It may be sent before this time.
     GoUntil(MonotonicMs),
-    /// What came of a call on batches.
+    /// The result of a batch call.
     Batch(BatchReturn),
-    /// It drains, at these times.
+    /// The drain, with its phases.
     Drains(crate::drain::Draining),
-    /// Nothing to say.
+    /// Done; there is no value to return.
     Noted,
     /// Refused.
     Refused(ApiError),
-    /// How the relay fares.
+    /// The relay's health.
     Health(Box<RelayHealth>),
 }
 
-/// What the relay's machine begins outside.
+/// Tasks that the driver runs for the relay's state machine.
 #[derive(Debug)]
 pub enum RelayTask {
-    /// Run an item and report its end.
+    /// Runs an item and reports its end.
     RunItem {
         /// The run.
         run: Run,
-        /// Where.
+        /// The engine.
         target: Target,
         /// The body, byte for byte.
         body: bytes::Bytes,
     },
-    /// Run a routed item and report its end.
+    /// Runs a routed item and reports its end.
     RunRouted(Box<routed_items::RoutedRun>),
-    /// Break off the runs of routed items, and report how far each came.
+    /// Aborts the runs of routed items and reports the progress of each.
     BreakOffRuns,
-    /// Look at an engine's health and report it.
+    /// Checks an engine's health and reports the result.
     Look(Target),
-    /// Make a connection to an engine, keep it, and report it.
+    /// Opens a connection to an engine, keeps it and reports the result.
     Reach(Target),
 }
 
-/// How the relay fares.
+/// The health of a relay.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct RelayHealth {
-    /// Its id in this life.
+    /// The node's id, drawn when the process starts.
     pub node: NodeId,
     /// Whether it is ready.
     pub ready: bool,
-    /// The spec in force here.
+    /// The configuration in force here.
     pub spec: Option<SpecVersion>,
-    /// The place read in the feed.
+    /// The position reached in the feed.
     pub place: String,
-    /// How old the last confirmation of the feed is.
+    /// Age of the feed's last confirmation.
     pub feed_age_ms: Option<DurationMs>,
-    /// Prompts that wait.
+    /// Requests that wait.
     pub waiting: usize,
-    /// Prompts that hold their cost.
+    /// Requests that hold their cost.
     pub holding: usize,
     /// Batch items leased or running here.
     pub items: usize,
-    /// Clients' calls on batches under way.
+    /// Clients' batch calls under way.
     pub batch_calls: usize,
-    /// Ends of items' runs that their shards have not noted yet.
+    /// Ends of item runs that their shards have not acknowledged.
     pub ends_to_tell: usize,
-    /// Askings for items whose answers have not come: some may be leased to this relay.
+    /// Lease requests without a response; items may already be leased to this relay.
     pub leases_asked: usize,
-    /// How long it has taken nothing new, if it drains.
+    /// Time since the drain started, while draining.
     pub drained_for_ms: Option<DurationMs>,
-    /// Engines that may be used.
+    /// Usable engines.
     pub engines: usize,
-    /// Prompts let in since the start.
+    /// Requests admitted since the start.
     pub allowed: u64,
-    /// Prompts refused since the start, by code.
+    /// Requests refused since the start, by code.
     pub refused: std::collections::BTreeMap<String, u64>,
 }
 
 impl RelayHealth {
-    /// Whether anything is under way that a relay should finish before it ends.
+    /// Whether any work is under way that a relay should finish before it exits.
     pub fn under_way(&self) -> bool {
-        let of_items = self.items + self.leases_asked + self.ends_to_tell;
-        self.waiting + self.holding + self.batch_calls + of_items > 0
+        let item_work = self.items + self.leases_asked + self.ends_to_tell;
+        self.waiting + self.holding + self.batch_calls + item_work > 0
     }
 }
 
-/// From what a relay starts.
+/// What a relay needs to start.
 #[derive(Debug)]
 pub struct Start {
-    /// Its id in this life.
+    /// The node's id, drawn when the process starts.
     pub node: NodeId,
-    /// The agent beside it.
+    /// The local agent's address.
     pub agent: std::net::SocketAddr,
-    /// The bounds of the place that the fleet runs at.
+    /// The time bounds configured for the fleet.
     pub bounds: topazyard_spec::Bounds,
 }
 
-pub(crate) type Out = Vec<Effect<RelayReturn, RelayTask>>;
+pub(crate) type Outputs = Vec<Effect<RelayReturn, RelayTask>>;
 
-/// One relay.
+/// The state machine of one relay.
 pub struct RelayMachine {
     pub(crate) node: NodeId,
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
     follower: Follower,
-    pub(crate) view: FleetView,
-    pub(crate) counting: counting::Counting,
+    pub(crate) fleet: FleetView,
+    pub(crate) counter: counter::CounterClient,
     pub(crate) admission: admission::Admission,
     pub(crate) requests: requests::Requests,
-    /// How old the last confirmation of the feed may be for requests on routes.
-    routes_fresh_for: DurationMs,
-    /// After how long without a renewal the counter takes blocks back.
+    /// Maximum age of the feed's last confirmation for requests on routes.
+    max_routes_feed_age: DurationMs,
+    /// Time without a renewal after which the counter takes blocks back.
     pub(crate) block_expiry: DurationMs,
     pub(crate) engines: engines::Engines,
     pub(crate) items: items::Items,
     pub(crate) batches: batches::BatchCalls,
     allowed: u64,
     refused: std::collections::BTreeMap<Code, u64>,
-    refused_for_room: u32,
+    refused_for_capacity: u32,
     engine_failures: engine_failures::EngineFailures,
-    /// How it ends, once it was asked to.
+    /// The drain, once requested.
     pub(crate) draining: Option<crate::drain::Draining>,
 }
 
 impl RelayMachine {
-    /// A relay as it starts: it knows nothing and refuses everything.
+    /// A relay at its start: it knows nothing and refuses everything.
     pub fn new(start: &Start) -> Self {
-        // A relay's id is new in each life.
+        // A relay draws a new id at each start, so the id serves as the boot id.
         let life = Life(start.node.0);
         Self {
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
             follower: Follower::new(vec![start.agent], life),
-            view: FleetView::default(),
-            counting: counting::Counting::new(life),
+            fleet: FleetView::default(),
+            counter: counter::CounterClient::new(life),
             admission: admission::Admission::default(),
             requests: requests::Requests::default(),
-            routes_fresh_for: DurationMs(
+            max_routes_feed_age: DurationMs(
                 (start.bounds.config_apply.0 + start.bounds.config_stretch.0).saturating_sub(200),
             ),
-            block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_OF_CONTACT),
+            block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_MULTIPLE),
             engines: engines::Engines::default(),
             items: items::Items::default(),
             batches: batches::BatchCalls::new(life),
             allowed: 0,
             refused: std::collections::BTreeMap::new(),
-            refused_for_room: 0,
+            refused_for_capacity: 0,
             engine_failures: engine_failures::EngineFailures::default(),
             draining: None,
         }
@@ -305,61 +308,61 @@
         self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(FRESH_FOR))
     }
 
-    /// Which of the others this relay must hear and doesn't.
-    pub(crate) fn cut_off(&self, now: MonotonicMs) -> Option<Code> {
-        if now >= self.fresh_until() || self.view.spec.is_none() {
+    /// The dependency that was not heard from in time: the feed or the counter.
+    pub(crate) fn lost_dependency(&self, now: MonotonicMs) -> Option<Code> {
+        if now >= self.fresh_until() || self.fleet.spec.is_none() {
             Some(Code::StaleFeed)
-        } else if now >= self.counting.leased_until() {
+        } else if now >= self.counter.lease_end() {
             Some(Code::NoCounter)
         } else {
             None
         }
     }
 
-    /// Why neither lanes nor routes could be served now, if so.
-    fn cut_off_from_all(&self, now: MonotonicMs) -> Option<Code> {
-        let has_routes = self.view.routes.iter().next().is_some();
-        if has_routes && now < self.routes_until() && !self.requests.unanswered(now) {
+    /// Why requests on neither model routes nor routes could be served now, if so.
+    fn unavailable_for_all(&self, now: MonotonicMs) -> Option<Code> {
+        let has_routes = self.fleet.routes.iter().next().is_some();
+        if has_routes && now < self.routes_fresh_until() && !self.requests.counter_timed_out(now) {
             return None;
         }
-        self.cut_off(now)
+        self.lost_dependency(now)
     }
 
-    /// Why the relay takes nothing new now, if it doesn't.
-    pub(crate) fn unready(&self, now: MonotonicMs) -> Option<Code> {
+    /// Why the relay accepts no new work now, if it does not.
+    pub(crate) fn not_ready_reason(&self, now: MonotonicMs) -> Option<Code> {
         if self.draining.is_some() {
             Some(Code::Draining)
-        } else if let Some(code) = self.cut_off_from_all(now) {
+        } else if let Some(code) = self.unavailable_for_all(now) {
             Some(code)
-        } else if self.view.engines.values().all(|engine| !self.engines.is_usable(engine)) {
+        } else if self.fleet.engines.values().all(|engine| !self.engines.is_usable(engine)) {
             Some(Code::NoEngine)
         } else {
             None
         }
     }
 
-    pub(crate) fn count_refusal(&mut self, code: Code) {
+    pub(crate) fn record_refusal(&mut self, code: Code) {
         *self.refused.entry(code).or_default() += 1;
         if matches!(code, Code::Budget | Code::QueueFull | Code::Deadline) {
-            self.refused_for_room += 1;
+            self.refused_for_capacity += 1;
         }
     }
 
     fn health(&self, now: MonotonicMs) -> RelayHealth {
         RelayHealth {
             node: self.node,
-            ready: self.unready(now).is_none(),
-            spec: self.view.spec.as_ref().map(|(version, _)| *version),
+            ready: self.not_ready_reason(now).is_none(),
+            spec: self.fleet.spec.as_ref().map(|(version, _)| *version),
             place: self.follower.copy().place().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
             items: self.items.len(),
-            batch_calls: self.batches.of_clients(),
-            ends_to_tell: self.batches.ends_to_tell(),
-            leases_asked: self.batches.leases_asked(),
+            batch_calls: self.batches.client_calls(),
+            ends_to_tell: self.batches.unreported_ends(),
+            leases_asked: self.batches.pending_leases(),
             drained_for_ms: self.draining.map(|draining| draining.lasted(now)),
-            engines: self.view.engines.values().filter(|e| self.engines.is_usable(e)).count(),
+            engines: self.fleet.engines.values().filter(|e| self.engines.is_usable(e)).count(),
             allowed: self.allowed,
             refused: self
                 .refused
@@ -373,147 +376,160 @@
         }
     }
 
-    /// Asks the feed, if it is time to.
-    fn ask_feed(&mut self, now: MonotonicMs, out: &mut Out) {
+    /// Polls the feed when it is due.
+    fn poll_feed(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         let health = Health::Edge {
-            ready: self.unready(now).is_none(),
-            waiting: (self.admission.waiting() + self.requests.wanting()) as u32,
-            refused: self.refused_for_room,
+            ready: self.not_ready_reason(now).is_none(),
+            waiting: (self.admission.waiting() + self.requests.waiting_for_budget()) as u32,
+            refused: self.refused_for_capacity,
         };
         if let Some((to, message)) = self.follower.tick(now, || health) {
-            self.refused_for_room = 0;
-            out.push(Effect::Send { to, message: Message::Feed(message) });
+            self.refused_for_capacity = 0;
+            effects.push(Effect::Send { to, message: Message::Feed(message) });
         }
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.ask_feed(now, out);
-        self.counting_tick(now, out);
-        self.admission_tick(now, out);
-        self.requests_tick(now, out);
-        self.engines_tick(now, out);
-        self.engine_failures_tick(now, out);
-        self.items_tick(now, out);
-        self.batches_tick(now, out);
+    fn tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        self.poll_feed(now, effects);
+        self.counting_tick(now, effects);
+        self.admission_tick(now, effects);
+        self.requests_tick(now, effects);
+        self.engines_tick(now, effects);
+        self.engine_failures_tick(now, effects);
+        self.items_tick(now, effects);
+        self.batches_tick(now, effects);
     }
 
-    fn take_news(&mut self, from: std::net::SocketAddr, message: FeedMessage, out: &mut Out) {
+    fn apply_feed_update(
+        &mut self,
+        from: std::net::SocketAddr,
+        message: FeedMessage,
+        effects: &mut Outputs,
+    ) {
         if self.follower.receive(from, message) != Followed::Changed {
             return;
         }
-        let before = self.view.spec.as_ref().map(|(version, _)| *version);
-        let engines = std::mem::take(&mut self.view.engines);
-        self.view = FleetView::read(self.follower.copy().rows());
-        if self.view.engines != engines {
-            self.engines.index = engine_index::EngineIndex::of(self.view.engines.values());
+        let previous = self.fleet.spec.as_ref().map(|(version, _)| *version);
+        let engines = std::mem::take(&mut self.fleet.engines);
+        self.fleet = FleetView::read(self.follower.copy().rows());
+        if self.fleet.engines != engines {
+            self.engines.index = engine_index::EngineIndex::of(self.fleet.engines.values());
         }
-        let version = self.view.spec.as_ref().map(|(version, _)| *version);
-        if let Some(version) = version.filter(|version| before != Some(*version)) {
-            let engines = self.view.engines.len();
-            let text = format!("spec {version} in force, {engines} engines listed");
-            out.push(Effect::Note { grave: false, text });
+        let version = self.fleet.spec.as_ref().map(|(version, _)| *version);
+        if let Some(version) = version.filter(|version| previous != Some(*version)) {
+            let engines = self.fleet.engines.len();
+            let text = format!("configuration {version} in force, {engines} engines listed");
+            effects.push(Effect::Note { grave: false, text });
         }
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         call: topazyard_types::CallId,
         request: RelayCall,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
         let value = match request {
-            RelayCall::Allow(prompt) => return self.allow(call, prompt, now, out),
+            RelayCall::Allow(prompt) => return self.admit_prompt(call, prompt, now, effects),
             RelayCall::Batch(request, limit) => {
-                return self.call_batch(call, request, limit, now, out);
+                return self.call_batch(call, request, limit, now, effects);
             }
             RelayCall::Submit(batch, items) => {
-                return self.submit_batch(call, batch, items, now, out);
+                return self.submit_batch(call, batch, items, now, effects);
             }
             RelayCall::SubmitRouted(batch, route, items, limit) => {
-                return self.submit_routed(call, (batch, &route), items, limit, now, out);
+                return self.submit_routed(call, (batch, &route), items, limit, now, effects);
             }
-            RelayCall::Arrive(arrival) => return self.arrive(call, arrival, now, out),
-            RelayCall::Retry(id, engine_use) => self.retry(id, engine_use, now),
+            RelayCall::Arrive(arrival) => return self.admit_request(call, arrival, now, effects),
+            RelayCall::Retry(id, engine_use) => self.retry_request(id, engine_use, now),
             RelayCall::Doubt(engine) => {
-                self.engines.doubt(&engine, now);
+                self.engines.suspect(&engine, now);
                 RelayReturn::Noted
             }
             RelayCall::EngineFailed(engine, failure) => {
-                self.count_failure(engine, failure);
+                self.record_engine_failure(engine, failure);
                 RelayReturn::Noted
             }
             RelayCall::EngineLoad(engine, load) => {
-                self.engines.told_load(&engine, load, now);
+                self.engines.record_load(&engine, load, now);
                 RelayReturn::Noted
             }
             RelayCall::RequestEnded(id, engine_use) => {
-                self.end_request(id, engine_use, now, out);
+                self.end_request(id, engine_use, now, effects);
                 RelayReturn::Noted
             }
             RelayCall::Reached(engine, reached) => {
-                self.engines.reached(&engine, reached, now);
+                self.engines.connection_probed(&engine, reached, now);
                 RelayReturn::Noted
             }
-            RelayCall::Dispatch(id, engine) => self.dispatch(id, &engine, now),
-            RelayCall::Another(id, failed) => self.another(id, &failed, now),
+            RelayCall::Dispatch(id, engine) => self.dispatch_prompt(id, &engine, now),
+            RelayCall::Another(id, failed) => self.retry_prompt(id, &failed, now),
             RelayCall::Ended(id, engine_use) => {
-                self.end_prompt(id, engine_use, now, out);
+                self.end_prompt(id, engine_use, now, effects);
                 RelayReturn::Noted
             }
             RelayCall::DispatchItem(run, engine) => self.dispatch_item(run, &engine, now),
             RelayCall::RoutedEnded(run, end, engine_use) => {
-                self.routed_ended(run, end, engine_use, now, out);
+                self.routed_ended(run, end, engine_use, now, effects);
                 RelayReturn::Noted
             }
             RelayCall::ItemEnded(run, end) => {
-                self.item_ended(run, end, now, out);
+                self.item_ended(run, end, now, effects);
                 RelayReturn::Noted
             }
             RelayCall::Looked(engine, is_well) => {
-                self.engines.looked(engine, is_well, now);
+                self.engines.health_checked(engine, is_well, now);
                 RelayReturn::Noted
             }
-            RelayCall::Drain(times) => RelayReturn::Drains(self.drain(times, now, out)),
-            RelayCall::Ready => match self.unready(now) {
+            RelayCall::Drain(times) => RelayReturn::Drains(self.drain(times, now, effects)),
+            RelayCall::Ready => match self.not_ready_reason(now) {
                 None => RelayReturn::Noted,
                 Some(code) => RelayReturn::Refused(ApiError::not_run(code)),
             },
             RelayCall::Health => RelayReturn::Health(Box::new(self.health(now))),
         };
-        out.push(Effect::Return { call, value });
+        effects.push(Effect::Return { call, value });
     }
 
-    /// Takes from now on only what is over in time. A drain that was begun goes on as it is.
+    /// Starts a drain: from now on admits only what ends in time. A drain already in progress
+    /// continues unchanged.
     fn drain(
         &mut self,
         times: crate::drain::DrainTimes,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) -> crate::drain::Draining {
         let begun = crate::drain::Draining::begin(times, now);
         let draining = *self.draining.get_or_insert(begun);
-        self.batches.end_calls_by(draining.answers_calls_until());
-        self.drain_items(draining.breaks_off_runs_at(), now, out);
+        self.batches.limit_client_deadlines(draining.answers_calls_until());
+        self.drain_items(draining.breaks_off_runs_at(), now, effects);
         draining
     }
 
-    /// Passes a shard's record on to its holders, where one of them spoke under a lower epoch: it
-    /// may be cut off from control while this relay isn't.
-    pub(crate) fn tell_record(&self, shard: ShardId, told: topazyard_types::Epoch, out: &mut Out) {
-        let Some(record) = self.view.shards.get(&shard).filter(|r| r.epoch > told) else { return };
+    /// Forwards a shard's record to the nodes that hold the shard when one of them used a lower
+    /// epoch: it may be cut off from control while this relay is not.
+    pub(crate) fn forward_record(
+        &self,
+        shard: ShardId,
+        sender_epoch: topazyard_types::Epoch,
+        effects: &mut Outputs,
+    ) {
+        let Some(record) = self.fleet.shards.get(&shard).filter(|r| r.epoch > sender_epoch) else {
+            return;
+        };
         for holder in record.holders() {
             let message = Message::Told(shard, record.clone());
-            out.push(Effect::Send { to: holder.address, message });
+            effects.push(Effect::Send { to: holder.address, message });
         }
     }
 
-    /// The shard's primary and epoch, as the feed last said.
-    pub(crate) fn leads(
+    /// The shard's primary and epoch, as last received from the feed.
+    pub(crate) fn primary_of(
         &self,
         shard: ShardId,
     ) -> Option<(std::net::SocketAddr, topazyard_types::Epoch)> {
-        self.view.shards.get(&shard).map(|record| (record.primary.address, record.epoch))
+        self.fleet.shards.get(&shard).map(|record| (record.primary.address, record.epoch))
     }
 }
 
@@ -522,25 +538,25 @@
     type Return = RelayReturn;
     type Task = RelayTask;
 
-    fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Outputs {
+        let mut effects = Vec::new();
         match input {
-            Input::Tick => self.tick(now, &mut out),
-            Input::Call { call, request } => self.take_call(call, request, now, &mut out),
+            Input::Tick => self.tick(now, &mut effects),
+            Input::Call { call, request } => self.handle_call(call, request, now, &mut effects),
             Input::Frame { from, message, .. } => match message {
-                // Only its own agent may tell it what is in force.
+                // Only the local agent is trusted to report what is in force.
                 Message::Feed(message) if from == self.agent => {
-                    self.take_news(from, message, &mut out);
+                    self.apply_feed_update(from, message, &mut effects);
                     if self.follower.is_fetching() {
-                        self.ask_feed(now, &mut out);
+                        self.poll_feed(now, &mut effects);
                     }
                 }
-                Message::Counter(message) => self.receive_counter(&message, now, &mut out),
-                Message::Batch(message) => self.receive_batch(message, now, &mut out),
+                Message::Counter(message) => self.receive_counter(&message, now, &mut effects),
+                Message::Batch(message) => self.receive_batch(message, now, &mut effects),
                 _ => {}
             },
             Input::Written(_) | Input::Disk(_) => {}
         }
-        out
+        effects
     }
 }
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -1,12 +1,13 @@
-//! Requests on routes: found by host and path, checked cheapest first, let in against room that
-//! this relay keeps of the fleet's budget, and given an engine.
+//! Admission of requests on routes: the route is found by host and path, the cheapest checks come
+//! first, the cost is reserved from this relay's share of the pool's budget, and an engine is
+//! selected.
 //!
-//! The check and the add are one step of this one owner. The room comes in blocks from the counter,
-//! which checks and adds them the same way, so that all relays together stay within the limit
-//! while a request needs no round trip.
+//! Checking and reserving are one step of this single owner. The share comes in blocks from the
+//! counter, which checks and adds them in the same way, so that all relays together stay within the
+//! limit while a request needs no round trip.
 
-use super::choice::Wanted;
-use super::{EngineUse, Out, PromptId, RelayMachine, RelayReturn, Target};
+use super::engine_selection::EngineQuery;
+use super::{EngineUse, Outputs, PromptId, RelayMachine, RelayReturn, Target};
 use topazyard_spec::RouteKind;
 use topazyard_types::{
     CallId, Digest, DurationMs, EngineName, HoldId, MonotonicMs, PoolName, Tokens,
@@ -16,299 +17,311 @@
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::counter::HoldKind;
 
-/// What a request without stated counts is taken to cost: the source's default answer length and
-/// as much again for its prompt.
-pub const UNSTATED_COST: Tokens = Tokens(512);
-/// For how long what was checked holds, so that the last look before a dispatch needs no asking.
-const HOLDS_FOR: DurationMs = DurationMs(200);
-/// How often a block is asked for again while requests wait.
-const ASK_EVERY: DurationMs = DurationMs(40);
-/// After how long without an answer a relay goes on with what it may hold unasked.
-const UNASKED_AFTER: DurationMs = DurationMs(20);
-/// What a relay may hold unasked while the counter doesn't answer is this part of the budget.
-const UNASKED_OF_LIMIT: u64 = 512;
-/// After how long without an answer the counter counts as out of reach.
-const COUNTER_SILENT: DurationMs = DurationMs(500);
-/// Blocks that were not needed in the last two spans of this length are let go.
-const PEAK_SPAN: DurationMs = DurationMs(750);
-/// A block is this part of the pool's budget, or one request's cost where that is more.
-const BLOCKS_OF_LIMIT: u64 = 4_096;
-/// How soon after its deadline the machine has been told that a request ended.
-const END_TOLD_WITHIN: DurationMs = DurationMs(250);
-/// The shortest that a request waits for room, whatever its target.
-const SHORTEST_WAIT: DurationMs = DurationMs(30);
+/// The cost assumed for a request that states none: the source's default response length, and as
+/// much again for its prompt.
+pub const DEFAULT_COST: Tokens = Tokens(512);
+/// How long the admission checks stay valid, so that the last check before a dispatch needs no
+/// call.
+const DISPATCH_TTL: DurationMs = DurationMs(200);
+/// Interval at which a block is requested again while requests wait.
+const BLOCK_RETRY_INTERVAL: DurationMs = DurationMs(40);
+/// Time without a response after which a relay uses its allowance without a grant.
+const GRANT_TIMEOUT: DurationMs = DurationMs(20);
+/// While the counter does not respond, a relay may hold one part in this many of the pool's budget
+/// without a grant.
+const UNGRANTED_SHARE_DIVISOR: u64 = 512;
+/// Time without a response after which the counter counts as unreachable.
+const COUNTER_TIMEOUT: DurationMs = DurationMs(500);
+/// Blocks that were not needed in the last two windows of this length are released.
+const PEAK_WINDOW: DurationMs = DurationMs(750);
+/// A block is one part in this many of the pool's budget, or one request's cost where that is more.
+const BLOCK_SHARE_DIVISOR: u64 = 4_096;
+/// Maximum delay between a request's deadline and the report to the machine that it ended.
+const END_REPORT_TIMEOUT: DurationMs = DurationMs(250);
+/// Minimum time that a request may wait for budget, whatever its latency target.
+const MIN_QUEUE_WAIT: DurationMs = DurationMs(30);
 
 /// A part of a prompt that requests share, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What it is.
+    /// Digest of its content.
     pub digest: Digest,
-    /// Its tokens.
+    /// Its size in tokens.
     pub tokens: Tokens,
 }
 
-/// A request on a route, as its front read it.
+/// A request on a route, as read by the HTTP front end.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its name in this process.
+    /// The id within this process.
     pub id: PromptId,
-    /// The host that it names.
+    /// The requested host.
     pub host: String,
-    /// Its path, without the query.
+    /// The path, without the query.
     pub path: String,
-    /// Prompt tokens and most tokens out, if stated.
+    /// Prompt tokens plus maximum output tokens, if stated.
     pub cost: Option<Tokens>,
     /// When it arrived.
     pub arrived: MonotonicMs,
-    /// How long its client waits.
+    /// How long the client waits.
     pub wait: DurationMs,
     /// The parts of its prompt.
     pub prefix: Vec<PromptPart>,
 }
 
-/// On what terms a request was let in, and to which engine it goes.
+/// The terms on which a request was admitted, and its engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admitted {
     /// Whether it may run again if it is not known to have run.
     pub repeatable: bool,
-    /// Whether its response is a series of events, passed on as they come.
+    /// Whether its response is an event stream, relayed as it arrives.
     pub stream: bool,
-    /// Whether a stream may be gone on with from another engine.
+    /// Whether a stream may be continued from another engine.
     pub resumable: bool,
-    /// The most engines that it may be sent to.
+    /// The maximum number of engines that it may be sent to.
     pub most_tries: u32,
-    /// When it is over.
+    /// The deadline of its response.
     pub deadline: MonotonicMs,
-    /// Where it goes.
+    /// The engine that it goes to.
     pub chosen: Chosen,
 }
 
-/// An engine for a request.
+/// An engine selected for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chosen {
     /// The engine.
     pub target: Target,
-    /// Until when it may be sent there by what was checked.
+    /// Until when it may be sent there, by the checks made so far.
     pub until: MonotonicMs,
-    /// After how long without a word the engine is doubted.
+    /// Time without a response after which the engine is suspected.
     pub doubt_after: DurationMs,
 }
 
 #[derive(Debug)]
 enum Stage {
-    /// It waits for room.
+    /// Waiting for budget.
     Waiting(CallId),
-    /// It has room and an engine.
+    /// Has budget and an engine.
     Held(EngineName),
 }
 
 #[derive(Debug)]
-struct Entry {
+struct RequestEntry {
     pool: PoolName,
     charge: Tokens,
     priority: u32,
     arrived: MonotonicMs,
     deadline: MonotonicMs,
-    give_up_at: MonotonicMs,
+    wait_deadline: MonotonicMs,
     prefix: Vec<PromptPart>,
     terms: Admitted,
-    tried: Vec<EngineName>,
+    tried_engines: Vec<EngineName>,
     stage: Stage,
 }
 
-/// The room that this relay keeps of a pool's budget.
+/// This relay's share of a pool's budget.
 #[derive(Debug, Default)]
-struct Room {
+struct PoolBudget {
     /// What its requests hold.
     used: Tokens,
-    /// Blocks that the counter granted, and when each was asked for.
+    /// Blocks that the counter granted, and when each was requested.
     blocks: std::collections::BTreeMap<HoldId, (Tokens, MonotonicMs)>,
-    /// A block that was asked for, and when.
-    asked: Option<(HoldId, Tokens, MonotonicMs)>,
+    /// The block that was requested, and when.
+    requested: Option<(HoldId, Tokens, MonotonicMs)>,
     refused: bool,
-    last_ask: Option<MonotonicMs>,
-    /// The most that its requests held at once, in the present span and in the one before.
+    last_request_at: Option<MonotonicMs>,
+    /// The peak use in the current window and in the one before.
     peaks: [Tokens; 2],
-    span_began: MonotonicMs,
-    /// What they held since the last renewal, in tokens times ms up to the moment beside it, and
-    /// when that renewal was.
+    window_started_at: MonotonicMs,
+    /// The use since the last renewal, in tokens times ms up to `counted_until`, and when that
+    /// renewal was.
     token_ms: u64,
-    counted_to: MonotonicMs,
-    renewed: MonotonicMs,
+    counted_until: MonotonicMs,
+    renewed_at: MonotonicMs,
     /// Requests that wait, in order.
     queue: std::collections::VecDeque<PromptId>,
 }
 
-impl Room {
+impl PoolBudget {
     fn hold(&mut self, charge: Tokens, now: MonotonicMs) {
-        self.count_to(now);
+        self.accumulate_until(now);
         self.used = self.used.plus(charge);
         self.peaks[0] = self.peaks[0].max(self.used);
     }
 
-    fn let_go(&mut self, charge: Tokens, now: MonotonicMs) {
-        self.count_to(now);
+    fn release(&mut self, charge: Tokens, now: MonotonicMs) {
+        self.accumulate_until(now);
         self.used = Tokens(self.used.0.saturating_sub(charge.0));
     }
 
-    fn count_to(&mut self, now: MonotonicMs) {
-        self.token_ms += self.used.0 * now.since(self.counted_to).0;
-        self.counted_to = now;
+    fn accumulate_until(&mut self, now: MonotonicMs) {
+        self.token_ms += self.used.0 * now.since(self.counted_until).0;
+        self.counted_until = now;
     }
 
-    /// What its requests held in the mean since this was last asked.
+    /// The mean use since the last call.
     fn take_mean_used(&mut self, now: MonotonicMs) -> Tokens {
-        self.count_to(now);
-        let span = now.since(std::mem::replace(&mut self.renewed, now));
-        let mean = self.token_ms.checked_div(span.0);
+        self.accumulate_until(now);
+        let elapsed = now.since(std::mem::replace(&mut self.renewed_at, now));
+        let mean = self.token_ms.checked_div(elapsed.0);
         self.token_ms = 0;
         mean.map_or(self.used, Tokens)
     }
 
-    /// What the blocks hold that may be used: those asked for, or renewed, after that moment.
-    fn granted(&self, renewed: MonotonicMs, oldest: MonotonicMs) -> Tokens {
-        let stands = |asked: &MonotonicMs| renewed.max(*asked) > oldest;
-        self.blocks.values().filter(|(_, asked)| stands(asked)).map(|(block, _)| *block).sum()
+    /// The total of the blocks that may be used: those requested or renewed after `oldest`.
+    fn granted(&self, renewed_at: MonotonicMs, oldest: MonotonicMs) -> Tokens {
+        let is_valid = |requested: &MonotonicMs| renewed_at.max(*requested) > oldest;
+        self.blocks
+            .values()
+            .filter(|(_, requested)| is_valid(requested))
+            .map(|(block, _)| *block)
+            .sum()
     }
 }
 
 /// Requests on routes that wait or hold.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
-    entries: std::collections::BTreeMap<PromptId, Entry>,
-    rooms: std::collections::BTreeMap<PoolName, Room>,
-    /// Whether the end of a drain's time to serve has been looked at.
+    entries: std::collections::BTreeMap<PromptId, RequestEntry>,
+    budgets: std::collections::BTreeMap<PoolName, PoolBudget>,
+    /// Whether the check at the end of a drain's serving phase was made.
     drain_checked: bool,
 }
 
 impl Requests {
     pub(crate) fn waiting(&self) -> usize {
-        self.rooms.values().map(|room| room.queue.len()).sum()
+        self.budgets.values().map(|budget| budget.queue.len()).sum()
     }
 
-    /// Requests that wait because the counter had no room, not just for its answer.
-    pub(crate) fn wanting(&self) -> usize {
-        let full = self.rooms.values().filter(|room| room.refused);
-        full.map(|room| room.queue.len()).sum()
+    /// Requests that wait because the counter refused more budget, not just for its response.
+    pub(crate) fn waiting_for_budget(&self) -> usize {
+        let full = self.budgets.values().filter(|budget| budget.refused);
+        full.map(|budget| budget.queue.len()).sum()
     }
 
     pub(crate) fn holding(&self) -> usize {
         self.entries.len() - self.waiting()
     }
 
-    /// By pool: what requests held in the mean since this was last asked.
+    /// By pool: the mean use since the last call.
     pub(super) fn take_mean_used(&mut self, now: MonotonicMs) -> Vec<(PoolName, Tokens)> {
-        let rooms = self.rooms.iter_mut();
-        rooms.map(|(pool, room)| (pool.clone(), room.take_mean_used(now))).collect()
+        let budgets = self.budgets.iter_mut();
+        budgets.map(|(pool, budget)| (pool.clone(), budget.take_mean_used(now))).collect()
     }
 
-    pub(crate) fn asks(&self, id: HoldId) -> bool {
-        self.rooms.values().any(|room| room.asked.is_some_and(|(asked, ..)| asked == id))
+    pub(crate) fn has_requested(&self, id: HoldId) -> bool {
+        self.budgets
+            .values()
+            .any(|budget| budget.requested.is_some_and(|(requested, ..)| requested == id))
     }
 
-    /// Whether the counter leaves an asking unanswered.
-    pub(crate) fn unanswered(&self, now: MonotonicMs) -> bool {
-        let late = |at: MonotonicMs| now.since(at) >= COUNTER_SILENT;
-        self.rooms.values().any(|room| room.asked.is_some_and(|(_, _, at)| late(at)))
+    /// Whether the counter leaves a block request unanswered.
+    pub(crate) fn counter_timed_out(&self, now: MonotonicMs) -> bool {
+        let expired = |at: MonotonicMs| now.since(at) >= COUNTER_TIMEOUT;
+        self.budgets.values().any(|budget| budget.requested.is_some_and(|(_, _, at)| expired(at)))
     }
 }
 
-/// What was found for a request before any room is taken.
-struct Judged {
+/// The result of the checks before any budget is reserved.
+struct PassedChecks {
     pool: PoolName,
     charge: Tokens,
     priority: u32,
-    give_up_at: MonotonicMs,
+    wait_deadline: MonotonicMs,
     terms: Admitted,
 }
 
 impl RelayMachine {
-    /// Until when requests on routes may be handled by what is known of the spec.
-    pub(super) fn routes_until(&self) -> MonotonicMs {
+    /// Until when requests on routes may be served by the configuration known here.
+    pub(super) fn routes_fresh_until(&self) -> MonotonicMs {
         let confirmed = self.follower.confirmed_at();
-        confirmed.map_or(MonotonicMs(0), |at| at.plus(self.routes_fresh_for))
+        confirmed.map_or(MonotonicMs(0), |at| at.plus(self.max_routes_feed_age))
     }
 
-    /// What is known of the fleet, while that may be used for requests on routes.
+    /// The snapshot of the fleet, while it may be used for requests on routes.
     pub fn in_force(&self, now: MonotonicMs) -> Option<&topazyard_wire::state::FleetView> {
-        let is_usable = now < self.routes_until() && self.view.spec.is_some();
-        is_usable.then_some(&self.view)
+        let is_usable = now < self.routes_fresh_until() && self.fleet.spec.is_some();
+        is_usable.then_some(&self.fleet)
     }
 
-    /// Lets a request in, makes it wait briefly, or refuses it at once.
-    pub(super) fn arrive(
+    /// Admits a request, makes it wait briefly, or refuses it at once.
+    pub(super) fn admit_request(
         &mut self,
         call: CallId,
         arrival: Arrival,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let judged = match self.judge_arrival(&arrival, now) {
-            Ok(judged) => judged,
+        let passed = match self.check_arrival(&arrival, now) {
+            Ok(passed) => passed,
             Err(refused) => {
                 if let RelayReturn::Refused(error) = &refused {
-                    self.count_refusal(error.code);
+                    self.record_refusal(error.code);
                 }
-                return out.push(Effect::Return { call, value: refused });
+                return effects.push(Effect::Return { call, value: refused });
             }
         };
-        let (pool, id) = (judged.pool.clone(), arrival.id);
-        let entry = Entry {
-            pool: judged.pool,
-            charge: judged.charge,
-            priority: judged.priority,
+        let (pool, id) = (passed.pool.clone(), arrival.id);
+        let entry = RequestEntry {
+            pool: passed.pool,
+            charge: passed.charge,
+            priority: passed.priority,
             arrived: arrival.arrived,
-            deadline: judged.terms.deadline,
-            give_up_at: judged.give_up_at,
+            deadline: passed.terms.deadline,
+            wait_deadline: passed.wait_deadline,
             prefix: arrival.prefix,
-            terms: judged.terms,
-            tried: Vec::new(),
+            terms: passed.terms,
+            tried_engines: Vec::new(),
             stage: Stage::Waiting(call),
         };
-        let ahead = self.requests.rooms.get(&pool).map_or(0, |room| {
-            room.queue.partition_point(|other| {
+        let ahead = self.requests.budgets.get(&pool).map_or(0, |budget| {
+            budget.queue.partition_point(|other| {
                 self.requests.entries.get(other).is_some_and(|o| o.priority <= entry.priority)
             })
         });
         self.requests.entries.insert(id, entry);
-        self.requests.rooms.entry(pool.clone()).or_default().queue.insert(ahead, id);
-        self.serve_room(&pool, now, out);
+        self.requests.budgets.entry(pool.clone()).or_default().queue.insert(ahead, id);
+        self.admit_waiting(&pool, now, effects);
     }
 
     /// The checks that need no other process, cheapest first.
-    fn judge_arrival(&self, arrival: &Arrival, now: MonotonicMs) -> Result<Judged, RelayReturn> {
+    fn check_arrival(
+        &self,
+        arrival: &Arrival,
+        now: MonotonicMs,
+    ) -> Result<PassedChecks, RelayReturn> {
         let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
-        let view = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
-        let Some((_, bundle)) = &view.spec else { return Err(refused(Code::StaleFeed)) };
-        let Some(route) = view.routes.find(&arrival.host, &arrival.path) else {
+        let fleet = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
+        let Some((_, configuration)) = &fleet.spec else { return Err(refused(Code::StaleFeed)) };
+        let Some(route) = fleet.routes.find(&arrival.host, &arrival.path) else {
             return Err(refused(Code::NoRoute));
         };
         if route.kind == RouteKind::Batch {
             return Err(RelayReturn::OnBatchRoute(route.name.clone()));
         }
-        let pool = share_of(route, arrival.id).and_then(|name| bundle.pool(name));
+        let pool = choose_pool(route, arrival.id).and_then(|name| configuration.pool(name));
         let Some(pool) = pool else { return Err(refused(Code::NoEngine)) };
         let wait = DurationMs(arrival.wait.0.min(route.timeout_ms));
         let deadline = arrival.arrived.plus(wait);
         if self.draining.is_some_and(|draining| !draining.may_take(deadline, now)) {
             return Err(refused(Code::Draining));
         }
-        if deadline.since(now).0 <= self.engines.best_first_ms(&pool.name) {
+        if deadline.since(now).0 <= self.engines.best_first_byte_ms(&pool.name) {
             return Err(refused(Code::Deadline));
         }
-        if !self.engines.has_usable(&self.view, &pool.name) {
+        if !self.engines.has_usable(&self.fleet, &pool.name) {
             return Err(refused(Code::NoEngine));
         }
-        let room = self.requests.rooms.get(&pool.name);
-        if room.is_some_and(|room| room.queue.len() >= pool.queue_depth as usize) {
+        let budget = self.requests.budgets.get(&pool.name);
+        if budget.is_some_and(|budget| budget.queue.len() >= pool.queue_depth as usize) {
             return Err(refused(Code::QueueFull));
         }
-        let timeout = DurationMs((route.target_latency_ms / 4).max(SHORTEST_WAIT.0));
-        Ok(Judged {
+        let timeout = DurationMs((route.target_latency_ms / 4).max(MIN_QUEUE_WAIT.0));
+        Ok(PassedChecks {
             pool: pool.name.clone(),
-            charge: arrival.cost.unwrap_or(UNSTATED_COST),
+            charge: arrival.cost.unwrap_or(DEFAULT_COST),
             priority: route.priority,
-            give_up_at: arrival.arrived.plus(timeout).min(deadline),
+            wait_deadline: arrival.arrived.plus(timeout).min(deadline),
             terms: Admitted {
                 repeatable: route.is_repeatable(),
                 stream: route.kind == RouteKind::Streaming,
@@ -324,23 +337,26 @@
         })
     }
 
-    /// Gives room to those that wait, in order, and asks for more where it doesn't do.
-    fn serve_room(&mut self, pool: &PoolName, now: MonotonicMs, out: &mut Out) {
-        let (renewed, oldest) = self.blocks_since(now);
-        let unasked = self.unasked(pool, now);
+    /// Admits waiting requests in order while the budget suffices, and requests a block where it
+    /// does not.
+    fn admit_waiting(&mut self, pool: &PoolName, now: MonotonicMs, effects: &mut Outputs) {
+        let (renewed_at, oldest) = self.block_validity(now);
+        let ungranted_allowance = self.ungranted_allowance(pool, now);
         loop {
-            let Some(room) = self.requests.rooms.get_mut(pool) else { return };
-            let Some(id) = room.queue.front().copied() else { return };
+            let Some(budget) = self.requests.budgets.get_mut(pool) else { return };
+            let Some(id) = budget.queue.front().copied() else { return };
             let Some(entry) = self.requests.entries.get_mut(&id) else {
-                room.queue.pop_front();
+                budget.queue.pop_front();
                 continue;
             };
-            if room.used.plus(entry.charge) > room.granted(renewed, oldest).plus(unasked) {
+            if budget.used.plus(entry.charge)
+                > budget.granted(renewed_at, oldest).plus(ungranted_allowance)
+            {
                 let charge = entry.charge;
-                return self.ask_for_block(pool, charge, now, out);
+                return self.request_block(pool, charge, now, effects);
             }
-            room.queue.pop_front();
-            room.hold(entry.charge, now);
+            budget.queue.pop_front();
+            budget.hold(entry.charge, now);
             let chosen = self.choose(id, now);
             let Some(entry) = self.requests.entries.get_mut(&id) else { return };
             let Stage::Waiting(call) = entry.stage else { continue };
@@ -350,96 +366,113 @@
                     entry.terms.chosen = chosen;
                     let value = RelayReturn::Admitted(Box::new(entry.terms.clone()));
                     self.allowed += 1;
-                    out.push(Effect::Return { call, value });
+                    effects.push(Effect::Return { call, value });
                 }
                 None => {
-                    self.forget_request(id, now);
-                    self.refuse_request(call, Code::NoEngine, out);
+                    self.drop_request(id, now);
+                    self.refuse_request(call, Code::NoEngine, effects);
                 }
             }
         }
     }
 
-    /// When blocks were last renewed, and since when one must have been asked for or renewed to be
-    /// used: its counter takes it back only later.
-    fn blocks_since(&self, now: MonotonicMs) -> (MonotonicMs, MonotonicMs) {
-        let stands = self.block_expiry.0 - self.block_expiry.0 / 8;
-        let renewed = self.counting.leased_from().unwrap_or(MonotonicMs(0));
-        (renewed, MonotonicMs(now.0.saturating_sub(stands)))
+    /// When blocks were last renewed, and after which time one must have been requested or renewed
+    /// to be used: the counter takes it back only later.
+    fn block_validity(&self, now: MonotonicMs) -> (MonotonicMs, MonotonicMs) {
+        let valid_ms = self.block_expiry.0 - self.block_expiry.0 / 8;
+        let renewed_at = self.counter.lease_start().unwrap_or(MonotonicMs(0));
+        (renewed_at, MonotonicMs(now.0.saturating_sub(valid_ms)))
     }
 
-    /// What may be held of a pool without a grant: nothing, unless the counter leaves an asking
-    /// unanswered. It changes hands then, and its successor learns what is held with the next
-    /// renewal of what was granted.
-    fn unasked(&self, pool: &PoolName, now: MonotonicMs) -> Tokens {
-        let asked = self.requests.rooms.get(pool).and_then(|room| room.asked);
-        let is_late = asked.is_some_and(|(_, _, at)| now.since(at) >= UNASKED_AFTER);
-        let declared = self.view.spec.as_ref().and_then(|(_, bundle)| bundle.pool(pool));
-        match declared.filter(|_| is_late) {
-            Some(declared) => Tokens(self.view.limit(declared).0 / UNASKED_OF_LIMIT),
+    /// What may be held of a pool without a grant: nothing, unless the counter leaves a request
+    /// unanswered. The counter is then changing hands, and its successor learns what is held with
+    /// the next renewal of the granted holds.
+    fn ungranted_allowance(&self, pool: &PoolName, now: MonotonicMs) -> Tokens {
+        let requested = self.requests.budgets.get(pool).and_then(|budget| budget.requested);
+        let is_late = requested.is_some_and(|(_, _, at)| now.since(at) >= GRANT_TIMEOUT);
+        let pool_configuration =
+            self.fleet.spec.as_ref().and_then(|(_, configuration)| configuration.pool(pool));
+        match pool_configuration.filter(|_| is_late) {
+            Some(pool_configuration) => {
+                Tokens(self.fleet.limit(pool_configuration).0 / UNGRANTED_SHARE_DIVISOR)
+            }
             None => Tokens(0),
         }
     }
 
-    fn ask_for_block(&mut self, pool: &PoolName, least: Tokens, now: MonotonicMs, out: &mut Out) {
-        let Some((_, bundle)) = &self.view.spec else { return };
-        let Some(declared) = bundle.pool(pool) else { return };
-        let limit = self.view.limit(declared);
-        let Some(room) = self.requests.rooms.get_mut(pool) else { return };
-        let due = room.last_ask.is_none_or(|at| now.since(at) >= ASK_EVERY);
-        if room.asked.is_some() || (room.refused && !due) {
+    fn request_block(
+        &mut self,
+        pool: &PoolName,
+        min_tokens: Tokens,
+        now: MonotonicMs,
+        effects: &mut Outputs,
+    ) {
+        let Some((_, configuration)) = &self.fleet.spec else { return };
+        let Some(pool_configuration) = configuration.pool(pool) else { return };
+        let limit = self.fleet.limit(pool_configuration);
+        let Some(budget) = self.requests.budgets.get_mut(pool) else { return };
+        let due = budget.last_request_at.is_none_or(|at| now.since(at) >= BLOCK_RETRY_INTERVAL);
+        if budget.requested.is_some() || (budget.refused && !due) {
             return;
         }
-        // One that was refused asks for no more than it needs.
-        let block =
-            if room.refused { least } else { Tokens(least.0.max(limit.0 / BLOCKS_OF_LIMIT)) };
-        room.last_ask = Some(now);
-        let id = self.ask_hold(pool.clone(), block, HoldKind::Block, now, out);
-        if let Some(room) = self.requests.rooms.get_mut(pool) {
-            room.asked = Some((id, block, now));
+        // After a refusal, only as much as needed is requested.
+        let block = if budget.refused {
+            min_tokens
+        } else {
+            Tokens(min_tokens.0.max(limit.0 / BLOCK_SHARE_DIVISOR))
+        };
+        budget.last_request_at = Some(now);
+        let id = self.request_hold(pool.clone(), block, HoldKind::Block, now, effects);
+        if let Some(budget) = self.requests.budgets.get_mut(pool) {
+            budget.requested = Some((id, block, now));
         }
     }
 
-    /// The counter answered for a block.
-    pub(super) fn block_settled(
+    /// The counter decided on a block.
+    pub(super) fn block_decided(
         &mut self,
         id: HoldId,
         granted: bool,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
-        let found = self.requests.rooms.iter_mut().find_map(|(pool, room)| {
-            let (_, block, asked_at) = room.asked.take_if(|(asked, ..)| *asked == id)?;
-            room.refused = !granted;
+        let found = self.requests.budgets.iter_mut().find_map(|(pool, budget)| {
+            let (_, block, requested_at) =
+                budget.requested.take_if(|(requested, ..)| *requested == id)?;
+            budget.refused = !granted;
             if granted {
-                room.blocks.insert(id, (block, asked_at));
+                budget.blocks.insert(id, (block, requested_at));
             }
             Some(pool.clone())
         });
         if let Some(pool) = found {
-            self.serve_room(&pool, now, out);
+            self.admit_waiting(&pool, now, effects);
         }
     }
 
     fn choose(&mut self, id: PromptId, now: MonotonicMs) -> Option<Chosen> {
         let entry = self.requests.entries.get(&id)?;
-        let wanted = Wanted { pool: &entry.pool, prefix: &entry.prefix, not: &entry.tried };
-        let (target, doubt_after) = self.engines.choose(&self.view, &wanted, self.node, now)?;
-        self.engines.open(&target.engine, &entry.prefix, now);
-        let until = self.routes_until().min(now.plus(HOLDS_FOR)).min(entry.deadline);
+        let query = EngineQuery {
+            pool: &entry.pool,
+            prefix: &entry.prefix,
+            excluded: &entry.tried_engines,
+        };
+        let (target, doubt_after) = self.engines.choose(&self.fleet, &query, self.node, now)?;
+        self.engines.request_started(&target.engine, &entry.prefix, now);
+        let until = self.routes_fresh_until().min(now.plus(DISPATCH_TTL)).min(entry.deadline);
         Some(Chosen { target, until, doubt_after })
     }
 
-    /// Names another engine for a request that one failed or turned away, or whose time to
-    /// dispatch went by.
-    pub(super) fn retry(
+    /// Selects another engine for a request that one failed or turned away, or whose time to be
+    /// sent passed.
+    pub(super) fn retry_request(
         &mut self,
         id: PromptId,
         engine_use: EngineUse,
         now: MonotonicMs,
     ) -> RelayReturn {
         let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
-        if now >= self.routes_until() {
+        if now >= self.routes_fresh_until() {
             return refused(Code::StaleFeed);
         }
         let Some(entry) = self.requests.entries.get_mut(&id) else {
@@ -448,9 +481,9 @@
         let Stage::Held(engine) = &entry.stage else { return refused(Code::Deadline) };
         let engine = engine.clone();
         if engine_use != EngineUse::Unsent {
-            entry.tried.push(engine.clone());
+            entry.tried_engines.push(engine.clone());
         }
-        self.engines.close(&engine, engine_use, now);
+        self.engines.request_ended(&engine, engine_use, now);
         let chosen = self.choose(id, now);
         let Some(entry) = self.requests.entries.get_mut(&id) else {
             return refused(Code::Deadline);
@@ -461,64 +494,64 @@
                 RelayReturn::Chosen(Box::new(chosen))
             }
             None => {
-                // It has no engine any more; what it holds goes with its end.
+                // It has no engine any more; its budget is released when it ends.
                 entry.stage = Stage::Held(EngineName::default());
                 refused(Code::NoEngine)
             }
         }
     }
 
-    /// A request ended, whichever way: its room is free again, once.
+    /// Ends a request, whatever the outcome, and releases its budget exactly once.
     pub(super) fn end_request(
         &mut self,
         id: PromptId,
         engine_use: EngineUse,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
         let Some(entry) = self.requests.entries.remove(&id) else { return };
-        if let Some(room) = self.requests.rooms.get_mut(&entry.pool) {
+        if let Some(budget) = self.requests.budgets.get_mut(&entry.pool) {
             match &entry.stage {
-                Stage::Waiting(_) => room.queue.retain(|other| *other != id),
-                Stage::Held(_) => room.let_go(entry.charge, now),
+                Stage::Waiting(_) => budget.queue.retain(|other| *other != id),
+                Stage::Held(_) => budget.release(entry.charge, now),
             }
         }
         if let Stage::Held(engine) = &entry.stage {
-            self.engines.close(engine, engine_use, now);
+            self.engines.request_ended(engine, engine_use, now);
         }
         if let EngineUse::Whole(first) = engine_use {
-            self.engines.first_word(&entry.pool, first);
+            self.engines.record_first_byte(&entry.pool, first);
         }
-        self.serve_room(&entry.pool, now, out);
+        self.admit_waiting(&entry.pool, now, effects);
     }
 
-    fn forget_request(&mut self, id: PromptId, now: MonotonicMs) {
+    fn drop_request(&mut self, id: PromptId, now: MonotonicMs) {
         let Some(entry) = self.requests.entries.remove(&id) else { return };
-        if let Some(room) = self.requests.rooms.get_mut(&entry.pool) {
-            room.let_go(entry.charge, now);
+        if let Some(budget) = self.requests.budgets.get_mut(&entry.pool) {
+            budget.release(entry.charge, now);
         }
     }
 
-    fn refuse_request(&mut self, call: CallId, code: Code, out: &mut Out) {
-        self.count_refusal(code);
+    fn refuse_request(&mut self, call: CallId, code: Code, effects: &mut Outputs) {
+        self.record_refusal(code);
         let value = RelayReturn::Refused(ApiError::not_run(code));
-        out.push(Effect::Return { call, value });
+        effects.push(Effect::Return { call, value });
     }
 
-    pub(super) fn requests_tick(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn requests_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         self.check_taken_with_time_left(now);
-        self.give_up_waiting(now, out);
-        let pools: Vec<PoolName> = self.requests.rooms.keys().cloned().collect();
+        self.refuse_expired_waiting(now, effects);
+        let pools: Vec<PoolName> = self.requests.budgets.keys().cloned().collect();
         for pool in pools {
-            self.let_block_go(&pool, now, out);
-            self.serve_room(&pool, now, out);
+            self.release_spare_blocks(&pool, now, effects);
+            self.admit_waiting(&pool, now, effects);
         }
     }
 
-    /// Checks, once a drain's time to serve is over, that nothing is left of what was taken late.
+    /// Checks, once a drain's serving phase is over, that no request admitted late is left.
     fn check_taken_with_time_left(&mut self, now: MonotonicMs) {
         let Some(draining) = self.draining else { return };
-        if self.requests.drain_checked || now < draining.serves_until().plus(END_TOLD_WITHIN) {
+        if self.requests.drain_checked || now < draining.serves_until().plus(END_REPORT_TIMEOUT) {
             return;
         }
         self.requests.drain_checked = true;
@@ -528,69 +561,69 @@
         invariants::check(left == 0, Invariant::TakenWithTimeLeft, || format!("left={left}"));
     }
 
-    /// Those that waited as long as it makes sense get their final answer at once.
-    fn give_up_waiting(&mut self, now: MonotonicMs, out: &mut Out) {
-        let stale = now >= self.routes_until();
-        let no_counter = self.requests.unanswered(now);
-        let mut late = Vec::new();
-        for room in self.requests.rooms.values_mut() {
-            let refused = room.refused;
+    /// Refuses, at once and for good, the requests that have waited too long.
+    fn refuse_expired_waiting(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        let stale = now >= self.routes_fresh_until();
+        let counter_timed_out = self.requests.counter_timed_out(now);
+        let mut expired = Vec::new();
+        for budget in self.requests.budgets.values_mut() {
+            let refused = budget.refused;
             let entries = &self.requests.entries;
-            room.queue.retain(|id| {
+            budget.queue.retain(|id| {
                 let Some(entry) = entries.get(id) else { return false };
-                if !stale && now < entry.give_up_at {
+                if !stale && now < entry.wait_deadline {
                     return true;
                 }
                 let code = match (stale, now >= entry.deadline) {
                     (true, _) => Code::StaleFeed,
                     (_, true) => Code::Deadline,
-                    _ if no_counter || !refused => Code::NoCounter,
+                    _ if counter_timed_out || !refused => Code::NoCounter,
                     _ => Code::Budget,
                 };
-                late.push((*id, code));
+                expired.push((*id, code));
                 false
             });
         }
-        for (id, code) in late {
+        for (id, code) in expired {
             let Some(entry) = self.requests.entries.remove(&id) else { continue };
             if let Stage::Waiting(call) = entry.stage {
-                self.refuse_request(call, code, out);
+                self.refuse_request(call, code, effects);
             }
         }
     }
 
-    /// Lets blocks go that were not needed lately, and all of a pool that is gone.
-    fn let_block_go(&mut self, pool: &PoolName, now: MonotonicMs, out: &mut Out) {
-        let is_known = self.view.spec.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
-        let Some(room) = self.requests.rooms.get_mut(pool) else { return };
-        if now.since(room.span_began) < PEAK_SPAN {
+    /// Releases blocks that were not needed recently, and all blocks of a removed pool.
+    fn release_spare_blocks(&mut self, pool: &PoolName, now: MonotonicMs, effects: &mut Outputs) {
+        let is_known = self.fleet.spec.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
+        let Some(budget) = self.requests.budgets.get_mut(pool) else { return };
+        if now.since(budget.window_started_at) < PEAK_WINDOW {
             return;
         }
-        room.span_began = now;
-        let needed = room.peaks[0].max(room.peaks[1]);
-        room.peaks = [room.used, room.peaks[0]];
-        if room.blocks.is_empty() && !is_known && room.queue.is_empty() {
-            self.requests.rooms.remove(pool);
+        budget.window_started_at = now;
+        let needed = budget.peaks[0].max(budget.peaks[1]);
+        budget.peaks = [budget.used, budget.peaks[0]];
+        if budget.blocks.is_empty() && !is_known && budget.queue.is_empty() {
+            self.requests.budgets.remove(pool);
             return;
         }
-        let mut granted: Tokens = room.blocks.values().map(|(block, _)| *block).sum();
+        let mut granted: Tokens = budget.blocks.values().map(|(block, _)| *block).sum();
         let mut spare = Vec::new();
-        for (id, (block, _)) in &room.blocks {
-            // One block more than needed stays, so that a usual swing asks for nothing.
+        for (id, (block, _)) in &budget.blocks {
+            // One block more than needed is kept, so that a usual fluctuation needs no request.
             if granted.0 >= needed.0 + 2 * block.0 || (needed.0 == 0 && !is_known) {
                 granted = Tokens(granted.0 - block.0);
                 spare.push(*id);
             }
         }
         for id in &spare {
-            room.blocks.remove(id);
+            budget.blocks.remove(id);
         }
-        spare.into_iter().for_each(|id| self.release_hold(id, out));
+        spare.into_iter().for_each(|id| self.release_hold(id, effects));
     }
 }
 
 /// The pool that a request goes to, by the weights of its route.
-fn share_of(route: &topazyard_spec::Route, id: PromptId) -> Option<&PoolName> {
+fn choose_pool(route: &topazyard_spec::Route, id: PromptId) -> Option<&PoolName> {
     let total: u64 = route.pools.iter().map(|share| u64::from(share.weight)).sum();
     if total == 0 {
         return None;
--- a/programs/topazyard-relay/src/machine/routed_items.rs
+++ b/programs/topazyard-relay/src/machine/routed_items.rs
@@ -1,35 +1,36 @@
-//! What a routed item's run needs, and choices that depend on its route alone.
+//! The data of a routed item's run, and the decisions that depend on its route alone.
 
 use super::Target;
 use topazyard_spec::Route;
 use topazyard_types::{DurationMs, PoolName};
 use topazyard_wire::message::batch::{Directions, Progress, Run};
 
-/// The shortest silence after which an engine counts as gone.
-const SHORTEST_SILENCE_MS: u64 = 2_000;
-/// So many of a route's longest pauses are a silence.
-const PAUSES: u64 = 8;
+/// Minimum time without a byte after which an engine counts as unresponsive.
+const MIN_SILENCE_MS: u64 = 2_000;
+/// A silence of this many times the route's longest pause means an unresponsive engine.
+const SILENCE_PAUSES: u64 = 8;
 
-/// A routed item on its way to an engine.
+/// A routed item to be run at an engine.
 #[derive(Debug, Clone)]
 pub struct RoutedRun {
     /// The run.
     pub run: Run,
-    /// Where.
+    /// The engine.
     pub target: Target,
     /// How it is sent.
     pub directions: Directions,
-    /// The host that it names.
+    /// The value of the host header.
     pub host: String,
     /// The body, byte for byte.
     pub body: bytes::Bytes,
-    /// What an earlier run brought.
+    /// The progress of an earlier run.
     pub progress: Progress,
-    /// After how long without a byte from the engine the run is broken off.
+    /// Time without a byte from the engine after which the run is aborted.
     pub silence: DurationMs,
 }
 
-/// The pool that an item's run goes to: by the weights, the same for each run of the item.
+/// The pool that an item's run goes to, chosen by the route's weights; the same for each run of the
+/// item.
 ///
 /// ```
 /// # let text = r#"{"name":"r","host":"a","path_prefix":"/","kind":"batch","timeout_ms":1,
@@ -56,8 +57,8 @@
     None
 }
 
-/// After how long without a byte an engine counts as gone for an item of a route.
-pub(super) fn silence_of(route: &Route) -> DurationMs {
+/// Time without a byte after which an engine counts as unresponsive for an item of a route.
+pub(super) fn silence_timeout(route: &Route) -> DurationMs {
     let due = route.batch.as_ref().map_or(0, |terms| terms.run_target_ms / 4);
-    DurationMs(SHORTEST_SILENCE_MS.max(PAUSES * route.longest_pause_ms).max(due))
+    DurationMs(MIN_SILENCE_MS.max(SILENCE_PAUSES * route.longest_pause_ms).max(due))
 }
--- a/programs/topazyard-relay/src/prompt/chart.rs
+++ b/programs/topazyard-relay/src/prompt/chart.rs
@@ -1,5 +1,5 @@
-//! The state chart of a prompt. It alone decides what a failure means: whether another engine may
-//! be tried, what the client is told, or that the return must break off.
+//! The state machine of a request. It alone decides what a failure means: whether another engine
+//! may be tried, which error the client gets, or that the client's connection must be closed.
 //!
 //! ```text
 //! Arrived -> Waiting -> Held -> Dispatched -> Relaying -> Whole
@@ -12,80 +12,80 @@
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::invariants::{self, Invariant};
 
-/// Where a prompt is on its way.
+/// The state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It arrived and nothing was decided.
+    /// Arrived; not checked yet.
     Arrived,
-    /// It waits for room.
+    /// Waiting for budget.
     Waiting,
-    /// It holds its cost and has an engine; nothing was sent.
+    /// Holds its cost and has an engine; nothing was sent.
     Held,
     /// Its bytes may have reached the engine.
     Dispatched,
-    /// Part of the return may have reached the client.
+    /// Part of the response may have reached the client.
     Relaying,
-    /// The whole return was relayed.
+    /// The complete response was relayed.
     Whole,
-    /// The return broke off, and the client's connection with it.
+    /// The response was cut off, and the client's connection with it.
     Cut,
-    /// It got an error for its final answer.
+    /// Ended with an error as the final response.
     Refused,
 }
 
-/// What can go wrong with an engine.
+/// The ways in which an engine can fail a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be made; nothing was sent.
     NotConnected,
-    /// The connection broke, or the return made no sense.
+    /// The connection was lost, or the response was invalid.
     Broken,
-    /// What came in the place of the return belongs to no request that was sent.
+    /// The response belongs to no request that was sent on this connection.
     Foreign,
-    /// The engine said that it failed.
+    /// The engine reported an error.
     Failed,
-    /// Nothing came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The engine said that it did not run it, and never will.
+    /// The engine reported that it did not run the request and never will.
     TurnedAway,
 }
 
-/// What is to be done about a failure.
+/// What to do about a failure.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Next {
     /// Try another engine.
     Another,
-    /// Give this as the final answer, at once.
+    /// Send this error as the final response at once.
     Answer(ApiError),
-    /// Break the client's connection.
+    /// Close the client's connection.
     Break,
 }
 
-/// How often a prompt without a route may be sent to an engine, and any may find one that takes no
-/// connection.
+/// Maximum attempts of a request without a route, and the minimum that any request has for engines
+/// that accept no connection.
 const MOST_TRIES: u32 = 3;
 
-/// A prompt's way.
+/// The state machine of one request.
 #[derive(Debug)]
 pub struct Chart {
     state: State,
     repeatable: bool,
-    /// Whether a return that was begun may be gone on with from another engine.
+    /// Whether a response that has begun may be continued from another engine.
     resumable: bool,
     deadline: MonotonicMs,
     most_tries: u32,
     tries: u32,
     unconnected: u32,
-    /// Whether any try may have run.
+    /// Whether any attempt may have run.
     sent: bool,
-    /// Whether an earlier try than the present one may have run.
+    /// Whether an attempt before the current one may have run.
     sent_before: bool,
-    /// Whether a head was relayed.
+    /// Whether a response head was relayed.
     begun: bool,
 }
 
 impl Chart {
-    /// A prompt that has just arrived.
+    /// A request that has just arrived.
     ///
     /// ```
     /// use topazyard_relay::prompt::{Chart, Failure, Next, State};
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A request on a route that has just been let in: what its route says decides.
+    /// A request admitted on a route; the route's settings decide about attempts.
     ///
     /// ```
     /// use topazyard_relay::prompt::{Chart, Failure, Next};
@@ -139,7 +139,7 @@
         Self { resumable, most_tries, ..Self::arrived(repeatable, deadline) }
     }
 
-    /// Where it is.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
@@ -153,18 +153,18 @@
         self.state = to;
     }
 
-    /// It goes to the queue.
+    /// Enters the queue.
     pub fn wait(&mut self) {
         self.change(&[State::Arrived], State::Waiting);
     }
 
-    /// It holds its cost and has an engine.
+    /// Holds its cost and has an engine.
     pub fn hold(&mut self) {
         let before = [State::Waiting, State::Held, State::Dispatched, State::Relaying];
         self.change(&before, State::Held);
     }
 
-    /// Its bytes go out with the next step.
+    /// Its bytes are sent with the next step.
     pub fn dispatch(&mut self) {
         self.tries += 1;
         self.sent_before = self.sent;
@@ -172,25 +172,25 @@
         self.change(&[State::Held], State::Dispatched);
     }
 
-    /// Its bytes did not go out after all: the connection was closed before the first of them.
+    /// Takes the last dispatch back: the connection was closed before the first byte was sent.
     pub fn unsent(&mut self) {
         self.tries -= 1;
         self.sent = self.sent_before;
         self.change(&[State::Dispatched], State::Held);
     }
 
-    /// The head of the return is here and goes to the client.
+    /// The head of the response arrived and is relayed to the client.
     pub fn relay(&mut self) {
         self.begun = true;
         self.change(&[State::Dispatched], State::Relaying);
     }
 
-    /// The whole return was relayed.
+    /// The complete response was relayed.
     pub fn complete(&mut self) {
         self.change(&[State::Relaying], State::Whole);
     }
 
-    /// It is refused with this error, which is made to say so if an earlier try was sent.
+    /// Refuses the request with this error, marked as possibly run if any attempt may have run.
     pub fn refuse(&mut self, error: ApiError) -> ApiError {
         let before = [State::Arrived, State::Waiting, State::Held, State::Dispatched];
         self.change(&before, State::Refused);
@@ -202,20 +202,20 @@
         self.tries >= self.most_tries
     }
 
-    /// For how long the head of the return may be waited for. A prompt that may be repeated
-    /// leaves time for another try.
+    /// How long to wait for the head of the response. A request that may be repeated leaves time
+    /// for another attempt.
     pub fn timeout(&self, now: MonotonicMs) -> DurationMs {
         let left = self.deadline.since(now);
         let last = !self.repeatable || self.tries >= self.most_tries;
         if last { left } else { DurationMs(left.0 / 2) }
     }
 
-    /// Whether a head was relayed, so that what follows can only go on or break off.
+    /// Whether a response head was relayed, so that the response can only be continued or cut off.
     pub fn is_begun(&self) -> bool {
         self.begun
     }
 
-    /// What a failure means here.
+    /// Decides what a failure means in the current state.
     pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> Next {
         let in_time = now < self.deadline;
         match self.state {
--- a/programs/topazyard-relay/src/prompt/mod.rs
+++ b/programs/topazyard-relay/src/prompt/mod.rs
@@ -1,4 +1,4 @@
-//! A prompt's way through the relay.
+//! The processing of one request, independent of I/O.
 
 pub mod chart;
 
