--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -163,7 +163,7 @@
             Effect::Note { text, .. } => self.note(index, &text),
             // The platform hands the list of engines in.
             Effect::Start(topazyard_control::ControlTask::ListEngines) => {}
-            Effect::Start(topazyard_control::ControlTask::AskLoads(engines)) => {
+            Effect::Start(topazyard_control::ControlTask::FetchLoads(engines)) => {
                 let life = self.nodes[index.0].life;
                 let names = engines.into_iter().map(|engine| engine.name).collect();
                 let us = 2 * self.way();
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/roll.rs
@@ -1,51 +1,52 @@
 //! What is known of each member.
 
 use topazyard_types::{MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{News, Standing};
+use topazyard_wire::message::membership::{MemberStatus, MemberUpdate};
 
 /// A member as it is known here.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownMember {
     /// The newest news of it.
-    pub news: News,
+    pub update: MemberUpdate,
     /// Since when it stands so.
     pub since: MonotonicMs,
 }
 
 /// Whether news goes before what is known.
-pub(crate) fn is_newer(news: &News, known: &News) -> bool {
-    (news.incarnation, news.standing) > (known.incarnation, known.standing)
+pub(crate) fn is_newer(update: &MemberUpdate, known: &MemberUpdate) -> bool {
+    (update.incarnation, update.status) > (known.incarnation, known.status)
 }
 
 /// All members known, in the order in which they were learned.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Roll {
-    pub(crate) members: indexmap::IndexMap<NodeId, Known>,
+    pub(crate) members: indexmap::IndexMap<NodeId, KnownMember>,
 }
 
 impl Roll {
     /// Takes news; gives whether it was new.
-    pub(crate) fn take(&mut self, news: &News, now: MonotonicMs) -> bool {
-        if let Some(known) = self.members.get_mut(&news.member.id) {
-            if !is_newer(news, &known.news) {
+    pub(crate) fn take(&mut self, update: &MemberUpdate, now: MonotonicMs) -> bool {
+        if let Some(known) = self.members.get_mut(&update.member.id) {
+            if !is_newer(update, &known.update) {
                 return false;
             }
-            *known = Known { news: news.clone(), since: now };
+            *known = KnownMember { update: update.clone(), since: now };
         } else {
-            self.members.insert(news.member.id, Known { news: news.clone(), since: now });
+            self.members
+                .insert(update.member.id, KnownMember { update: update.clone(), since: now });
         }
         true
     }
 
     /// Members at the same address under another id: an address has one process at a time.
-    pub(crate) fn overtaken_by(&self, news: &News) -> Vec<NodeId> {
+    pub(crate) fn overtaken_by(&self, update: &MemberUpdate) -> Vec<NodeId> {
         self.members
             .values()
-            .map(|known| &known.news)
+            .map(|known| &known.update)
             .filter(|other| {
-                other.member.address == news.member.address
-                    && other.member.id != news.member.id
-                    && other.standing != Standing::Removed
+                other.member.address == update.member.address
+                    && other.member.id != update.member.id
+                    && other.status != MemberStatus::Removed
             })
             .map(|other| other.member.id)
             .collect()
@@ -55,20 +56,20 @@
     pub(crate) fn restand(
         &mut self,
         id: NodeId,
-        standing: Standing,
+        status: MemberStatus,
         now: MonotonicMs,
-    ) -> Option<News> {
+    ) -> Option<MemberUpdate> {
         let known = self.members.get_mut(&id)?;
-        if known.news.standing >= standing {
+        if known.update.status >= status {
             return None;
         }
-        known.news.standing = standing;
+        known.update.status = status;
         known.since = now;
-        Some(known.news.clone())
+        Some(known.update.clone())
     }
 
     /// Members that are not removed.
-    pub(crate) fn present(&self) -> impl Iterator<Item = &Known> {
-        self.members.values().filter(|known| known.news.standing != Standing::Removed)
+    pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
+        self.members.values().filter(|known| known.update.status != MemberStatus::Removed)
     }
 }
--- a/libraries/topazyard-replication/tests/comparing.rs
+++ b/libraries/topazyard-replication/tests/comparing.rs
@@ -1,10 +1,10 @@
 //! Comparisons: a copy that is brought in step is the old one or the new one, never part of both.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{BootId, Epoch, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
-use topazyard_wire::message::replica::{Follows, RangePart, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::replica::{FollowerRole, RangePart, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange};
 
 const NOW: MonotonicMs = MonotonicMs(10_000);
@@ -17,8 +17,8 @@
     CoreNode { id: NodeId(id), address }
 }
 
-fn from(id: u64) -> From {
-    From { id: NodeId(id), address: node(id).address }
+fn from(id: u64) -> Sender {
+    Sender { id: NodeId(id), address: node(id).address }
 }
 
 /// A copy whose rows all name the same batch.
@@ -38,7 +38,7 @@
             None => drop(rows.remove(&change.key)),
         }
     }
-    Copy::loaded(rows)
+    Copy::from_rows(rows)
 }
 
 fn batches_in(copy: &Copy) -> std::collections::BTreeSet<Vec<u8>> {
@@ -57,13 +57,14 @@
 impl Filling {
     fn new(source: Copy, learner: Copy) -> Self {
         let mut filling = Self {
-            primary: Replica::new(Group::Control, true, source, Life(4 << 40)),
-            learner: Replica::new(Group::Control, true, learner, Life(9 << 40)),
+            primary: Replica::new(Group::Control, true, source, BootId(4 << 40)),
+            learner: Replica::new(Group::Control, true, learner, BootId(9 << 40)),
             writes: Vec::new(),
             at_learner: Default::default(),
             is_ready: false,
         };
-        let followers = Followers { backups: Vec::new(), learners: vec![node(2)], answers: false };
+        let followers =
+            Followers { backups: Vec::new(), learners: vec![node(2)], may_serve: false };
         filling.learner.become_follower(Epoch(2), NodeId(1), NOW);
         let out = filling.primary.become_primary(Epoch(2), followers, NOW);
         filling.take_primary(out);
@@ -90,7 +91,7 @@
                 match output {
                     ReplicaOutput::Write(token, rows) => {
                         self.writes.push(rows);
-                        more.extend(self.learner.written(token.number));
+                        more.extend(self.learner.write_synced(token.number));
                     }
                     ReplicaOutput::Send(_, message) => {
                         let out = self.primary.receive(from(2), message, NOW);
@@ -140,7 +141,7 @@
         }
     }
     assert_eq!(filling.learner.copy().rows(), old.rows());
-    assert_eq!(filling.learner.copy().place().epoch, Epoch(1));
+    assert_eq!(filling.learner.copy().position().epoch, Epoch(1));
 }
 
 #[test]
@@ -211,7 +212,7 @@
 /// A frame of the primary's former life fits the sequence by chance, and is not of this life.
 #[test]
 fn a_batch_of_a_former_life_of_the_primary_is_not_taken() {
-    let mut backup = Replica::new(Group::Control, false, copy_of(1), Life(9 << 40));
+    let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
     let held = copy_of(1);
@@ -219,13 +220,13 @@
         round: 7 << 40,
         sequence: Sequence(1),
         digests: held.digests().to_vec(),
-        of: Follows::AsBackup,
+        of: FollowerRole::Backup,
     };
     let out = backup.receive(from(1), message(digests), NOW);
     let in_step = |output: &ReplicaOutput| {
         matches!(
             output,
-            ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::InStep { .. }, .. })
+            ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::InSync { .. }, .. })
         )
     };
     assert!(out.iter().any(in_step), "{out:?}");
@@ -236,20 +237,20 @@
     };
     backup.receive(from(1), message(late), NOW);
     assert_eq!(backup.copy().rows(), held.rows());
-    assert_eq!(backup.copy().place(), Place { epoch: Epoch(1), sequence: Sequence(1) });
+    assert_eq!(backup.copy().position(), LogPosition { epoch: Epoch(1), sequence: Sequence(1) });
     let next = ReplicaBody::Append {
         round: (7 << 40) + 1,
         sequence: Sequence(2),
         changes: vec![RowChange::put("row 1", &9_u8)],
     };
     backup.receive(from(1), message(next), NOW);
-    assert_eq!(backup.copy().place().sequence, Sequence(2));
+    assert_eq!(backup.copy().position().sequence, Sequence(2));
 }
 
 /// Digests that come again late must not keep a backup from following.
 #[test]
 fn digests_that_come_twice_do_not_stop_a_backup() {
-    let mut backup = Replica::new(Group::Control, false, copy_of(1), Life(9 << 40));
+    let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
     let append = |round: u64, sequence: u64| ReplicaBody::Append {
@@ -261,7 +262,7 @@
         round: 100,
         sequence: Sequence(1),
         digests: copy_of(1).digests().to_vec(),
-        of: Follows::AsBackup,
+        of: FollowerRole::Backup,
     };
     backup.receive(from(1), message(digests.clone()), NOW);
     backup.receive(from(1), message(append(101, 2)), NOW);
@@ -274,5 +275,5 @@
         )
     };
     assert!(out.iter().any(taken), "{out:?}");
-    assert_eq!(backup.copy().place().sequence, Sequence(3));
+    assert_eq!(backup.copy().position().sequence, Sequence(3));
 }
--- a/libraries/topazyard-replication/tests/epochs.rs
+++ b/libraries/topazyard-replication/tests/epochs.rs
@@ -1,8 +1,8 @@
 //! Epochs: decided once, whoever proposes, restarts or is outbid.
 
 use topazyard_replication::Witness;
-use topazyard_replication::epoch::{Proposal, Step};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
+use topazyard_replication::epoch::{Proposal, ProposalStep};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
 
 fn node(id: u64) -> CoreNode {
@@ -50,8 +50,8 @@
         let mut lives = [10_u64, 20];
         let records = [wanted(1, 3), wanted(2, 3)];
         let begin = |who: usize, lives: &[u64; 2], now, record: &EpochRecord| {
-            let (me, life) = (NodeId(who as u64 + 1), Life(lives[who]));
-            Proposal::begin(me, life, first(), record.clone(), now)
+            let (me, boot_id) = (NodeId(who as u64 + 1), BootId(lives[who]));
+            Proposal::begin(me, boot_id, first(), record.clone(), now)
         };
         let mut proposals: Vec<(Proposal, CoreMessage)> =
             (0..2).map(|who| begin(who, &lives, now, &records[who])).collect();
@@ -67,7 +67,9 @@
                     proposals[who] = begin(who, &lives, now, &other);
                 }
                 7 => {
-                    if let Step::Say(message) = proposals[who].0.tick(MonotonicMs(now.0 + 2_000)) {
+                    if let ProposalStep::Broadcast(message) =
+                        proposals[who].0.tick(MonotonicMs(now.0 + 2_000))
+                    {
                         proposals[who].1 = message;
                     }
                 }
@@ -77,9 +79,9 @@
                     let Some(say) = answer(&mut witnesses[which], &message) else { continue };
                     let from = NodeId(which as u64 + 1);
                     match proposals[who].0.receive(from, &say, now) {
-                        Step::Wait => {}
-                        Step::Say(message) => proposals[who].1 = message,
-                        Step::Decided(record) => decided.push(record),
+                        ProposalStep::Wait => {}
+                        ProposalStep::Broadcast(message) => proposals[who].1 = message,
+                        ProposalStep::Decided(record) => decided.push(record),
                     }
                 }
             }
@@ -93,7 +95,7 @@
     let mut witness = Witness::default();
     witness.learn(&first());
     witness.learn(&wanted(2, 3));
-    let (_, message) = Proposal::begin(NodeId(1), Life(1), first(), wanted(1, 3), MonotonicMs(0));
+    let (_, message) = Proposal::begin(NodeId(1), BootId(1), first(), wanted(1, 3), MonotonicMs(0));
     assert_eq!(answer(&mut witness, &message), None);
 }
 
@@ -110,11 +112,11 @@
     let ballot = |round| topazyard_wire::message::control::Ballot {
         round,
         proposer: NodeId(1),
-        life: Life(1),
+        boot_id: BootId(1),
     };
     let (changes, _) = witness.prepare(&first(), ballot(5)).expect("an answer");
     keep(changes);
-    let mut again = Witness::loaded(&rows);
+    let mut again = Witness::from_rows(&rows);
     let refused = again.accept(&first(), ballot(4), wanted(1, 3));
-    assert!(matches!(refused, Some((_, CoreMessage::Outbid { .. }))));
+    assert!(matches!(refused, Some((_, CoreMessage::Rejected { .. }))));
 }
--- a/libraries/topazyard-replication/tests/replicas.rs
+++ b/libraries/topazyard-replication/tests/replicas.rs
@@ -1,8 +1,8 @@
 //! Pairs: nothing is committed that the backup has not synced in the same epoch.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange};
@@ -15,11 +15,11 @@
 }
 
 fn backed_by(backup: u64) -> Followers {
-    Followers { backups: vec![node(backup)], learners: Vec::new(), answers: true }
+    Followers { backups: vec![node(backup)], learners: Vec::new(), may_serve: true }
 }
 
 fn filling(learner: u64) -> Followers {
-    Followers { backups: Vec::new(), learners: vec![node(learner)], answers: false }
+    Followers { backups: Vec::new(), learners: vec![node(learner)], may_serve: false }
 }
 
 struct Two {
@@ -30,7 +30,8 @@
 
 impl Two {
     fn new(durable: bool) -> Self {
-        let replica = |life| Replica::new(Group::Control, durable, Copy::default(), Life(life));
+        let replica =
+            |boot_id| Replica::new(Group::Control, durable, Copy::default(), BootId(boot_id));
         let mut two =
             Self { primary: replica(4 << 30), backup: replica(9 << 30), committed: Vec::new() };
         two.backup.become_follower(Epoch(1), NodeId(1), NOW);
@@ -47,11 +48,11 @@
             for output in std::mem::take(&mut at_primary) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
-                        let from = From { id: NodeId(1), address: node(1).address };
+                        let from = Sender { id: NodeId(1), address: node(1).address };
                         at_backup.extend(self.backup.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) => {
-                        at_primary.extend(self.primary.written(token.number));
+                        at_primary.extend(self.primary.write_synced(token.number));
                     }
                     ReplicaOutput::Committed(tickets) => self.committed.extend(tickets),
                     _ => {}
@@ -60,11 +61,11 @@
             for output in std::mem::take(&mut at_backup) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
-                        let from = From { id: NodeId(2), address: node(2).address };
+                        let from = Sender { id: NodeId(2), address: node(2).address };
                         at_primary.extend(self.primary.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) if backup_syncs => {
-                        at_backup.extend(self.backup.written(token.number));
+                        at_backup.extend(self.backup.write_synced(token.number));
                     }
                     _ => {}
                 }
@@ -74,7 +75,7 @@
 
     fn submit(&mut self, ticket: u64, key: &str, backup_syncs: bool) {
         assert!(self.primary.submit(ticket, vec![RowChange::put(key, &1_u8)]));
-        let out = self.primary.proceed(NOW);
+        let out = self.primary.start_next_batch(NOW);
         self.run(backup_syncs, out, NOW);
     }
 }
@@ -105,19 +106,19 @@
     let out = two.primary.become_primary(Epoch(2), backed_by(2), NOW);
     two.backup.become_follower(Epoch(2), NodeId(1), NOW);
     two.run(true, out, NOW);
-    let place = two.backup.copy().place();
+    let position = two.backup.copy().position();
     let late = ReplicaMessage {
         group: Group::Control,
         epoch: Epoch(1),
         body: ReplicaBody::Append {
             round: 1,
-            sequence: place.sequence.next(),
+            sequence: position.sequence.next(),
             changes: vec![RowChange::put("late", &1_u8)],
         },
     };
-    let from = From { id: NodeId(1), address: node(1).address };
+    let from = Sender { id: NodeId(1), address: node(1).address };
     assert!(two.backup.receive(from, late, NOW).is_empty());
-    assert_eq!(two.backup.copy().place(), place);
+    assert_eq!(two.backup.copy().position(), position);
 }
 
 #[test]
@@ -126,12 +127,12 @@
     two.submit(1, "a", false);
     // The primary restarts with the same epoch; its disk had synced the change.
     let rows = two.primary.copy().rows().clone();
-    let copy = Copy::loaded(rows);
-    two.primary = Replica::new(Group::Control, true, copy, Life(77 << 30));
+    let copy = Copy::from_rows(rows);
+    two.primary = Replica::new(Group::Control, true, copy, BootId(77 << 30));
     two.primary.become_primary(Epoch(1), backed_by(2), NOW);
     assert!(two.primary.submit(2, vec![RowChange::put("b", &1_u8)]));
     // Every confirmation that the backup could still owe the former life arrives now.
-    let from = From { id: NodeId(2), address: node(2).address };
+    let from = Sender { id: NodeId(2), address: node(2).address };
     for round in (4_u64 << 29)..(4 << 29) + 50 {
         let body = ReplicaBody::Appended { round };
         let message = ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
@@ -149,11 +150,11 @@
                 let change = RowChange::put(format!("row/{key}"), value);
                 (change.key, change.value.expect("a value"))
             });
-            Copy::loaded(rows.collect())
+            Copy::from_rows(rows.collect())
         };
         let mut two = Two::new(true);
-        two.primary = Replica::new(Group::Control, true, copy(ours), Life(3 << 30));
-        two.backup = Replica::new(Group::Control, true, copy(theirs), Life(5 << 30));
+        two.primary = Replica::new(Group::Control, true, copy(ours), BootId(3 << 30));
+        two.backup = Replica::new(Group::Control, true, copy(theirs), BootId(5 << 30));
         two.backup.become_follower(Epoch(1), NodeId(1), NOW);
         let out = two.primary.become_primary(Epoch(1), backed_by(2), NOW);
         two.run(true, out, NOW);
@@ -166,7 +167,7 @@
 fn a_learner_is_ready_only_with_everything_and_stops_the_primary() {
     let mut two = Two::new(true);
     two.submit(1, "a", true);
-    let mut learner = Replica::new(Group::Control, true, Copy::default(), Life(6 << 30));
+    let mut learner = Replica::new(Group::Control, true, Copy::default(), BootId(6 << 30));
     learner.become_follower(Epoch(2), NodeId(1), NOW);
     two.backup.become_idle(Epoch(2));
     let mut out = two.primary.become_primary(Epoch(2), filling(3), NOW);
@@ -176,7 +177,7 @@
         for output in std::mem::take(&mut out) {
             match output {
                 ReplicaOutput::Send(_, message) => {
-                    let from = From { id: NodeId(1), address: node(1).address };
+                    let from = Sender { id: NodeId(1), address: node(1).address };
                     back.extend(learner.receive(from, message, NOW));
                 }
                 ReplicaOutput::LearnersReady => {
@@ -188,10 +189,10 @@
         while let Some(output) = back.pop() {
             match output {
                 ReplicaOutput::Send(_, message) => {
-                    let from = From { id: NodeId(3), address: node(3).address };
+                    let from = Sender { id: NodeId(3), address: node(3).address };
                     out.extend(two.primary.receive(from, message, NOW));
                 }
-                ReplicaOutput::Write(token, _) => back.extend(learner.written(token.number)),
+                ReplicaOutput::Write(token, _) => back.extend(learner.write_synced(token.number)),
                 _ => {}
             }
         }
--- a/programs/topazyard-control/src/outside.rs
+++ b/programs/topazyard-control/src/external.rs
@@ -8,38 +8,38 @@
 pub type Handle = topazyard_wire::driver::Handle<crate::ControlMachine>;
 
 /// Speaks for a control node. It translates and decides nothing.
-pub trait Outside: Send + 'static {
+pub trait ExternalInterface: Send + 'static {
     /// Answers an HTTP request at the node's address.
-    fn answer(
+    fn respond(
         handle: Handle,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> impl Future<Output = hyper::Response<Body>> + Send + 'static;
 
     /// How often the list of engines is to be read; none where it is handed in.
-    fn list_every(&self) -> Option<topazyard_types::DurationMs>;
+    fn engine_list_interval(&self) -> Option<topazyard_types::DurationMs>;
 
     /// Reads the whole list of engines; none if it can't be read whole.
     fn list_engines(&mut self) -> impl Future<Output = Option<Vec<topazyard_spec::Engine>>> + Send;
 
     /// Asks engines for their load; those that don't say it are left out.
-    fn ask_loads(
+    fn fetch_loads(
         engines: Vec<topazyard_spec::Engine>,
     ) -> impl Future<Output = Vec<EngineLoad>> + Send + 'static;
 }
 
 /// The product's own interface.
 #[derive(Debug)]
-pub struct OwnInterface;
+pub struct DefaultInterface;
 
-impl Outside for OwnInterface {
-    fn answer(
+impl ExternalInterface for DefaultInterface {
+    fn respond(
         handle: Handle,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> impl Future<Output = hyper::Response<Body>> + Send + 'static {
-        crate::http::answer(handle, request)
+        crate::http::respond(handle, request)
     }
 
-    fn list_every(&self) -> Option<topazyard_types::DurationMs> {
+    fn engine_list_interval(&self) -> Option<topazyard_types::DurationMs> {
         None
     }
 
@@ -47,7 +47,7 @@
         None
     }
 
-    async fn ask_loads(engines: Vec<topazyard_spec::Engine>) -> Vec<EngineLoad> {
+    async fn fetch_loads(engines: Vec<topazyard_spec::Engine>) -> Vec<EngineLoad> {
         crate::engine_load::ask(&engines).await
     }
 }
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP for operators and the platform.
 
-use topazyard_types::{NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
@@ -11,7 +11,7 @@
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmitBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     bundle: &'a serde_json::value::RawValue,
 }
@@ -19,7 +19,7 @@
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PatchBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     patch: &'a serde_json::value::RawValue,
 }
@@ -31,7 +31,7 @@
 }
 
 /// Answers one request of an operator or the platform.
-pub async fn answer(
+pub async fn respond(
     handle: topazyard_wire::driver::Handle<crate::ControlMachine>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
@@ -40,7 +40,7 @@
         return returned(handle.call(crate::ControlCall::Health).await);
     }
     let operate = match topazyard_wire::http::inward::read_body(body, MOST_BYTES).await {
-        Ok(body) => understand(&head.method, head.uri.path(), &body),
+        Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
     let outcome = match operate {
@@ -65,14 +65,14 @@
 /// ```
 /// use topazyard_control::http::understand;
 /// use topazyard_wire::message::operate::{Operate, Query};
-/// let asked = understand(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(asked, Ok(Operate::Query(Query::ReadSpec(None))));
-/// assert!(understand(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
+/// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
+/// assert_eq!(asked, Ok(Operate::Query(Query::ReadConfiguration(None))));
+/// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
 /// # Errors
 /// A path that does not exist, or a malformed part of the request.
-pub fn understand(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
+pub fn parse_request(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let query = |query| Ok(Operate::Query(query));
     let command = |command| Ok(Operate::Command(command));
@@ -80,7 +80,7 @@
         ("POST", ["specs"]) => {
             let submit: SubmitBody<'_> = read_json(body)?;
             let text = submit.bundle.get().to_owned();
-            command(Command::SubmitSpec { base: submit.base, text })
+            command(Command::SubmitConfiguration { base: submit.base, text })
         }
         ("PATCH", ["specs"]) => {
             let change: PatchBody<'_> = read_json(body)?;
@@ -97,9 +97,9 @@
         ("POST", ["specs", version, "roll-out"]) => {
             command(Command::RollOut { version: version_of(version)? })
         }
-        ("GET", ["specs"]) => query(Query::ListSpecs),
-        ("GET", ["specs", "in-force"]) => query(Query::ReadSpec(None)),
-        ("GET", ["specs", version]) => query(Query::ReadSpec(Some(version_of(version)?))),
+        ("GET", ["specs"]) => query(Query::ListConfigurations),
+        ("GET", ["specs", "in-force"]) => query(Query::ReadConfiguration(None)),
+        ("GET", ["specs", version]) => query(Query::ReadConfiguration(Some(version_of(version)?))),
         ("PUT", ["engines"]) => {
             let text = std::str::from_utf8(body)
                 .map_err(|_| ApiError::not_run(Code::Malformed).at("body"))?;
@@ -122,9 +122,9 @@
     })
 }
 
-fn version_of(text: &str) -> Result<SpecVersion, ApiError> {
+fn version_of(text: &str) -> Result<ConfigurationVersion, ApiError> {
     let malformed = |_| ApiError::not_run(Code::Malformed).at("version");
-    text.parse().map(SpecVersion).map_err(malformed)
+    text.parse().map(ConfigurationVersion).map_err(malformed)
 }
 
 fn node_of(text: &str) -> Result<NodeId, ApiError> {
--- a/programs/topazyard-control/src/machine/claim.rs
+++ b/programs/topazyard-control/src/machine/claim.rs
@@ -3,7 +3,7 @@
 
 use super::{AfterWrite, ControlMachine, Out, genesis};
 use crate::witnesses;
-use topazyard_replication::{Proposal, epoch::Step};
+use topazyard_replication::{Proposal, epoch::ProposalStep};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
@@ -40,7 +40,7 @@
     /// Whether this node, being primary or backup, has cause to ask for the next epoch.
     fn wants_claim(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let Some(turn) = record.turn(self.me.id) else { return false };
+        let Some(turn) = record.rank(self.me.id) else { return false };
         let is_primary = turn == 0;
         let timeout = DurationMs(
             self.timeouts.primary.0 + self.timeouts.turn.0 * turn.saturating_sub(1) as u64,
@@ -52,12 +52,12 @@
         }
         if self.claimed > record.epoch {
             // It stopped answering before it restarted, or yielded: ask again if nobody leads.
-            let led = self.replica.heard_primary();
+            let led = self.replica.primary_last_heard();
             return led.is_none_or(|at| now.since(at) >= timeout)
                 && (is_primary || self.holds_all(record));
         }
         let follows_nobody =
-            self.replica.heard_primary().is_some_and(|at| now.since(at) >= timeout);
+            self.replica.primary_last_heard().is_some_and(|at| now.since(at) >= timeout);
         if is_primary {
             let silent = self.replica.backup_silent_since();
             // It may have let a backup's claim copy here that came to nothing.
@@ -79,7 +79,7 @@
     /// Whether this backup's copy holds all that was ever answered up to that record.
     pub(super) fn holds_all(&self, record: &EpochRecord) -> bool {
         // Nothing was answered in the first epoch before this copy was compared.
-        record.epoch == genesis::FIRST || self.replica.copy().place().epoch >= record.epoch
+        record.epoch == genesis::FIRST || self.replica.copy().position().epoch >= record.epoch
     }
 
     /// The other core nodes that are heard and whose disks take writes.
@@ -101,7 +101,7 @@
         };
         silent
             .extend(base.backups.iter().map(|node| node.id).filter(|id| self.core.is_leaving(*id)));
-        self.replica.stop_answering();
+        self.replica.stop_serving();
         self.claimed = base.epoch.next();
         let row = RowChange::put(CLAIMED_KEY, &self.claimed);
         self.claim = Some(Claim {
@@ -119,8 +119,8 @@
     /// own where that can be. Gives none where too few are heard.
     fn choose_learners(&self, claim: &Claim, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
-            let known = self.membership.remembered().find(|known| known.news.member.id == id);
-            known.map(|known| known.news.member.zone.clone())
+            let known = self.membership.remembered().find(|known| known.update.member.id == id);
+            known.map(|known| known.update.member.zone.clone())
         };
         let mut zones = vec![self.membership.own_zone().clone()];
         let mut others: Vec<CoreNode> = self.others_heard(now).collect();
@@ -210,12 +210,12 @@
         let timeouts = self.timeouts.clone();
         let Some(claim) = &mut self.claim else { return };
         if let Some(proposal) = &mut claim.proposal {
-            if let Step::Say(message) = proposal.tick(now) {
+            if let ProposalStep::Broadcast(message) = proposal.tick(now) {
                 self.say_to_witnesses(&message, out);
             }
             return;
         }
-        let led = self.replica.heard_primary();
+        let led = self.replica.primary_last_heard();
         if claim.learners.is_empty() && led.is_some_and(|at| now.since(at) < timeouts.primary) {
             // The primary is back, and there are too few to take over with.
             self.claim = None;
@@ -238,7 +238,7 @@
         let witnesses = self.next_witnesses(&base, &backups, now);
         let witnesses = witnesses.unwrap_or_else(|| base.witnesses.clone());
         let wanted = EpochRecord { epoch: base.epoch.next(), primary: self.me, backups, witnesses };
-        let (proposal, message) = Proposal::begin(self.me.id, self.life, base, wanted, now);
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, base, wanted, now);
         if let Some(claim) = &mut self.claim {
             claim.proposal = Some(proposal);
         }
@@ -266,10 +266,12 @@
         let Some(proposal) = proposal.or(self.founding.as_mut()) else { return };
         let Some(witness) = genesis::voter(proposal.base(), witness, from) else { return };
         match proposal.receive(witness, message, now) {
-            Step::Wait => {}
-            Step::Say(message) if self.claim.is_some() => self.say_to_witnesses(&message, out),
-            Step::Say(message) => self.ask_seeds(&message, out),
-            Step::Decided(record) => self.learn_record(&record, now, out),
+            ProposalStep::Wait => {}
+            ProposalStep::Broadcast(message) if self.claim.is_some() => {
+                self.say_to_witnesses(&message, out)
+            }
+            ProposalStep::Broadcast(message) => self.ask_seeds(&message, out),
+            ProposalStep::Decided(record) => self.learn_record(&record, now, out),
         }
     }
 
@@ -282,7 +284,7 @@
         out: &mut Out,
     ) {
         let Some(record) = self.witness.record() else { return };
-        let Some(turn) = record.turn(sender) else { return };
+        let Some(turn) = record.rank(sender) else { return };
         let claims = message.epoch == record.epoch.next()
             && matches!(message.body, ReplicaBody::Digests { .. });
         if !claims || sender == self.me.id || self.disk.is_full() {
@@ -290,7 +292,7 @@
         }
         if let Some(claim) = &self.claim {
             // Two claim: the later in turn yields, unless it already asks the witnesses.
-            let is_ahead = record.turn(self.me.id).is_none_or(|own| turn < own);
+            let is_ahead = record.rank(self.me.id).is_none_or(|own| turn < own);
             if claim.proposal.is_some() || !is_ahead {
                 return;
             }
@@ -316,11 +318,11 @@
         let Some(source) = self.replica.primary().filter(|source| *source != asks) else {
             return false;
         };
-        let heard = self.replica.heard_primary();
+        let heard = self.replica.primary_last_heard();
         let is_filling = self.replica.epoch() == epoch
             && heard.is_some_and(|at| now.since(at) < self.timeouts.learner)
             && self.core.is_heard_by(source);
-        let is_earlier = record.turn(asks) < record.turn(source) && self.core.is_heard_by(asks);
+        let is_earlier = record.rank(asks) < record.rank(source) && self.core.is_heard_by(asks);
         is_filling && !is_earlier
     }
 }
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -2,13 +2,14 @@
 
 use super::ControlMachine;
 use super::orders::{Known, unclear};
-use topazyard_types::{Digest, MonotonicMs, NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, Digest, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::operate::{Command, SourcePatch};
 use topazyard_wire::state::{
-    ENGINES, FleetView, IN_FORCE, InForceRow, ROUTES, SPECS, SpecRow, SpecStage, StorageRow,
-    StorageStage, WeightRow, engine_key, route_key, spec_key, storage_key, weight_key,
+    CONFIGURATIONS, ConfigurationRow, ConfigurationStage, ENGINES, FleetSnapshot, IN_FORCE,
+    InForceRow, ROUTES, StorageRow, StorageStage, WeightRow, configuration_key, engine_key,
+    route_key, storage_key, weight_key,
 };
 
 /// The changes and what is returned once they are committed.
@@ -36,10 +37,10 @@
 }
 
 /// A bundle's text with a partial change made.
-fn patched(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
-    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::of_read)?;
-    let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
-    bundle.patched(&patch).map_err(ApiError::of_read)
+fn patched(text: &str, patch: &str) -> Result<topazyard_spec::Configuration, ApiError> {
+    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::from_read_error)?;
+    let bundle = topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
+    bundle.patched(&patch).map_err(ApiError::from_read_error)
 }
 
 /// The source that is read back, with a partial change made.
@@ -47,12 +48,12 @@
     let invalid = || ApiError::not_run(Code::InvalidSpec).at("source");
     let before: serde_json::Value =
         before.and_then(|text| serde_json::from_slice(text).ok()).ok_or_else(invalid)?;
-    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::of_read)?;
+    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::from_read_error)?;
     let after = patch
         .apply(&before)
-        .map_err(|faults| ApiError::of_read(topazyard_spec::ReadError::Faults(faults)))?;
+        .map_err(|faults| ApiError::from_read_error(topazyard_spec::ReadError::Faults(faults)))?;
     let after = bytes::Bytes::from(after.to_string());
-    if after.len() as u64 > change.most_bytes {
+    if after.len() as u64 > change.max_bytes {
         return Err(ApiError::not_run(Code::BodyTooLarge).at("source"));
     }
     Ok(after)
@@ -61,14 +62,14 @@
 impl ControlMachine {
     pub(super) fn judge(&self, command: &Command, now: MonotonicMs) -> Judged {
         match command {
-            Command::SubmitSpec { base, text } => self.submit_spec(*base, text),
+            Command::SubmitConfiguration { base, text } => self.submit_spec(*base, text),
             Command::SignOff { version, by } => self.sign_off(*version, by),
             Command::RollOut { version } => self.roll_out(*version),
-            Command::TakeSpec { base, version, text, source } => {
+            Command::ApplyConfiguration { base, version, text, source } => {
                 self.take_spec(*base, *version, text, source)
             }
             Command::SubmitPatch { base, patch } => self.submit_patch(*base, patch),
-            Command::PatchSpec { base, version, patch, source } => {
+            Command::PatchConfiguration { base, version, patch, source } => {
                 self.patch_spec(*base, *version, patch, source)
             }
             Command::ListEngines(engines) => Ok(self.list_engines(engines)),
@@ -83,24 +84,28 @@
         }
     }
 
-    pub(super) fn newest_version(&self) -> SpecVersion {
-        let newest = self.replica.copy().with_prefix(SPECS).last();
-        let row = newest.and_then(|(_, value)| topazyard_wire::rows::decode::<SpecRow>(value));
+    pub(super) fn newest_version(&self) -> ConfigurationVersion {
+        let newest = self.replica.copy().with_prefix(CONFIGURATIONS).last();
+        let row =
+            newest.and_then(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value));
         row.map(|row| row.version).unwrap_or_default()
     }
 
     /// The text of a version. Where it was dropped nothing is known of how far it came.
-    fn spec(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
+    fn spec(&self, version: ConfigurationVersion) -> Result<ConfigurationRow, ApiError> {
         let missing = || match self.may_be_taken(version) {
             true => unclear(),
             false => ApiError::not_run(Code::NotFound).at("version"),
         };
-        self.replica.copy().get(&spec_key(version)).ok_or_else(missing)
+        self.replica.copy().get(&configuration_key(version)).ok_or_else(missing)
     }
 
     /// Refuses a base below the newest version for good, as versions only rise. One above it is to
     /// come yet, or this node lags: an order on it could be taken later.
-    fn check_base(base: SpecVersion, newest: SpecVersion) -> Result<(), ApiError> {
+    fn check_base(
+        base: ConfigurationVersion,
+        newest: ConfigurationVersion,
+    ) -> Result<(), ApiError> {
         match base.cmp(&newest) {
             std::cmp::Ordering::Equal => Ok(()),
             std::cmp::Ordering::Less => Err(ApiError::not_run(Code::StaleBase).at("base")),
@@ -108,8 +113,8 @@
         }
     }
 
-    fn submit_spec(&self, base: SpecVersion, text: &str) -> Judged {
-        let version = SpecVersion(base.0.saturating_add(1));
+    fn submit_spec(&self, base: ConfigurationVersion, text: &str) -> Judged {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
         match self.known_order(version, digest) {
@@ -117,14 +122,14 @@
             Known::Forgotten => return Err(unclear()),
             Known::NotTaken => {}
         }
-        topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.newest_version())?;
         Ok((self.submitted(base, text, digest), done))
     }
 
     /// The whole bundle that a change makes of the newest version, submitted as its successor.
-    fn submit_patch(&self, base: SpecVersion, patch: &str) -> Judged {
-        let version = SpecVersion(base.0.saturating_add(1));
+    fn submit_patch(&self, base: ConfigurationVersion, patch: &str) -> Judged {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submitted_patch(patch);
         match self.known_order(version, digest) {
@@ -139,17 +144,17 @@
     }
 
     /// The changes that submit a bundle as the successor of its base.
-    fn submitted(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
-        let version = SpecVersion(base.0.saturating_add(1));
-        let row = SpecRow {
+    fn submitted(&self, base: ConfigurationVersion, text: &str, digest: Digest) -> Vec<RowChange> {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::Submitted,
+            stage: ConfigurationStage::Submitted,
             signed_by: None,
             text: text.to_owned(),
             source: None,
         };
-        let change = RowChange::put(spec_key(version), &row);
+        let change = RowChange::put(configuration_key(version), &row);
         let mut changes = self.drop_old_texts(&change, self.version_in_force());
         changes.push(change);
         changes.extend(self.remember_order(version, digest));
@@ -160,8 +165,8 @@
     /// acknowledged again, whatever came after it.
     fn take_spec(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         text: &str,
         source: &bytes::Bytes,
     ) -> Judged {
@@ -172,13 +177,14 @@
             Known::Forgotten => return Err(unclear()),
             Known::NotTaken => {}
         }
-        let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        let bundle =
+            topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.version_in_force())?;
         self.check_rises(version)?;
-        let row = SpecRow {
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
             text: text.to_owned(),
             source: Some(source.clone()),
@@ -190,8 +196,8 @@
     /// step with taking it.
     fn patch_spec(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         patch: &str,
         source: &SourcePatch,
     ) -> Judged {
@@ -207,10 +213,10 @@
         let bundle = patched(&before.text, patch)?;
         let source = patched_source(before.source.as_deref(), source)?;
         self.check_rises(version)?;
-        let row = SpecRow {
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
             text: serde_json::to_string(&bundle).unwrap_or_default(),
             source: Some(source),
@@ -219,15 +225,15 @@
     }
 
     /// The version that a partial change builds on.
-    fn patchable(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
+    fn patchable(&self, base: ConfigurationVersion) -> Result<ConfigurationRow, ApiError> {
         match base {
-            SpecVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
+            ConfigurationVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
             _ => self.spec(base),
         }
     }
 
     /// Checks that an order's own version is above all before it.
-    fn check_rises(&self, version: SpecVersion) -> Result<(), ApiError> {
+    fn check_rises(&self, version: ConfigurationVersion) -> Result<(), ApiError> {
         if version > self.version_in_force() && version > self.newest_version() {
             return Ok(());
         }
@@ -243,11 +249,11 @@
     /// The changes that take a version and put it in force in one step.
     fn taken(
         &self,
-        row: &SpecRow,
-        bundle: topazyard_spec::Bundle,
+        row: &ConfigurationRow,
+        bundle: topazyard_spec::Configuration,
         digest: Digest,
     ) -> Vec<RowChange> {
-        let change = RowChange::put(spec_key(row.version), row);
+        let change = RowChange::put(configuration_key(row.version), row);
         let mut changes = self.drop_old_texts(&change, row.version);
         changes.push(change);
         changes.extend(self.remember_order(row.version, digest));
@@ -257,7 +263,11 @@
 
     /// The rows that put a bundle in force: each route in a row of its own, so that followers are
     /// told only what changed.
-    fn in_force(&self, version: SpecVersion, mut bundle: topazyard_spec::Bundle) -> Vec<RowChange> {
+    fn in_force(
+        &self,
+        version: ConfigurationVersion,
+        mut bundle: topazyard_spec::Configuration,
+    ) -> Vec<RowChange> {
         let routes = std::mem::take(&mut bundle.routes);
         let text = serde_json::to_string(&bundle).unwrap_or_default();
         let mut changes = vec![RowChange::put(IN_FORCE, &InForceRow { version, text })];
@@ -270,43 +280,49 @@
                 changes.push(change);
             }
         }
-        changes.extend(gone.into_iter().map(RowChange::gone));
+        changes.extend(gone.into_iter().map(RowChange::delete));
         changes
     }
 
-    fn sign_off(&self, version: SpecVersion, by: &str) -> Judged {
+    fn sign_off(&self, version: ConfigurationVersion, by: &str) -> Judged {
         let row = self.spec(version)?;
         let done = serde_json::json!({ "version": version, "signed_by": by });
         match row.stage {
-            SpecStage::Submitted => {
-                let signed =
-                    SpecRow { stage: SpecStage::Signed, signed_by: Some(by.to_owned()), ..row };
-                Ok((vec![RowChange::put(spec_key(version), &signed)], done))
+            ConfigurationStage::Submitted => {
+                let signed = ConfigurationRow {
+                    stage: ConfigurationStage::Signed,
+                    signed_by: Some(by.to_owned()),
+                    ..row
+                };
+                Ok((vec![RowChange::put(configuration_key(version), &signed)], done))
             }
             // Said twice by the same person, as after a lost return.
-            SpecStage::Signed | SpecStage::RolledOut if row.signed_by.as_deref() == Some(by) => {
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut
+                if row.signed_by.as_deref() == Some(by) =>
+            {
                 Ok((Vec::new(), done))
             }
-            SpecStage::Signed | SpecStage::RolledOut => {
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut => {
                 Err(ApiError::not_run(Code::WrongState).at("version"))
             }
         }
     }
 
-    fn roll_out(&self, version: SpecVersion) -> Judged {
+    fn roll_out(&self, version: ConfigurationVersion) -> Judged {
         let row = self.spec(version)?;
         let now_in_force = self.version_in_force();
         match row.stage {
             // Said again, as after a lost return, maybe once another is in force.
-            SpecStage::RolledOut => {
+            ConfigurationStage::RolledOut => {
                 let is_in_force = version == now_in_force;
                 let done = serde_json::json!({ "version": version, "in_force": is_in_force });
                 Ok((Vec::new(), done))
             }
-            SpecStage::Signed if version > now_in_force => {
-                let bundle = topazyard_spec::Bundle::read(&row.text).map_err(ApiError::of_read)?;
-                let rolled = SpecRow { stage: SpecStage::RolledOut, ..row };
-                let change = RowChange::put(spec_key(version), &rolled);
+            ConfigurationStage::Signed if version > now_in_force => {
+                let bundle = topazyard_spec::Configuration::read(&row.text)
+                    .map_err(ApiError::from_read_error)?;
+                let rolled = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
+                let change = RowChange::put(configuration_key(version), &rolled);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
                 changes.extend(self.in_force(version, bundle));
@@ -319,7 +335,7 @@
     }
 
     fn put_engines(&self, text: &str) -> Judged {
-        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::of_read)?;
+        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::from_read_error)?;
         Ok(self.list_engines(&list.engines))
     }
 
@@ -329,7 +345,7 @@
             engines.iter().map(|engine| engine_key(&engine.name)).collect();
         for (key, _) in self.replica.copy().with_prefix(ENGINES) {
             if !keep.contains(key) {
-                changes.push(RowChange::gone(key));
+                changes.push(RowChange::delete(key));
             }
         }
         for engine in engines {
@@ -354,7 +370,7 @@
 
     fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> Judged {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
+        let view = FleetSnapshot::read(self.replica.copy().rows());
         let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
         if !crate::planner::has_room_without(&view, &standings, id, self.backups() + 1) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
@@ -366,7 +382,7 @@
 
     /// Has the storage node of that name emptied and then retired by itself.
     fn retire_named(&self, name: &str, now: MonotonicMs) -> Judged {
-        let view = FleetView::read(self.replica.copy().rows());
+        let view = FleetSnapshot::read(self.replica.copy().rows());
         let missing = || ApiError::not_run(Code::NotFound).at("node");
         let id = self.named(&view, name, now).ok_or_else(missing)?;
         let row = self.storage(id)?;
@@ -386,7 +402,12 @@
     }
 
     /// The storage node of that name; of several lives of it the one that is heard.
-    pub(super) fn named(&self, view: &FleetView, name: &str, now: MonotonicMs) -> Option<NodeId> {
+    pub(super) fn named(
+        &self,
+        view: &FleetSnapshot,
+        name: &str,
+        now: MonotonicMs,
+    ) -> Option<NodeId> {
         let named = view.storage.iter().filter(|(_, row)| row.member.name.as_deref() == Some(name));
         let silence = |id: &NodeId| self.seen.nodes.get(id).map(|seen| now.since(seen.at));
         let unheard = topazyard_types::DurationMs(u64::MAX);
@@ -408,7 +429,7 @@
 
     fn retire_storage(&self, id: NodeId) -> Judged {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
+        let view = FleetSnapshot::read(self.replica.copy().rows());
         if crate::planner::hosted(&view, id) > 0 {
             return Err(ApiError::not_run(Code::HoldsCopies).at("node"));
         }
@@ -428,8 +449,8 @@
             return Err(ApiError::not_run(Code::StaleBase).at("epoch"));
         }
         let in_force: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
-        let bundle =
-            in_force.and_then(|row| serde_json::from_str::<topazyard_spec::Bundle>(&row.text).ok());
+        let bundle = in_force
+            .and_then(|row| serde_json::from_str::<topazyard_spec::Configuration>(&row.text).ok());
         let missing = || ApiError::not_run(Code::NotFound).at("pool");
         let bundle = bundle.filter(|bundle| bundle.pool(pool).is_some()).ok_or_else(missing)?;
         let bounds = &bundle.weights;
--- a/programs/topazyard-control/src/machine/configurations.rs
+++ b/programs/topazyard-control/src/machine/configurations.rs
@@ -1,6 +1,6 @@
 //! What this node answered to orders that put a configuration in force.
 
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::operate::OperateOutcome;
 
@@ -11,7 +11,7 @@
     pub acknowledged: u64,
     /// Orders that were refused.
     pub refused: u64,
-    newest: SpecVersion,
+    newest: ConfigurationVersion,
 }
 
 /// Tells nothing: what a node does next does not depend on it, and the model tells states apart by
@@ -24,7 +24,7 @@
 
 impl Configurations {
     /// An order is answered while that version is in force.
-    pub fn answered(&mut self, outcome: &OperateOutcome, in_force: SpecVersion) {
+    pub fn answered(&mut self, outcome: &OperateOutcome, in_force: ConfigurationVersion) {
         match outcome {
             OperateOutcome::Done(_) => {
                 self.acknowledged += 1;
@@ -35,7 +35,7 @@
     }
 
     /// What is in force now must not be older than what was acknowledged before.
-    pub fn check(&mut self, in_force: SpecVersion) {
+    pub fn check(&mut self, in_force: ConfigurationVersion) {
         let newest = self.newest;
         invariants::check(in_force >= newest, Invariant::AcknowledgedConfigurationStays, || {
             format!("acknowledged={newest} in_force={in_force}")
--- a/programs/topazyard-control/src/machine/confirm.rs
+++ b/programs/topazyard-control/src/machine/confirm.rs
@@ -6,7 +6,7 @@
 //! may hold a batch more than was committed; whoever is named by a later record only there waits.
 
 use super::{ControlMachine, Out};
-use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, DurationMs, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::confirm::ConfirmMessage;
@@ -40,8 +40,8 @@
 }
 
 impl Confirming {
-    pub(super) fn new(life: Life) -> Self {
-        Self { waiting: Vec::new(), round: None, last_nonce: life.first_number() }
+    pub(super) fn new(boot_id: BootId) -> Self {
+        Self { waiting: Vec::new(), round: None, last_nonce: boot_id.first_number() }
     }
 
     /// Keeps the newest question of each node.
@@ -63,23 +63,23 @@
         out: &mut Out,
     ) {
         match message {
-            ConfirmMessage::AskRecords { nonce } => {
+            ConfirmMessage::RequestRecords { nonce } => {
                 if self.confirmable().is_some() {
                     self.confirming.take(from, nonce);
                     self.confirm_tick(now, out);
                 }
             }
-            ConfirmMessage::AskEpoch { nonce, epoch } => {
+            ConfirmMessage::CheckEpoch { nonce, epoch } => {
                 if self.witness.confirms(epoch) {
-                    let stands = ConfirmMessage::EpochStands { nonce, epoch };
+                    let stands = ConfirmMessage::EpochCurrent { nonce, epoch };
                     out.push(Effect::Send { to: from, message: Message::Confirm(stands) });
                 }
             }
-            ConfirmMessage::EpochStands { nonce, epoch } => {
+            ConfirmMessage::EpochCurrent { nonce, epoch } => {
                 self.count_witness(sender, nonce, epoch, now, out);
             }
             ConfirmMessage::Records { .. }
-            | ConfirmMessage::AskSynced { .. }
+            | ConfirmMessage::CheckSynced { .. }
             | ConfirmMessage::Synced { .. } => {}
         }
     }
@@ -87,7 +87,7 @@
     /// The record in which this node is a backup that holds all that was committed, if it is one.
     fn confirmable(&self) -> Option<&EpochRecord> {
         let record = self.witness.record()?;
-        let is_backup = record.turn(self.me.id).is_some_and(|turn| turn > 0);
+        let is_backup = record.rank(self.me.id).is_some_and(|turn| turn > 0);
         (is_backup && self.holds_all(record)).then_some(record)
     }
 
@@ -122,7 +122,7 @@
             asked: std::mem::take(&mut self.confirming.waiting),
         });
         for witness in witnesses.iter().filter(|witness| witness.id != self.me.id) {
-            let ask = ConfirmMessage::AskEpoch { nonce, epoch };
+            let ask = ConfirmMessage::CheckEpoch { nonce, epoch };
             out.push(Effect::Send { to: witness.address, message: Message::Confirm(ask) });
         }
         self.count_witness(self.me.id, nonce, epoch, now, out);
--- a/programs/topazyard-control/src/machine/core.rs
+++ b/programs/topazyard-control/src/machine/core.rs
@@ -4,7 +4,7 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 use topazyard_wire::{Effect, Group};
 
 const HEARTBEAT_EVERY: DurationMs = DurationMs(250);
@@ -118,13 +118,13 @@
         let mut to: std::collections::BTreeSet<std::net::SocketAddr> =
             self.seeds.iter().copied().collect();
         to.extend(heard.iter().map(|node| node.address));
-        to.extend(self.membership.addresses(Duty::Control));
+        to.extend(self.membership.addresses(MemberRole::Control));
         to.extend(record.iter().flat_map(|r| r.witnesses.iter().map(|node| node.address)));
         to.remove(&self.me.address);
         for to in to {
             let tick = CoreMessage::Heartbeat {
                 record: record.clone(),
-                heard: heard.clone(),
+                reachable: heard.clone(),
                 zone: self.membership.own_zone().clone(),
                 takes_writes: !self.disk.is_full(),
             };
@@ -161,7 +161,7 @@
             self.replica.become_idle(record.epoch)
         } else if record.primary.id == self.me.id {
             let followers = topazyard_replication::Followers {
-                answers: record.backups.len() >= self.backups(),
+                may_serve: record.backups.len() >= self.backups(),
                 backups: record.backups,
                 learners: Vec::new(),
             };
@@ -186,7 +186,7 @@
         out: &mut Out,
     ) {
         match message {
-            CoreMessage::Heartbeat { record, heard, zone, takes_writes } => {
+            CoreMessage::Heartbeat { record, reachable, zone, takes_writes } => {
                 let known = self.core.heard.get(&sender).map(|known| known.wrote);
                 let wrote = if takes_writes { now } else { known.unwrap_or(now) };
                 self.core.heard.retain(|id, other| *id == sender || other.node.address != from);
@@ -196,7 +196,7 @@
                     wrote,
                     takes_writes,
                     empty: record.is_none(),
-                    hears_us: heard.iter().any(|node| node.id == self.me.id),
+                    hears_us: reachable.iter().any(|node| node.id == self.me.id),
                     zone,
                 };
                 self.core.heard.insert(sender, seen);
@@ -216,7 +216,7 @@
             CoreMessage::Leaving => self.hear_leaving(sender, now, out),
             CoreMessage::Promise { .. }
             | CoreMessage::Accepted { .. }
-            | CoreMessage::Outbid { .. } => self.hear_witness(sender, from, &message, now, out),
+            | CoreMessage::Rejected { .. } => self.hear_witness(sender, from, &message, now, out),
         }
     }
 
@@ -236,7 +236,7 @@
         ) -> Option<(Vec<topazyard_wire::RowChange>, CoreMessage)>,
         out: &mut Out,
     ) {
-        let record = self.witness.record().or(self.witness.genesis());
+        let record = self.witness.record().or(self.witness.bootstrap_base());
         let (id, address) = (self.me.id, self.me.address);
         if record.and_then(|record| genesis::voter(record, id, address)).is_none() {
             return;
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -7,9 +7,9 @@
 use super::{ControlMachine, Out, Waiting};
 use topazyard_replication::Snapshot;
 use topazyard_replication::snapshot::{PART_BYTES, Row};
-use topazyard_types::{DurationMs, MonotonicMs, NodeId, Place};
+use topazyard_types::{DurationMs, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Matter, PartWanted};
+use topazyard_wire::message::feed::{FeedMessage, PartRequest, UpdateContent};
 use topazyard_wire::state::is_fed;
 use topazyard_wire::{Effect, RowChange};
 
@@ -39,10 +39,12 @@
         now: MonotonicMs,
         out: &mut Out,
     ) {
-        let FeedMessage::Ask { nonce, after, part, heard, health } = message else { return };
+        let FeedMessage::Request { nonce, after, part, last_response_age, health } = message else {
+            return;
+        };
         if self.replica.is_serving() {
             // Who speaks but hears nothing counts as silent: it can do no duty.
-            if heard.is_some_and(|age| age < DEAF_AFTER) {
+            if last_response_age.is_some_and(|age| age < DEAF_AFTER) {
                 self.seen.take(sender, health, now);
             }
             self.submit(Vec::new(), Waiting::Follower { to: from, nonce, after, part });
@@ -50,7 +52,7 @@
         }
         let record = self.witness.record();
         let primary = record.map(|r| r.primary).filter(|primary| primary.id != self.me.id);
-        let message = FeedMessage::Elsewhere {
+        let message = FeedMessage::Redirect {
             nonce,
             epoch: record.map(|record| record.epoch).unwrap_or_default(),
             primary: primary.map(|primary| primary.address),
@@ -62,57 +64,67 @@
         &mut self,
         to: std::net::SocketAddr,
         nonce: u64,
-        after: Place,
-        part: Option<PartWanted>,
+        after: LogPosition,
+        part: Option<PartRequest>,
         out: &mut Out,
     ) {
-        let (place, matter) = self.news(after, part);
-        let message = FeedMessage::News { nonce, place, matter };
+        let (position, content) = self.news(after, part);
+        let message = FeedMessage::Update { nonce, position, content };
         out.push(Effect::Send { to, message: Message::Feed(message) });
     }
 
     /// What a follower is answered, and the place that it reaches by it.
-    fn news(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
-        if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
-            return (place, matter);
+    fn news(
+        &mut self,
+        after: LogPosition,
+        part: Option<PartRequest>,
+    ) -> (LogPosition, UpdateContent) {
+        if let Some((position, content)) = part.and_then(|part| self.next_part(after, part)) {
+            return (position, content);
         }
-        let place = self.replica.copy().place();
+        let position = self.replica.copy().position();
         if let Some(changes) = self.few_changes_after(after) {
-            return (place, Matter::Changes(changes));
+            return (position, UpdateContent::Changes(changes));
         }
         let rows = self.fed_rows();
         if weight_of_rows(&rows) <= PART_BYTES {
-            return (place, Matter::View(rows));
+            return (position, UpdateContent::Snapshot(rows));
         }
-        let first = |snapshot: &Snapshot| Some((snapshot.place(), Matter::Part(snapshot.part(0)?)));
+        let first = |snapshot: &Snapshot| {
+            Some((snapshot.position(), UpdateContent::Part(snapshot.part(0)?)))
+        };
         let found = self.fitting_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
-            let snapshot = Snapshot::of(place, &rows);
+            let snapshot = Snapshot::of(position, &rows);
             let answer = first(&snapshot);
             self.keep_snapshot(snapshot);
-            answer.unwrap_or((place, Matter::View(rows)))
+            answer.unwrap_or((position, UpdateContent::Snapshot(rows)))
         })
     }
 
     /// The part that a follower lacks next of a snapshot that is still kept.
-    fn next_part(&self, after: Place, wanted: PartWanted) -> Option<(Place, Matter)> {
-        let is_meant = |snapshot: &&Snapshot| snapshot.place() == wanted.place;
+    fn next_part(
+        &self,
+        after: LogPosition,
+        wanted: PartRequest,
+    ) -> Option<(LogPosition, UpdateContent)> {
+        let is_meant = |snapshot: &&Snapshot| snapshot.position() == wanted.position;
         let snapshot = self.snapshots.iter().find(is_meant)?;
         let part = snapshot.part(wanted.part)?;
-        (wanted.place > after).then_some((wanted.place, Matter::Part(part)))
+        (wanted.position > after).then_some((wanted.position, UpdateContent::Part(part)))
     }
 
     /// The changes after a place, if they are all remembered and fit in one answer.
-    fn few_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
+    fn few_changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
         changes.retain(|change| is_fed(&change.key));
         (weight_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
     /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
-    fn fitting_snapshot(&self, after: Place) -> Option<&Snapshot> {
-        let newest = self.snapshots.back().filter(|snapshot| snapshot.place() > after)?;
-        self.few_changes_after(newest.place()).map(|_| newest)
+    fn fitting_snapshot(&self, after: LogPosition) -> Option<&Snapshot> {
+        let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
+        self.few_changes_after(newest.position()).map(|_| newest)
     }
 
     fn keep_snapshot(&mut self, snapshot: Snapshot) {
--- a/programs/topazyard-control/src/machine/founding.rs
+++ b/programs/topazyard-control/src/machine/founding.rs
@@ -7,7 +7,7 @@
 
 use super::{ControlMachine, Out, genesis};
 use crate::witnesses;
-use topazyard_replication::{Proposal, epoch::Step};
+use topazyard_replication::{Proposal, epoch::ProposalStep};
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, EpochRecord};
@@ -18,27 +18,27 @@
     /// settings say that the fleet is new.
     pub(super) fn keep_right_to_found(&mut self, is_new: bool, out: &mut Out) {
         let Some(genesis) = genesis::genesis(&self.seeds).filter(|_| is_new) else { return };
-        if let Some(row) = self.witness.may_found(genesis) {
+        if let Some(row) = self.witness.may_bootstrap(genesis) {
             self.write_own(Group::Witness, vec![row], Vec::new(), out);
         }
     }
 
     pub(super) fn founding_tick(&mut self, now: MonotonicMs, out: &mut Out) {
         if let Some(proposal) = &mut self.founding {
-            if let Step::Say(message) = proposal.tick(now) {
+            if let ProposalStep::Broadcast(message) = proposal.tick(now) {
                 self.ask_seeds(&message, out);
             }
             return;
         }
         let Some(wanted) = self.first_record(now) else { return };
-        let Some(genesis) = self.witness.genesis().cloned() else { return };
-        let (proposal, message) = Proposal::begin(self.me.id, self.life, genesis, wanted, now);
+        let Some(genesis) = self.witness.bootstrap_base().cloned() else { return };
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, genesis, wanted, now);
         self.founding = Some(proposal);
         self.ask_seeds(&message, out);
     }
 
     pub(super) fn ask_seeds(&self, message: &CoreMessage, out: &mut Out) {
-        let Some(genesis) = self.witness.genesis() else { return };
+        let Some(genesis) = self.witness.bootstrap_base() else { return };
         for seed in &genesis.witnesses {
             let message = Message::Core(message.clone());
             out.push(Effect::Send { to: seed.address, message });
@@ -47,7 +47,7 @@
 
     /// The first record to ask for, if it is this node's turn to ask for one.
     fn first_record(&self, now: MonotonicMs) -> Option<EpochRecord> {
-        let genesis = self.witness.genesis().filter(|_| self.witness.record().is_none())?;
+        let genesis = self.witness.bootstrap_base().filter(|_| self.witness.record().is_none())?;
         if self.disk.is_full() {
             return None;
         }
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -5,10 +5,10 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::control::{ShardRecord, ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest, ShardRecord};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::membership::{Member, Standing};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::membership::{Member, MemberStatus};
+use topazyard_wire::state::FleetSnapshot;
 
 /// After how long without a word a node is probed out of turn.
 const DOUBT_AFTER: DurationMs = DurationMs(500);
@@ -52,7 +52,7 @@
     /// How each storage node stands, for the planner.
     pub(super) fn storage_standings(
         &self,
-        known: &FleetView,
+        known: &FleetSnapshot,
         serving_since: MonotonicMs,
         now: MonotonicMs,
     ) -> Standings {
@@ -74,7 +74,7 @@
             // primary than the others, which were never down.
             let alone = self.last_alone.unwrap_or(serving_since);
             let silence = now.since(heard.max(serving_since).max(alone));
-            let doubted = self.membership.standing(*id) != Some(Standing::Alive);
+            let doubted = self.membership.status(*id) != Some(MemberStatus::Alive);
             let is_silent =
                 silence >= self.timeouts.surely_down || (silence >= self.timeouts.down && doubted);
             if is_silent || self.is_displaced(known, *id) {
@@ -93,7 +93,7 @@
 
     /// Whether another node was heard at a storage node's address after it: its disk is gone, and
     /// its id with it.
-    fn is_displaced(&self, known: &FleetView, id: NodeId) -> bool {
+    fn is_displaced(&self, known: &FleetSnapshot, id: NodeId) -> bool {
         let Some(row) = known.storage.get(&id) else { return false };
         let heard = self.seen.nodes.get(&id).map(|seen| seen.at);
         self.seen.nodes.iter().any(|(other, seen)| match &seen.health {
@@ -117,7 +117,7 @@
     }
 
     /// Keeps a shard primary's wish until nothing else is under way.
-    pub(super) fn take_wish(&mut self, sender: NodeId, wish: ShardWish) {
+    pub(super) fn take_wish(&mut self, sender: NodeId, wish: ShardChangeRequest) {
         let is_shard = topazyard_types::ShardId::all().any(|shard| shard == wish.shard);
         if self.replica.is_serving() && is_shard {
             self.wishes.insert(wish.shard, (sender, wish));
@@ -134,7 +134,7 @@
         if !self.replica.is_serving() {
             return;
         }
-        let view = FleetView::read(self.replica.copy().rows());
+        let view = FleetSnapshot::read(self.replica.copy().rows());
         let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
         let mut changes = Vec::new();
         for (shard, (sender, wish)) in wishes {
@@ -143,7 +143,7 @@
             let is_present =
                 |record: &&ShardRecord| record.epoch == wish.epoch && record.primary.id == sender;
             let Some(record) = record.filter(is_present) else { continue };
-            if let Some(next) = wished(&view, &standings, record, &wish.wish) {
+            if let Some(next) = wished(&view, &standings, record, &wish.change) {
                 let key = topazyard_wire::state::shard_key(shard);
                 changes.push(RowChange::put(key, &next));
             }
@@ -164,16 +164,16 @@
 
 /// The record that a wish makes of a shard's.
 fn wished(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
-    wish: &Wish,
+    wish: &ShardChange,
 ) -> Option<ShardRecord> {
     match wish {
-        Wish::DropBackups(silent) => {
+        ShardChange::DropBackups(silent) => {
             crate::planner::without_backups(view, standings, record, silent)
         }
-        Wish::PromoteLearners => crate::planner::promoted_learners(view, standings, record),
-        Wish::HandOver => crate::planner::handed_over(view, standings, record),
+        ShardChange::PromoteLearners => crate::planner::promoted_learners(view, standings, record),
+        ShardChange::HandOver => crate::planner::handed_over(view, standings, record),
     }
 }
--- a/programs/topazyard-control/src/machine/listing.rs
+++ b/programs/topazyard-control/src/machine/listing.rs
@@ -20,7 +20,7 @@
 
 impl ControlMachine {
     /// Reads the platform's list so often from now on, while this node is the primary.
-    pub fn list_engines_every(&mut self, every: DurationMs) {
+    pub fn set_engine_list_interval(&mut self, every: DurationMs) {
         self.listing.every = Some(every);
     }
 
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -19,12 +19,12 @@
 
 use topazyard_membership::Membership;
 use topazyard_replication::invariants::{check_acknowledged_on_enough, report};
-use topazyard_replication::{Copy, Replica, ReplicaOutput, Ticket, Witness};
+use topazyard_replication::{Copy, Replica, ReplicaOutput, Witness, WriteTicket};
 use topazyard_types::{MonotonicMs, NodeId, ShardId};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::invariants::Invariant;
-use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardWish};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardChangeRequest};
+use topazyard_wire::message::membership::MemberRole;
 use topazyard_wire::message::operate::{Operate, OperateOutcome};
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub enum ControlTask {
     /// Ask engines for their load and report it.
-    AskLoads(Vec<topazyard_spec::Engine>),
+    FetchLoads(Vec<topazyard_spec::Engine>),
     /// Read the platform's list of engines and report it.
     ListEngines,
 }
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlMachine {
     pub(crate) me: CoreNode,
-    pub(crate) life: topazyard_types::Life,
+    pub(crate) boot_id: topazyard_types::BootId,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
     pub(crate) bounds: topazyard_spec::Bounds,
     pub(crate) timeouts: timeouts::Timeouts,
@@ -96,8 +96,8 @@
     pub(crate) claim: Option<claim::Claim>,
     /// The epoch this node asked for, after which it answers nothing in the one before.
     pub(crate) claimed: topazyard_types::Epoch,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
+    pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
+    pub(crate) last_ticket: WriteTicket,
     pub(crate) operate: operate::OperateQueue,
     order_bounds: orders::OrderBounds,
     configurations: configurations::Configurations,
@@ -105,7 +105,7 @@
     pub(crate) seen: health::Seen,
     confirming: confirm::Confirming,
     /// The last wish for each shard, with who made it, until it can be looked at.
-    wishes: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
+    wishes: std::collections::BTreeMap<ShardId, (NodeId, ShardChangeRequest)>,
     tuning: tuning::Tuning,
     listing: listing::Listing,
     /// The proposal of a new fleet's first record, while this node asks for it.
@@ -137,8 +137,8 @@
     Follower {
         to: std::net::SocketAddr,
         nonce: u64,
-        after: topazyard_types::Place,
-        part: Option<topazyard_wire::message::feed::PartWanted>,
+        after: topazyard_types::LogPosition,
+        part: Option<topazyard_wire::message::feed::PartRequest>,
     },
     /// A command whose outcome is known once it is committed.
     Command {
@@ -159,21 +159,21 @@
         let me = CoreNode { id: start.member.id, address: start.member.address };
         // A disk that holds anything of a fleet is no beginning.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
-        let is_new = start.may_found && !held(Group::Control) && !held(Group::Witness);
-        let copy = Copy::loaded(start.loaded.remove(&Group::Control).unwrap_or_default());
+        let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
+        let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
         let remembered = start.remembered();
         let ask = start.known_control();
-        let life = topazyard_types::Life(start.chance);
+        let boot_id = topazyard_types::BootId(start.chance);
         let mut machine = Self {
             me,
-            life,
+            boot_id,
             membership: Membership::new(start.member, ask, start.chance),
             seeds: start.seeds,
             timeouts: timeouts::Timeouts::within(&start.bounds),
             bounds: start.bounds,
-            witness: Witness::loaded(&witness_rows),
-            replica: Replica::new(Group::Control, true, copy, life),
+            witness: Witness::from_rows(&witness_rows),
+            replica: Replica::new(Group::Control, true, copy, boot_id),
             core: core::CoreView::default(),
             claim: None,
             claimed: witness_rows
@@ -182,12 +182,12 @@
                 .unwrap_or_default(),
             waiting: std::collections::BTreeMap::new(),
             last_ticket: 0,
-            operate: operate::OperateQueue::new(life),
+            operate: operate::OperateQueue::new(boot_id),
             order_bounds: orders::OrderBounds::within(&start.resources),
             configurations: configurations::Configurations::default(),
             snapshots: feed::Snapshots::new(),
             seen: health::Seen::default(),
-            confirming: confirm::Confirming::new(life),
+            confirming: confirm::Confirming::new(boot_id),
             wishes: std::collections::BTreeMap::new(),
             tuning: tuning::Tuning::default(),
             listing: listing::Listing::default(),
@@ -228,7 +228,7 @@
         self.witness.record()
     }
 
-    pub(crate) fn next_ticket(&mut self) -> Ticket {
+    pub(crate) fn next_ticket(&mut self) -> WriteTicket {
         self.last_ticket += 1;
         self.last_ticket
     }
@@ -291,7 +291,7 @@
                         }
                     }
                 }
-                ReplicaOutput::Lost(tickets) => {
+                ReplicaOutput::OutcomeUnknown(tickets) => {
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
                             self.lose(&waiting, now, out);
@@ -375,7 +375,7 @@
             return;
         }
         self.follow_claim_if_due(sender, &message, now, out);
-        let from = topazyard_replication::replica::From { id: sender, address: from };
+        let from = topazyard_replication::replica::Sender { id: sender, address: from };
         let outputs = self.replica.receive(from, message, now);
         self.take_replica(outputs, now, out);
     }
@@ -418,7 +418,7 @@
         if !self.disk.takes_more() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
+        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
             self.write_own(Group::Node, vec![row], Vec::new(), out);
         }
     }
@@ -454,7 +454,7 @@
         if self.replica.has_changes_pending() {
             return;
         }
-        let view = topazyard_wire::state::FleetView::read(self.replica.copy().rows());
+        let view = topazyard_wire::state::FleetSnapshot::read(self.replica.copy().rows());
         let standings = self.storage_standings(&view, serving_since, now);
         let speaks =
             |id: &NodeId| standings.heard.contains_key(id) && !standings.silent.contains(id);
@@ -482,7 +482,7 @@
             Input::Tick => self.tick(now, &mut out),
             Input::Disk(state) => self.disk.take_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
-                let outputs = self.replica.written(token.number);
+                let outputs = self.replica.write_synced(token.number);
                 self.take_replica(outputs, now, &mut out);
             }
             Input::Written(token) => {
@@ -510,7 +510,7 @@
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
-                self.membership.take_seeds(seeds);
+                self.membership.add_seeds(seeds);
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
@@ -522,19 +522,19 @@
                     self.receive_replica(sender, from, message, now, &mut out)
                 }
                 Message::Feed(message) => self.receive_feed(sender, from, message, now, &mut out),
-                Message::Wish(wish) => self.take_wish(sender, wish),
+                Message::ShardChangeRequest(wish) => self.take_wish(sender, wish),
                 Message::Operate(message) => {
                     self.receive_operate(sender, from, message, now, &mut out);
                 }
                 Message::Confirm(message) => {
                     self.receive_confirm(sender, from, message, now, &mut out);
                 }
-                Message::Counter(_) | Message::Batch(_) | Message::Told(..) => {}
+                Message::Counter(_) | Message::Batch(_) | Message::ShardRecord(..) => {}
             },
         }
         self.fulfil_wishes(now);
         self.run_commands(now, &mut out);
-        let outputs = self.replica.proceed(now);
+        let outputs = self.replica.start_next_batch(now);
         self.take_replica(outputs, now, &mut out);
         self.watch_writes(&out, now);
         out
--- a/programs/topazyard-control/src/machine/operate.rs
+++ b/programs/topazyard-control/src/machine/operate.rs
@@ -83,9 +83,9 @@
     error: &ApiError,
 ) -> Option<Effect<OperateOutcome, super::ControlTask>> {
     let order = match command {
-        Command::TakeSpec { base, version, .. } => format!("spec {version} on {base}"),
-        Command::PatchSpec { base, version, .. } => format!("patch {version} on {base}"),
-        Command::SubmitSpec { base, .. } | Command::SubmitPatch { base, .. } => {
+        Command::ApplyConfiguration { base, version, .. } => format!("spec {version} on {base}"),
+        Command::PatchConfiguration { base, version, .. } => format!("patch {version} on {base}"),
+        Command::SubmitConfiguration { base, .. } | Command::SubmitPatch { base, .. } => {
             format!("submission on {base}")
         }
         Command::RetireNamed(name) => format!("retirement of {name}"),
@@ -105,12 +105,12 @@
 }
 
 impl OperateQueue {
-    pub(super) fn new(life: topazyard_types::Life) -> Self {
+    pub(super) fn new(boot_id: topazyard_types::BootId) -> Self {
         Self {
             commands: std::collections::VecDeque::new(),
             offered: std::collections::BTreeMap::new(),
             passed_on: std::collections::BTreeMap::new(),
-            last_id: life.first_number(),
+            last_id: boot_id.first_number(),
         }
     }
 }
@@ -162,7 +162,7 @@
                     confirmed: None,
                 };
                 self.operate.passed_on.insert(id, passed);
-                let message = Message::Operate(OperateMessage::Ask { id, request });
+                let message = Message::Operate(OperateMessage::Request { id, request });
                 out.push(Effect::Send { to: primary.address, message });
             }
             _ => self.refuse(origin, Code::NoPrimary, now, out),
@@ -202,10 +202,10 @@
         out: &mut Out,
     ) {
         match message {
-            OperateMessage::Ask { id, request } => {
+            OperateMessage::Request { id, request } => {
                 self.take_operate(Origin::Passed(sender, from, id), request, now, out);
             }
-            OperateMessage::Answer { id, outcome } => {
+            OperateMessage::Response { id, outcome } => {
                 let passed = self.operate.passed_on.get(&id);
                 if passed.is_none_or(|passed| passed.to != sender) {
                     return;
@@ -282,7 +282,7 @@
             Origin::Local(call) => Effect::Return { call, value: outcome },
             Origin::Passed(_, to, id) => Effect::Send {
                 to,
-                message: Message::Operate(OperateMessage::Answer { id, outcome }),
+                message: Message::Operate(OperateMessage::Response { id, outcome }),
             },
         });
     }
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -7,7 +7,7 @@
 use topazyard_wire::Effect;
 use topazyard_wire::message::feed::Health;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// How often weights are looked at.
 const EVERY: DurationMs = DurationMs(1_000);
@@ -57,8 +57,8 @@
 
     /// What the primary knows of demand.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
-        let view = FleetView::read(self.replica.copy().rows());
-        let (_, bundle) = view.spec.as_ref()?;
+        let view = FleetSnapshot::read(self.replica.copy().rows());
+        let (_, bundle) = view.configuration.as_ref()?;
         let mut demand = Demand::default();
         for seen in self.seen.nodes.values() {
             match &seen.health {
@@ -122,7 +122,7 @@
                 self.take_operate(origin, Operate::Command(command), now, out);
             }
         }
-        out.push(Effect::Start(ControlTask::AskLoads(load.engines)));
+        out.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
     }
 
     pub(super) fn take_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
--- a/programs/topazyard-control/src/main.rs
+++ b/programs/topazyard-control/src/main.rs
@@ -12,6 +12,6 @@
 
 fn main() -> std::process::ExitCode {
     topazyard_wire::driver::daemon(Flags::parse().settings, |settings| {
-        topazyard_control::run(settings, topazyard_control::OwnInterface)
+        topazyard_control::run(settings, topazyard_control::DefaultInterface)
     })
 }
--- a/programs/topazyard-control/src/metrics.rs
+++ b/programs/topazyard-control/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What a control node tells of itself to whoever fetches its metrics.
 
+use crate::external::Handle;
 use crate::machine::{ControlCall, ControlHealth};
-use crate::outside::Handle;
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::message::operate::OperateOutcome;
 use topazyard_wire::metrics::{Figures, Writer};
--- a/programs/topazyard-control/src/planner.rs
+++ b/programs/topazyard-control/src/planner.rs
@@ -8,7 +8,7 @@
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::membership::Member;
 use topazyard_wire::state::{
-    FleetView, StorageRow, StorageStage, WeightRow, shard_key, storage_key, weight_key,
+    FleetSnapshot, StorageRow, StorageStage, WeightRow, shard_key, storage_key, weight_key,
 };
 
 /// How often placement is looked at.
@@ -111,7 +111,7 @@
 
 /// The record after backups that don't confirm are let go, with whom to fill in their place.
 pub fn without_backups(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
     silent: &[NodeId],
@@ -123,7 +123,7 @@
 /// The record with learners for all backups that are missing, if so many nodes work. Those that
 /// have just failed come last, though control may still hear them.
 fn with_learners(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
     failed: &[NodeId],
@@ -142,7 +142,7 @@
 /// The record after the primary and a backup change places. While none is heard, one may only be
 /// starting, as after a loss of power: they are let go once all of them are down.
 pub fn handed_over(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -170,7 +170,7 @@
 
 /// The record after its learners become backups, in place of the worst where that makes too many.
 pub fn promoted_learners(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -201,7 +201,7 @@
 /// How ill a node is placed in a record, whether as backup or in place of one: unfit, then in the
 /// zone of another copy, then with a slow disk.
 fn rank(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     others: &[CoreNode],
     node: &CoreNode,
@@ -211,13 +211,17 @@
     (is_unfit(view, standings, node), together, standings.slow.contains(&node.id))
 }
 
-fn is_unfit(view: &FleetView, standings: &Standings, node: &CoreNode) -> bool {
+fn is_unfit(view: &FleetSnapshot, standings: &Standings, node: &CoreNode) -> bool {
     standings.is_lost(node.id)
         || view.storage.get(&node.id).is_none_or(|row| row.stage != StorageStage::Active)
 }
 
 /// The backup that is placed worst; of several alike the one whose node holds most.
-fn worst_backup(view: &FleetView, standings: &Standings, record: &ShardRecord) -> Option<CoreNode> {
+fn worst_backup(
+    view: &FleetSnapshot,
+    standings: &Standings,
+    record: &ShardRecord,
+) -> Option<CoreNode> {
     let members: Vec<CoreNode> = record.members().copied().collect();
     let key =
         |node: &&CoreNode| (rank(view, standings, &members, node), hosted(view, node.id), node.id);
@@ -225,13 +229,13 @@
 }
 
 /// How many copies a node holds or is being given.
-pub fn hosted(view: &FleetView, id: NodeId) -> usize {
+pub fn hosted(view: &FleetSnapshot, id: NodeId) -> usize {
     view.shards.values().filter(|record| record.holders().any(|node| node.id == id)).count()
 }
 
 /// Whether so many nodes that work would be left to keep shards on if this one were emptied.
 pub fn has_room_without(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     id: NodeId,
     needed: usize,
@@ -243,7 +247,7 @@
 }
 
 /// What should change now.
-pub fn plan(view: &FleetView, standings: &Standings) -> Vec<RowChange> {
+pub fn plan(view: &FleetSnapshot, standings: &Standings) -> Vec<RowChange> {
     let mut changes = Vec::new();
     enlist(view, standings, &mut changes);
     give_first_weights(view, &mut changes);
@@ -270,7 +274,7 @@
 }
 
 /// Takes in storage nodes that are new, and forgets those that are down and hold nothing.
-fn enlist(view: &FleetView, standings: &Standings, changes: &mut Vec<RowChange>) {
+fn enlist(view: &FleetSnapshot, standings: &Standings, changes: &mut Vec<RowChange>) {
     for (id, member) in &standings.heard {
         let known = view.storage.get(id);
         if known.is_none_or(|row| row.member != *member) {
@@ -287,14 +291,14 @@
     }
     for id in view.storage.keys() {
         if standings.down.contains(id) && hosted(view, *id) == 0 {
-            changes.push(RowChange::gone(storage_key(*id)));
+            changes.push(RowChange::delete(storage_key(*id)));
         }
     }
 }
 
 /// Gives each pool of the spec in force a weight to begin with, and takes those of other pools away.
-fn give_first_weights(view: &FleetView, changes: &mut Vec<RowChange>) {
-    let Some((_, bundle)) = &view.spec else { return };
+fn give_first_weights(view: &FleetSnapshot, changes: &mut Vec<RowChange>) {
+    let Some((_, bundle)) = &view.configuration else { return };
     for pool in &bundle.pools {
         if !view.weights.contains_key(&pool.name) {
             let weight = WeightRow { live_percent: bundle.weights.live_start_percent };
@@ -302,7 +306,7 @@
         }
     }
     for pool in view.weights.keys().filter(|pool| bundle.pool(pool).is_none()) {
-        changes.push(RowChange::gone(weight_key(pool)));
+        changes.push(RowChange::delete(weight_key(pool)));
     }
 }
 
@@ -310,14 +314,14 @@
     CoreNode { id: member.id, address: member.address }
 }
 
-fn zone(view: &FleetView, id: NodeId) -> Option<&ZoneName> {
+fn zone(view: &FleetSnapshot, id: NodeId) -> Option<&ZoneName> {
     view.storage.get(&id).map(|row| &row.member.zone)
 }
 
 /// Nodes that may be given a copy: those that speak before the silent, then those of other
 /// zones, then the least laden.
 fn candidates(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     apart_from: &[&ZoneName],
     not: &[NodeId],
@@ -341,11 +345,14 @@
 }
 
 /// Zones of nodes, as far as they are known.
-fn zones<'a>(view: &'a FleetView, nodes: impl Iterator<Item = &'a CoreNode>) -> Vec<&'a ZoneName> {
+fn zones<'a>(
+    view: &'a FleetSnapshot,
+    nodes: impl Iterator<Item = &'a CoreNode>,
+) -> Vec<&'a ZoneName> {
     nodes.filter_map(|node| zone(view, node.id)).collect()
 }
 
-fn place_new(view: &FleetView, standings: &Standings) -> Option<ShardRecord> {
+fn place_new(view: &FleetSnapshot, standings: &Standings) -> Option<ShardRecord> {
     let primary = *candidates(view, standings, &[], &[]).first()?;
     let mut record = ShardRecord {
         epoch: Epoch(1),
@@ -366,7 +373,7 @@
 
 /// Chooses whom to fill besides those that are being filled: who already holds most comes first.
 fn choose_learner(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
     failed: &[NodeId],
@@ -386,7 +393,7 @@
 
 /// The record after a holder takes over, with whom to fill; the old primary stays as fallback.
 fn promoted(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
     successor: CoreNode,
@@ -408,7 +415,7 @@
 
 /// What a shard's record should become, if it should change.
 fn mend(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     shard: ShardId,
     record: &ShardRecord,
@@ -489,7 +496,7 @@
 
 /// Whom to fill so that it takes a backup's place.
 fn choose_in_place_of(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
     backup: &CoreNode,
@@ -502,7 +509,7 @@
 
 /// The record with a learner that may take the place of a backup.
 fn learner_if_missing(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -518,7 +525,7 @@
 /// A counter whose copies are all gone starts empty elsewhere and gathers the holds of all live
 /// relays before it grants.
 fn replace_counter(
-    view: &FleetView,
+    view: &FleetSnapshot,
     standings: &Standings,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -527,7 +534,7 @@
 }
 
 /// One move that evens the number of copies, when nothing else is under way.
-fn balance(view: &FleetView, standings: &Standings) -> Option<(ShardId, ShardRecord)> {
+fn balance(view: &FleetSnapshot, standings: &Standings) -> Option<(ShardId, ShardRecord)> {
     let settled = |record: &ShardRecord| record.is_complete() && record.learners.is_empty();
     // A slow disk is no place to move to, and moving off one is mending, not balancing. Who is
     // silent may be down: moving then would only get in the way of mending.
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -1,9 +1,9 @@
 //! The program as a whole: its machine, its links and its HTTP.
 
-use crate::outside::{Handle, Outside};
+use crate::external::{ExternalInterface, Handle};
 use topazyard_wire::driver::{StartError, start_with_disk};
 use topazyard_wire::http::server::Server;
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// The longest that one reading of the list of engines may take.
 const LIST_LIMIT: std::time::Duration = std::time::Duration::from_millis(1_500);
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// A setting that is missing, an address that is taken, or a disk that can't be used.
-pub fn run<O: Outside>(
+pub fn run<O: ExternalInterface>(
     settings: topazyard_spec::NodeSettings,
     outside: O,
 ) -> Result<(), StartError> {
@@ -24,26 +24,31 @@
 ///
 /// # Errors
 /// A setting that is missing, an address that is taken, or a disk that can't be used.
-pub fn run_until<O: Outside>(
+pub fn run_until<O: ExternalInterface>(
     settings: topazyard_spec::NodeSettings,
     outside: O,
     terminated: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
-    let http = settings.need_http()?;
+    let http = settings.require_http()?;
     topazyard_wire::driver::run_process(async move {
-        let (start, place, disk) = start_with_disk(&settings, Duty::Control).await?;
+        let (start, place, disk) = start_with_disk(&settings, MemberRole::Control).await?;
         let listener = topazyard_wire::http::inward::bind(http).await?;
         let (tasks, begun) = tokio::sync::mpsc::channel(64);
-        let every = outside.list_every();
+        let every = outside.engine_list_interval();
         let make = |now| {
             let (mut machine, first) = crate::ControlMachine::new(start, now);
             if let Some(every) = every {
-                machine.list_engines_every(every);
+                machine.set_engine_list_interval(every);
             }
             (machine, first)
         };
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, Some(disk), tasks)?;
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.listen_address(),
+            make,
+            place,
+            Some(disk),
+            tasks,
+        )?;
         tokio::spawn(work(outside, handle.clone(), begun));
         crate::metrics::serve(settings.metrics, &handle).await;
         let leaving = handle.clone();
@@ -52,7 +57,7 @@
         let follow = topazyard_wire::driver::follow_settings(settings, move |now| {
             told.tell(crate::ControlCall::Seeds(now.seeds));
         });
-        let server = Server::start(listener, move |request| O::answer(handle.clone(), request));
+        let server = Server::start(listener, move |request| O::respond(handle.clone(), request));
         tokio::select! {
             biased;
             () = terminated => end(server, &leaving, grace).await,
@@ -118,17 +123,17 @@
 }
 
 /// Does what the machine begins outside: lists one after the other, loads beside them.
-async fn work<O: Outside>(
+async fn work<O: ExternalInterface>(
     mut outside: O,
     handle: Handle,
     mut begun: tokio::sync::mpsc::Receiver<crate::ControlTask>,
 ) {
     while let Some(task) = begun.recv().await {
         match task {
-            crate::ControlTask::AskLoads(engines) => {
+            crate::ControlTask::FetchLoads(engines) => {
                 let handle = handle.clone();
                 tokio::spawn(async move {
-                    handle.tell(crate::ControlCall::Loads(O::ask_loads(engines).await));
+                    handle.tell(crate::ControlCall::Loads(O::fetch_loads(engines).await));
                 });
             }
             crate::ControlTask::ListEngines => {
--- a/programs/topazyard-control/tests/catching_up.rs
+++ b/programs/topazyard-control/tests/catching_up.rs
@@ -5,13 +5,13 @@
 
 use fleet::{Fleet, at};
 use topazyard_control::ControlCall;
-use topazyard_replication::Follower;
-use topazyard_replication::follower::Followed;
-use topazyard_types::{Life, MonotonicMs, NodeId, SpecVersion};
+use topazyard_replication::FeedFollower;
+use topazyard_replication::follower::FollowOutcome;
+use topazyard_types::{BootId, ConfigurationVersion, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// No answer may be much larger: the rest is keys, lengths and the frame.
 const MOST_BYTES: usize = 144 * 1_024;
@@ -30,9 +30,9 @@
         })
         .collect();
     let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
-    Command::TakeSpec {
-        base: SpecVersion(version - 1),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(version - 1),
+        version: ConfigurationVersion(version),
         text: bundle.to_string(),
         source: bytes::Bytes::from_static(b"source"),
     }
@@ -65,7 +65,7 @@
     }
 
     /// Lets a follower ask once, and gives what it is answered.
-    fn answer(&mut self, follower: &mut Follower) -> FeedMessage {
+    fn answer(&mut self, follower: &mut FeedFollower) -> FeedMessage {
         self.now.0 += 1_000;
         let health = || Health::Edge { ready: true, waiting: 0, refused: 0 };
         let (_, ask) = follower.tick(self.now, health).expect("it asks");
@@ -74,19 +74,19 @@
         let message = Message::Feed(ask);
         let answer = self.fleet.frame(primary, sender, from, message).pop();
         let Some(Message::Feed(answer)) = answer else { panic!("no answer") };
-        if let FeedMessage::News { matter, .. } = &answer {
-            self.answers.push(topazyard_wire::rows::encode(matter).len());
+        if let FeedMessage::Update { content, .. } = &answer {
+            self.answers.push(topazyard_wire::rows::encode(content).len());
         }
         answer
     }
 
-    fn ask(&mut self, follower: &mut Follower) -> Followed {
+    fn ask(&mut self, follower: &mut FeedFollower) -> FollowOutcome {
         let answer = self.answer(follower);
         follower.receive(at(self.fleet.primary().expect("a primary")), answer)
     }
 
     /// Lets a follower ask until it is up to date.
-    fn follow(&mut self, follower: &mut Follower) {
+    fn follow(&mut self, follower: &mut FeedFollower) {
         self.answers.clear();
         let before = follower.confirmed_at();
         for _ in 0..2_000 {
@@ -96,14 +96,14 @@
             }
         }
         assert!(follower.confirmed_at() > before, "it never caught up");
-        let view = FleetView::read(follower.copy().rows());
-        assert_eq!(view.spec.map(|(version, _)| version.0), Some(self.version));
+        let view = FleetSnapshot::read(follower.copy().rows());
+        assert_eq!(view.configuration.map(|(version, _)| version.0), Some(self.version));
         assert!(self.answers.iter().all(|bytes| *bytes <= MOST_BYTES), "{:?}", self.answers);
     }
 }
 
-fn follower() -> Follower {
-    Follower::new(vec![at(0)], Life(1))
+fn follower() -> FeedFollower {
+    FeedFollower::new(vec![at(0)], BootId(1))
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let confirmed = follower.confirmed_at();
     fed.change(2_000, 210);
     let mut parts = 0;
-    while fed.ask(&mut follower) == Followed::Nothing {
+    while fed.ask(&mut follower) == FollowOutcome::Unchanged {
         assert_eq!(*follower.copy().rows(), before);
         parts += 1;
     }
@@ -159,8 +159,8 @@
         asked += 1;
         assert!(asked < 40, "it never caught up");
     }
-    let view = FleetView::read(follower.copy().rows());
-    let (version, _) = view.spec.expect("a spec");
+    let view = FleetSnapshot::read(follower.copy().rows());
+    let (version, _) = view.configuration.expect("a spec");
     assert!(version.0 >= fed.version - 1, "{version} of {}", fed.version);
     assert_eq!(view.routes.iter().count(), 2_000);
 }
@@ -181,7 +181,7 @@
     let mut quick = follower();
     fed.follow(&mut quick);
     assert_eq!(slow.copy().rows(), quick.copy().rows());
-    assert_eq!(slow.copy().place(), quick.copy().place());
+    assert_eq!(slow.copy().position(), quick.copy().position());
 }
 
 #[test]
@@ -190,19 +190,21 @@
     fed.change(2_000, 200);
     let mut follower = follower();
     let first = fed.answer(&mut follower);
-    let FeedMessage::News { nonce, place, matter: Matter::Part(part) } = first.clone() else {
+    let FeedMessage::Update { nonce, position, content: UpdateContent::Part(part) } = first.clone()
+    else {
         panic!("{first:?}")
     };
     follower.receive(at(0), first.clone());
     // Again, and under the nonce of the next asking.
     follower.receive(at(0), first);
     let next = fed.answer(&mut follower);
-    let again = FeedMessage::News { nonce: nonce + 1, place, matter: Matter::Part(part) };
+    let again =
+        FeedMessage::Update { nonce: nonce + 1, position, content: UpdateContent::Part(part) };
     follower.receive(at(0), again);
     follower.receive(at(0), next);
     assert!(follower.copy().rows().is_empty());
     fed.follow(&mut follower);
-    assert_eq!(FleetView::read(follower.copy().rows()).routes.iter().count(), 2_000);
+    assert_eq!(FleetSnapshot::read(follower.copy().rows()).routes.iter().count(), 2_000);
 }
 
 #[test]
@@ -215,7 +217,7 @@
     fed.fleet.stop(primary, false);
     fed.fleet.run(3_000);
     fed.follow(&mut follower);
-    assert_eq!(FleetView::read(follower.copy().rows()).routes.iter().count(), 2_000);
+    assert_eq!(FleetSnapshot::read(follower.copy().rows()).routes.iter().count(), 2_000);
 }
 
 // Four hundred followers at once: what waits in memory to be sent is bounded, and the parts share
@@ -224,10 +226,11 @@
 fn a_herd_shares_one_snapshot() {
     let mut fed = Fed::new();
     fed.change(10_000, 230);
-    let mut herd: Vec<Follower> = (0..400).map(|_| follower()).collect();
+    let mut herd: Vec<FeedFollower> = (0..400).map(|_| follower()).collect();
     let mut held = Vec::new();
     for follower in &mut herd {
-        if let FeedMessage::News { matter: Matter::Part(part), .. } = fed.answer(follower) {
+        if let FeedMessage::Update { content: UpdateContent::Part(part), .. } = fed.answer(follower)
+        {
             held.push(part.bytes);
         }
     }
--- a/programs/topazyard-control/tests/ending.rs
+++ b/programs/topazyard-control/tests/ending.rs
@@ -1,8 +1,8 @@
 //! A control process that ends in order, over loopback: what it has read is answered.
 
 use std::io::{Read as _, Write as _};
-use topazyard_control::Outside;
-use topazyard_control::outside::Handle;
+use topazyard_control::ExternalInterface;
+use topazyard_control::external::Handle;
 use topazyard_control::tuner::EngineLoad;
 use topazyard_types::FleetId;
 use topazyard_wire::http::{Body, json_text};
@@ -20,8 +20,8 @@
 
 static READS: std::sync::OnceLock<Reads> = std::sync::OnceLock::new();
 
-impl Outside for SlowOutside {
-    async fn answer(
+impl ExternalInterface for SlowOutside {
+    async fn respond(
         _: Handle,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> hyper::Response<Body> {
@@ -31,7 +31,7 @@
         json_text(200, request.uri().path().to_owned())
     }
 
-    fn list_every(&self) -> Option<topazyard_types::DurationMs> {
+    fn engine_list_interval(&self) -> Option<topazyard_types::DurationMs> {
         None
     }
 
@@ -39,7 +39,7 @@
         None
     }
 
-    async fn ask_loads(_: Vec<topazyard_spec::Engine>) -> Vec<EngineLoad> {
+    async fn fetch_loads(_: Vec<topazyard_spec::Engine>) -> Vec<EngineLoad> {
         Vec::new()
     }
 }
@@ -60,7 +60,7 @@
         beside: None,
         bounds: topazyard_spec::Bounds::default(),
         resources: topazyard_spec::Resources::default(),
-        may_found: false,
+        may_bootstrap: false,
         reread: topazyard_spec::Reread::by(|| None),
     }
 }
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -2,7 +2,7 @@
 //! checked, then the budget.
 
 use super::{EngineUse, Outputs, Prompt, PromptId, RelayMachine, RelayReturn};
-use topazyard_spec::LaneKind;
+use topazyard_spec::ModelRouteKind;
 use topazyard_types::{CallId, DurationMs, EngineName, HoldId, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
@@ -154,8 +154,11 @@
         if let Some(code) = self.not_ready_reason(now).filter(|code| *code != Code::NoEngine) {
             return refused(code);
         }
-        let Some((_, configuration)) = &self.fleet.spec else { return refused(Code::StaleFeed) };
-        let Some(model_route) = configuration.lane_for(LaneKind::Live, &prompt.model) else {
+        let Some((_, configuration)) = &self.fleet.configuration else {
+            return refused(Code::StaleFeed);
+        };
+        let Some(model_route) = configuration.model_route_for(ModelRouteKind::Live, &prompt.model)
+        else {
             return Err(ApiError::not_run(Code::NoLane).at("Topazyard-Model"));
         };
         let queue = self.admission.queues.get(&model_route.pool);
@@ -179,7 +182,8 @@
     }
 
     fn queue_depth(&self, pool: &PoolName) -> usize {
-        let configuration = self.fleet.spec.as_ref().map(|(_, configuration)| configuration);
+        let configuration =
+            self.fleet.configuration.as_ref().map(|(_, configuration)| configuration);
         let pool = configuration.and_then(|configuration| configuration.pool(pool));
         pool.map_or(0, |pool| pool.queue_depth as usize)
     }
@@ -294,7 +298,13 @@
         if !matches!(&entry.stage, Stage::Held(_, held) if held == engine) {
             return refused(Code::NoEngine);
         }
-        match self.send_deadline(engine, &entry.pool, &entry.prompt.model, LaneKind::Live, now) {
+        match self.send_deadline(
+            engine,
+            &entry.pool,
+            &entry.prompt.model,
+            ModelRouteKind::Live,
+            now,
+        ) {
             Err(code) => refused(code),
             Ok(until) => RelayReturn::GoUntil(until.min(entry.prompt.deadline)),
         }
@@ -306,15 +316,20 @@
         engine: &EngineName,
         pool: &PoolName,
         model: &topazyard_types::ModelName,
-        kind: LaneKind,
+        kind: ModelRouteKind,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
         if let Some(code) = self.lost_dependency(now) {
             return Err(code);
         }
-        let Some((_, configuration)) = &self.fleet.spec else { return Err(Code::StaleFeed) };
+        let Some((_, configuration)) = &self.fleet.configuration else {
+            return Err(Code::StaleFeed);
+        };
         // The configuration may have changed while it waited.
-        if configuration.lane_for(kind, model).is_none_or(|model_route| model_route.pool != *pool) {
+        if configuration
+            .model_route_for(kind, model)
+            .is_none_or(|model_route| model_route.pool != *pool)
+        {
             return Err(Code::NoLane);
         }
         let fits = |e: &topazyard_spec::Engine| {
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -2,15 +2,15 @@
 //! them are idempotent and may be sent twice.
 
 use super::{FRESH_FOR, Outputs, RelayMachine, RelayReturn};
-use topazyard_spec::LaneKind;
+use topazyard_spec::ModelRouteKind;
 use topazyard_types::{
-    BatchId, CallId, DurationMs, Epoch, Life, MonotonicMs, RouteName, ShardId, Tokens,
+    BatchId, BootId, CallId, DurationMs, Epoch, MonotonicMs, RouteName, ShardId, Tokens,
 };
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::batch::{
-    BatchBody, BatchCall, BatchMessage, BatchReturn, Item, RoutedBatch, Terms,
+    BatchBody, BatchCall, BatchMessage, BatchResponse, Item, RoutedBatch, RoutedBatchTerms,
 };
 
 /// Time without a response after which a call is sent again.
@@ -62,8 +62,8 @@
 }
 
 impl BatchCalls {
-    pub(super) fn new(life: Life) -> Self {
-        Self { last_id: life.first_number(), ..Self::default() }
+    pub(super) fn new(boot_id: BootId) -> Self {
+        Self { last_id: boot_id.first_number(), ..Self::default() }
     }
 
     /// Clients' calls under way.
@@ -94,9 +94,9 @@
     match call {
         BatchCall::SubmitRouted(routed) => Some(routed.batch.shard),
         BatchCall::Submit { batch, .. }
-        | BatchCall::Results { batch, .. }
+        | BatchCall::RoutedResults { batch, .. }
         | BatchCall::Body { batch, .. }
-        | BatchCall::Returns { batch, .. }
+        | BatchCall::ItemResults { batch, .. }
         | BatchCall::Read(batch)
         | BatchCall::Recall(batch, _)
         | BatchCall::End(batch) => Some(batch.shard),
@@ -109,8 +109,8 @@
     matches!(
         call,
         BatchCall::Read(_)
-            | BatchCall::Returns { .. }
-            | BatchCall::Results { .. }
+            | BatchCall::ItemResults { .. }
+            | BatchCall::RoutedResults { .. }
             | BatchCall::Body { .. }
     )
 }
@@ -213,7 +213,7 @@
         };
         let routed = RoutedBatch {
             batch,
-            terms: Terms {
+            terms: RoutedBatchTerms {
                 route: route.name.clone(),
                 host: route.host.clone(),
                 run_target: DurationMs(terms.run_target_ms),
@@ -228,7 +228,7 @@
 
     /// Checks items against the configuration in force and returns its ceiling on waiting work.
     fn check_items(&self, items: &[Item]) -> Result<Tokens, ApiError> {
-        let Some((_, configuration)) = &self.fleet.spec else {
+        let Some((_, configuration)) = &self.fleet.configuration else {
             return Err(ApiError::not_run(Code::StaleFeed));
         };
         let limits = &configuration.batches;
@@ -240,7 +240,7 @@
                 let error = ApiError::not_run(Code::BodyTooLarge);
                 return Err(error.at(format!("items[{index}].body")));
             }
-            if configuration.lane_for(LaneKind::Batch, &item.model).is_none() {
+            if configuration.model_route_for(ModelRouteKind::Batch, &item.model).is_none() {
                 return Err(ApiError::not_run(Code::NoLane).at(format!("items[{index}].model")));
             }
         }
@@ -279,7 +279,7 @@
     fn send_pending(&mut self, id: u64, now: MonotonicMs, effects: &mut Outputs) {
         let ceiling = self
             .fleet
-            .spec
+            .configuration
             .as_ref()
             .map(|(_, configuration)| configuration.batches.waiting_ceiling_tokens);
         let is_feed_recent = now.plus(FRESH_FOR) < self.fresh_until().plus(MAX_SUBMIT_FEED_AGE);
@@ -326,15 +326,15 @@
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
-        let BatchBody::Return(value) = message.body else { return };
-        if value == BatchReturn::NotHere {
+        let BatchBody::Response(value) = message.body else { return };
+        if value == BatchResponse::NotPrimary {
             self.forward_record(message.shard, message.epoch, effects);
             if let Some(pending) = self.batches.pending.get_mut(&message.call) {
                 pending.send_at = now.plus(REFUSED_RETRY_INTERVAL);
             }
             return;
         }
-        if value == BatchReturn::CeilingReached
+        if value == BatchResponse::CeilingReached
             && let Some(pending) = self.batches.pending.get(&message.call)
             && !pending.is_refusal_final(message.epoch)
         {
@@ -342,7 +342,7 @@
         }
         let Some(pending) = self.batches.pending.remove(&message.call) else { return };
         match (pending.caller, value) {
-            (Caller::Client(call), BatchReturn::CeilingReached) => {
+            (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.record_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
                 effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
@@ -350,11 +350,11 @@
             (Caller::Client(call), value) => {
                 effects.push(Effect::Return { call, value: RelayReturn::Batch(value) });
             }
-            (Caller::Leasing(requested_at), BatchReturn::Leased(items)) => {
+            (Caller::Leasing(requested_at), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, requested_at, now, effects);
             }
             (Caller::Leasing(_), _) => self.items.lease_request_ended(pending.shard),
-            (Caller::Starting(run), BatchReturn::MayStart(may_start)) => {
+            (Caller::Starting(run), BatchResponse::MayStart(may_start)) => {
                 self.start_decided(run, may_start, now, effects);
             }
             (Caller::Starting(run), _) => self.start_decided(run, false, now, effects),
@@ -411,7 +411,7 @@
             }
             pending.replica_read_at = now.plus(REPLICA_READ_DELAY);
             for member in record.members() {
-                let body = BatchBody::Aside(pending.call.clone());
+                let body = BatchBody::ReplicaRead(pending.call.clone());
                 let (shard, epoch) = (pending.shard, record.epoch);
                 let message = BatchMessage { shard, epoch, call: *id, body };
                 effects.push(Effect::Send { to: member.address, message: Message::Batch(message) });
--- a/programs/topazyard-relay/src/machine/counter.rs
+++ b/programs/topazyard-relay/src/machine/counter.rs
@@ -2,11 +2,11 @@
 
 use super::{Outputs, RelayMachine};
 use topazyard_types::{
-    DurationMs, EngineName, Epoch, HoldId, Life, MonotonicMs, PoolName, ShardId, Tokens,
+    BootId, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, PoolName, ShardId, Tokens,
 };
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::counter::{CounterBody, CounterMessage, Hold, HoldKind, Terms};
+use topazyard_wire::message::counter::{CounterBody, CounterMessage, Hold, HoldKind, HoldTerms};
 
 /// Interval between renewals of the lease.
 const RENEWAL_INTERVAL: DurationMs = DurationMs(500);
@@ -35,10 +35,10 @@
 }
 
 impl CounterClient {
-    pub(super) fn new(life: Life) -> Self {
+    pub(super) fn new(boot_id: BootId) -> Self {
         Self {
-            last_id: life.first_number(),
-            last_renewal_number: life.first_number(),
+            last_id: boot_id.first_number(),
+            last_renewal_number: boot_id.first_number(),
             ..Self::default()
         }
     }
@@ -63,8 +63,9 @@
     }
 
     /// The terms of the configuration in force here.
-    fn terms(&self, pool: &PoolName, kind: HoldKind) -> Terms {
-        let configuration = self.fleet.spec.as_ref().map(|(_, configuration)| configuration);
+    fn terms(&self, pool: &PoolName, kind: HoldKind) -> HoldTerms {
+        let configuration =
+            self.fleet.configuration.as_ref().map(|(_, configuration)| configuration);
         let known = configuration.and_then(|configuration| configuration.pool(pool));
         let limit = known.map_or(Tokens(0), |pool| self.fleet.limit(pool));
         let part = match kind {
@@ -75,7 +76,7 @@
             HoldKind::Block => self.block_expiry,
             _ => DurationMs(known.map_or(0, |pool| pool.hold_expiry_ms)),
         };
-        Terms { limit, part, expiry }
+        HoldTerms { limit, part, expiry }
     }
 
     /// Requests a hold; the response arrives in [`RelayMachine::hold_decided`].
@@ -155,7 +156,7 @@
         }
         let granted = counter.holds.values().filter(|own_hold| own_hold.granted);
         let holds = granted.map(|own_hold| own_hold.hold.clone()).collect();
-        let asked = counter
+        let pending = counter
             .holds
             .iter()
             .filter(|(_, own_hold)| !own_hold.granted)
@@ -163,7 +164,7 @@
             .collect();
         let (number, up_to) = (counter.last_renewal_number, HoldId(counter.last_id));
         let used = self.requests.take_mean_used(now);
-        self.send_counter(CounterBody::Renew { number, up_to, holds, asked, used }, effects);
+        self.send_counter(CounterBody::Renew { number, up_to, holds, pending, used }, effects);
     }
 
     pub(super) fn receive_counter(
@@ -173,7 +174,9 @@
         effects: &mut Outputs,
     ) {
         match &message.body {
-            CounterBody::NotHere => self.forward_record(ShardId::COUNTER, message.epoch, effects),
+            CounterBody::NotPrimary => {
+                self.forward_record(ShardId::COUNTER, message.epoch, effects)
+            }
             CounterBody::Added { id, granted, engine } => {
                 let (id, granted) = (*id, *granted);
                 match self.counter.holds.get_mut(&id) {
--- a/programs/topazyard-relay/src/machine/engine_selection.rs
+++ b/programs/topazyard-relay/src/machine/engine_selection.rs
@@ -13,7 +13,7 @@
 use topazyard_spec::{Engine, EngineState};
 use topazyard_types::{Digest, DurationMs, EngineName, MonotonicMs, NodeId, PoolName};
 use topazyard_wire::Effect;
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// Consecutive failures after which an engine is paused.
 const FAILURES_BEFORE_PAUSE: u32 = 2;
@@ -114,7 +114,7 @@
 
 impl Engines {
     /// Whether a pool has any engine that could be tried.
-    pub(super) fn has_usable(&self, fleet: &FleetView, pool: &PoolName) -> bool {
+    pub(super) fn has_usable(&self, fleet: &FleetSnapshot, pool: &PoolName) -> bool {
         fleet
             .engines
             .values()
@@ -129,7 +129,7 @@
     /// Selects an engine, with the time without a response after which it is suspected.
     pub(super) fn choose(
         &self,
-        fleet: &FleetView,
+        fleet: &FleetSnapshot,
         query: &EngineQuery<'_>,
         node: NodeId,
         now: MonotonicMs,
@@ -143,7 +143,7 @@
     /// shared parts, unless another engine is much cheaper, then the others by cost.
     pub(super) fn ranked<'a>(
         &self,
-        fleet: &'a FleetView,
+        fleet: &'a FleetSnapshot,
         query: &EngineQuery<'_>,
         node: NodeId,
         now: MonotonicMs,
@@ -183,7 +183,7 @@
     /// The engines that a request may go to, each with its rank for these parts.
     fn candidates<'a>(
         &self,
-        fleet: &'a FleetView,
+        fleet: &'a FleetSnapshot,
         query: &EngineQuery<'_>,
         key: Digest,
         only_usable: bool,
@@ -329,7 +329,7 @@
     /// Starts a connection probe to each paused engine whose pause is over.
     pub(super) fn probe_tick(
         &mut self,
-        fleet: &FleetView,
+        fleet: &FleetSnapshot,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
--- a/programs/topazyard-relay/src/machine/engines.rs
+++ b/programs/topazyard-relay/src/machine/engines.rs
@@ -124,11 +124,11 @@
 
     /// Models that have an engine for batch items.
     pub(super) fn models_with_engine(&self) -> Vec<ModelName> {
-        let Some((_, configuration)) = &self.fleet.spec else { return Vec::new() };
+        let Some((_, configuration)) = &self.fleet.configuration else { return Vec::new() };
         let mut models: Vec<ModelName> = configuration
             .lanes
             .iter()
-            .filter(|model_route| model_route.kind != topazyard_spec::LaneKind::Live)
+            .filter(|model_route| model_route.kind != topazyard_spec::ModelRouteKind::Live)
             .flat_map(|model_route| {
                 model_route.models.iter().filter(|model| self.has_engine(&model_route.pool, model))
             })
@@ -184,7 +184,7 @@
     /// their requests: a health check there would occupy a slot.
     fn model_route_pools(&self) -> std::collections::BTreeSet<PoolName> {
         let model_routes =
-            self.fleet.spec.iter().flat_map(|(_, configuration)| &configuration.lanes);
+            self.fleet.configuration.iter().flat_map(|(_, configuration)| &configuration.lanes);
         model_routes.map(|model_route| model_route.pool.clone()).collect()
     }
 
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -5,7 +5,7 @@
 use super::engine_selection::EngineQuery;
 use super::requests::PromptPart;
 use super::{EngineUse, Outputs, RelayMachine, RelayReturn, RelayTask, Target};
-use topazyard_spec::{LaneKind, RouteKind};
+use topazyard_spec::{ModelRouteKind, RouteKind};
 use topazyard_types::{
     BatchId, Digest, DurationMs, EngineName, HoldId, ModelName, MonotonicMs, PoolName, RouteName,
     ShardId, Tokens,
@@ -13,8 +13,8 @@
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::batch::{BatchCall, Item, LeasedItem, Progress, Run, RunEnd};
-use topazyard_wire::message::counter::{HoldKind, MOST_ENGINES};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::counter::{HoldKind, MAX_ENGINES};
+use topazyard_wire::state::FleetSnapshot;
 
 /// Timeout of an item's run. An unresponsive engine holds its budget no longer than this.
 pub const RUN_LIMIT: DurationMs = DurationMs(30_000);
@@ -250,8 +250,8 @@
                 self.accept_routed(run, item, routed, now, effects);
                 continue;
             }
-            let model_route = self.fleet.spec.as_ref().and_then(|(_, configuration)| {
-                configuration.lane_for(LaneKind::Batch, &item.model)
+            let model_route = self.fleet.configuration.as_ref().and_then(|(_, configuration)| {
+                configuration.model_route_for(ModelRouteKind::Batch, &item.model)
             });
             let Some(pool) = model_route.map(|model_route| model_route.pool.clone()) else {
                 self.finish_run(run, RunEnd::NotRun, now, effects);
@@ -267,11 +267,14 @@
     fn request_item_hold(&mut self, run: Run, now: MonotonicMs, effects: &mut Outputs) {
         let Some(entry) = self.items.entries.get(&run) else { return };
         let (pool, cost) = (entry.pool.clone(), entry.item.cost);
-        let pool_configuration =
-            self.fleet.spec.as_ref().and_then(|(_, configuration)| configuration.pool(&pool));
+        let pool_configuration = self
+            .fleet
+            .configuration
+            .as_ref()
+            .and_then(|(_, configuration)| configuration.pool(&pool));
         // Routed items are charged like live requests on routes.
         let cost = match pool_configuration.filter(|_| entry.routed.is_some()) {
-            Some(pool_configuration) => FleetView::charge(pool_configuration, cost),
+            Some(pool_configuration) => FleetSnapshot::charge(pool_configuration, cost),
             None => cost,
         };
         let engines = self.engines_for(run, now);
@@ -288,7 +291,7 @@
         let prefix = prompt_prefix(&entry.item);
         let query = EngineQuery { pool: &entry.pool, prefix: &prefix, excluded: &[] };
         let ranked = self.engines.ranked(&self.fleet, &query, self.node, now);
-        ranked.into_iter().take(MOST_ENGINES).map(|engine| engine.name.clone()).collect()
+        ranked.into_iter().take(MAX_ENGINES).map(|engine| engine.name.clone()).collect()
     }
 
     /// Lets up to this many waiting items request holds, those that have waited longest first.
@@ -449,7 +452,8 @@
                 Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
             };
         }
-        match self.send_deadline(engine, &entry.pool, &entry.item.model, LaneKind::Batch, now) {
+        match self.send_deadline(engine, &entry.pool, &entry.item.model, ModelRouteKind::Batch, now)
+        {
             Err(code) => refused(code),
             Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
         }
@@ -481,7 +485,7 @@
 
 /// The parts of a routed item's prompt that it shares with others.
 fn prompt_prefix(item: &Item) -> Vec<PromptPart> {
-    let prefix = item.directions.as_ref().map_or(&[][..], |directions| &directions.prefix);
+    let prefix = item.routing.as_ref().map_or(&[][..], |routing| &routing.prefix);
     let part =
         |(digest, tokens): &(Digest, Tokens)| PromptPart { digest: *digest, tokens: *tokens };
     prefix.iter().map(part).collect()
@@ -560,8 +564,8 @@
         let listed = engine.and_then(|name| self.fleet.engines.get(name));
         let target = listed.map(|e| Target { engine: e.name.clone(), address: e.address });
         let terms = self.fleet.routes.named(&routed.route);
-        let run_parts = (target, entry.item.directions.clone(), terms);
-        let (Some(target), Some(directions), Some(route)) = run_parts else {
+        let run_parts = (target, entry.item.routing.clone(), terms);
+        let (Some(target), Some(routing), Some(route)) = run_parts else {
             self.set_stage(run, Stage::Requesting(hold));
             self.release_item(run, effects);
             return self.finish_run(run, RunEnd::NotRun, now, effects);
@@ -569,7 +573,7 @@
         let started = Stage::Started(hold, routed.start_deadline, target.engine.clone());
         let routed_run = super::routed_items::RoutedRun {
             run,
-            directions,
+            routing,
             host: routed.host.clone(),
             body: entry.item.body.clone(),
             progress: routed.progress.clone(),
@@ -589,7 +593,7 @@
         route: &RouteName,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
-        if now >= self.routes_fresh_until() || self.fleet.spec.is_none() {
+        if now >= self.routes_fresh_until() || self.fleet.configuration.is_none() {
             return Err(Code::StaleFeed);
         }
         // Its hold was granted within the time in which a run may start, so no counter lease is
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -13,16 +13,16 @@
 pub mod routed_items;
 
 use crate::prompt::Failure;
-use topazyard_replication::{Follower, follower::Followed};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{
-    BatchId, DurationMs, EngineName, Life, ModelName, MonotonicMs, NodeId, RouteName, ShardId,
-    SpecVersion, Tokens,
+    BatchId, BootId, ConfigurationVersion, DurationMs, EngineName, ModelName, MonotonicMs, NodeId,
+    RouteName, ShardId, Tokens,
 };
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchCall, BatchReturn, Item, Run, RunEnd};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, Run, RunEnd};
 use topazyard_wire::message::feed::{FeedMessage, Health};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Input, Machine};
 
 /// Maximum age of the feed's last confirmation. Below the 2 s within which operators are promised
@@ -160,7 +160,7 @@
     /// It may be sent before this time.
     GoUntil(MonotonicMs),
     /// The result of a batch call.
-    Batch(BatchReturn),
+    Batch(BatchResponse),
     /// The drain, with its phases.
     Drains(crate::drain::Draining),
     /// Done; there is no value to return.
@@ -201,7 +201,7 @@
     /// Whether it is ready.
     pub ready: bool,
     /// The configuration in force here.
-    pub spec: Option<SpecVersion>,
+    pub spec: Option<ConfigurationVersion>,
     /// The position reached in the feed.
     pub place: String,
     /// Age of the feed's last confirmation.
@@ -254,8 +254,8 @@
     pub(crate) node: NodeId,
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
-    follower: Follower,
-    pub(crate) fleet: FleetView,
+    follower: FeedFollower,
+    pub(crate) fleet: FleetSnapshot,
     pub(crate) counter: counter::CounterClient,
     pub(crate) admission: admission::Admission,
     pub(crate) requests: requests::Requests,
@@ -278,14 +278,14 @@
     /// A relay at its start: it knows nothing and refuses everything.
     pub fn new(start: &Start) -> Self {
         // A relay draws a new id at each start, so the id serves as the boot id.
-        let life = Life(start.node.0);
+        let boot_id = BootId(start.node.0);
         Self {
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
-            follower: Follower::new(vec![start.agent], life),
-            fleet: FleetView::default(),
-            counter: counter::CounterClient::new(life),
+            follower: FeedFollower::new(vec![start.agent], boot_id),
+            fleet: FleetSnapshot::default(),
+            counter: counter::CounterClient::new(boot_id),
             admission: admission::Admission::default(),
             requests: requests::Requests::default(),
             max_routes_feed_age: DurationMs(
@@ -294,7 +294,7 @@
             block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_MULTIPLE),
             engines: engines::Engines::default(),
             items: items::Items::default(),
-            batches: batches::BatchCalls::new(life),
+            batches: batches::BatchCalls::new(boot_id),
             allowed: 0,
             refused: std::collections::BTreeMap::new(),
             refused_for_capacity: 0,
@@ -310,7 +310,7 @@
 
     /// The dependency that was not heard from in time: the feed or the counter.
     pub(crate) fn lost_dependency(&self, now: MonotonicMs) -> Option<Code> {
-        if now >= self.fresh_until() || self.fleet.spec.is_none() {
+        if now >= self.fresh_until() || self.fleet.configuration.is_none() {
             Some(Code::StaleFeed)
         } else if now >= self.counter.lease_end() {
             Some(Code::NoCounter)
@@ -352,8 +352,8 @@
         RelayHealth {
             node: self.node,
             ready: self.not_ready_reason(now).is_none(),
-            spec: self.fleet.spec.as_ref().map(|(version, _)| *version),
-            place: self.follower.copy().place().to_string(),
+            spec: self.fleet.configuration.as_ref().map(|(version, _)| *version),
+            place: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
@@ -406,16 +406,16 @@
         message: FeedMessage,
         effects: &mut Outputs,
     ) {
-        if self.follower.receive(from, message) != Followed::Changed {
+        if self.follower.receive(from, message) != FollowOutcome::Changed {
             return;
         }
-        let previous = self.fleet.spec.as_ref().map(|(version, _)| *version);
+        let previous = self.fleet.configuration.as_ref().map(|(version, _)| *version);
         let engines = std::mem::take(&mut self.fleet.engines);
-        self.fleet = FleetView::read(self.follower.copy().rows());
+        self.fleet = FleetSnapshot::read(self.follower.copy().rows());
         if self.fleet.engines != engines {
             self.engines.index = engine_index::EngineIndex::of(self.fleet.engines.values());
         }
-        let version = self.fleet.spec.as_ref().map(|(version, _)| *version);
+        let version = self.fleet.configuration.as_ref().map(|(version, _)| *version);
         if let Some(version) = version.filter(|version| previous != Some(*version)) {
             let engines = self.fleet.engines.len();
             let text = format!("configuration {version} in force, {engines} engines listed");
@@ -519,7 +519,7 @@
             return;
         };
         for holder in record.holders() {
-            let message = Message::Told(shard, record.clone());
+            let message = Message::ShardRecord(shard, record.clone());
             effects.push(Effect::Send { to: holder.address, message });
         }
     }
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -239,8 +239,8 @@
     }
 
     /// The snapshot of the fleet, while it may be used for requests on routes.
-    pub fn in_force(&self, now: MonotonicMs) -> Option<&topazyard_wire::state::FleetView> {
-        let is_usable = now < self.routes_fresh_until() && self.fleet.spec.is_some();
+    pub fn in_force(&self, now: MonotonicMs) -> Option<&topazyard_wire::state::FleetSnapshot> {
+        let is_usable = now < self.routes_fresh_until() && self.fleet.configuration.is_some();
         is_usable.then_some(&self.fleet)
     }
 
@@ -292,7 +292,9 @@
     ) -> Result<PassedChecks, RelayReturn> {
         let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
         let fleet = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
-        let Some((_, configuration)) = &fleet.spec else { return Err(refused(Code::StaleFeed)) };
+        let Some((_, configuration)) = &fleet.configuration else {
+            return Err(refused(Code::StaleFeed));
+        };
         let Some(route) = fleet.routes.find(&arrival.host, &arrival.path) else {
             return Err(refused(Code::NoRoute));
         };
@@ -390,8 +392,11 @@
     fn ungranted_allowance(&self, pool: &PoolName, now: MonotonicMs) -> Tokens {
         let requested = self.requests.budgets.get(pool).and_then(|budget| budget.requested);
         let is_late = requested.is_some_and(|(_, _, at)| now.since(at) >= GRANT_TIMEOUT);
-        let pool_configuration =
-            self.fleet.spec.as_ref().and_then(|(_, configuration)| configuration.pool(pool));
+        let pool_configuration = self
+            .fleet
+            .configuration
+            .as_ref()
+            .and_then(|(_, configuration)| configuration.pool(pool));
         match pool_configuration.filter(|_| is_late) {
             Some(pool_configuration) => {
                 Tokens(self.fleet.limit(pool_configuration).0 / UNGRANTED_SHARE_DIVISOR)
@@ -407,7 +412,7 @@
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
-        let Some((_, configuration)) = &self.fleet.spec else { return };
+        let Some((_, configuration)) = &self.fleet.configuration else { return };
         let Some(pool_configuration) = configuration.pool(pool) else { return };
         let limit = self.fleet.limit(pool_configuration);
         let Some(budget) = self.requests.budgets.get_mut(pool) else { return };
@@ -594,7 +599,8 @@
 
     /// Releases blocks that were not needed recently, and all blocks of a removed pool.
     fn release_spare_blocks(&mut self, pool: &PoolName, now: MonotonicMs, effects: &mut Outputs) {
-        let is_known = self.fleet.spec.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
+        let is_known =
+            self.fleet.configuration.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
         let Some(budget) = self.requests.budgets.get_mut(pool) else { return };
         if now.since(budget.window_started_at) < PEAK_WINDOW {
             return;
--- a/programs/topazyard-relay/src/machine/routed_items.rs
+++ b/programs/topazyard-relay/src/machine/routed_items.rs
@@ -3,7 +3,7 @@
 use super::Target;
 use topazyard_spec::Route;
 use topazyard_types::{DurationMs, PoolName};
-use topazyard_wire::message::batch::{Directions, Progress, Run};
+use topazyard_wire::message::batch::{ItemRouting, Progress, Run};
 
 /// Minimum time without a byte after which an engine counts as unresponsive.
 const MIN_SILENCE_MS: u64 = 2_000;
@@ -18,7 +18,7 @@
     /// The engine.
     pub target: Target,
     /// How it is sent.
-    pub directions: Directions,
+    pub routing: ItemRouting,
     /// The value of the host header.
     pub host: String,
     /// The body, byte for byte.
--- a/programs/topazyard-storage/src/machine/aside.rs
+++ b/programs/topazyard-storage/src/machine/aside.rs
@@ -7,9 +7,9 @@
 
 use super::hosted::{Aside, BatchAnswer, BatchCaller, Hosted};
 use super::{Out, StorageMachine};
-use topazyard_replication::{Copy, Doubt};
+use topazyard_replication::{Copy, Uncommitted};
 use topazyard_types::{BatchId, DurationMs, MonotonicMs, NodeId, ShardId};
-use topazyard_wire::message::batch::{BatchCall, BatchReturn};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse};
 use topazyard_wire::message::control::ShardRecord;
 
 /// Reads asked aside that may wait at a shard.
@@ -22,8 +22,8 @@
     pub(super) fn of_read(call: &BatchCall) -> Option<Self> {
         match call {
             BatchCall::Read(batch) => Some(Self::Standing(*batch, false)),
-            BatchCall::Returns { batch, after } => Some(Self::Returns(*batch, *after)),
-            BatchCall::Results { batch, after } => Some(Self::Results(*batch, *after)),
+            BatchCall::ItemResults { batch, after } => Some(Self::Returns(*batch, *after)),
+            BatchCall::RoutedResults { batch, after } => Some(Self::Results(*batch, *after)),
             BatchCall::Body { batch, id } => Some(Self::Body(*batch, id.clone())),
             _ => None,
         }
@@ -40,25 +40,25 @@
     }
 
     /// The return, as a copy has it.
-    pub(super) fn answered_by(self, copy: &Copy) -> Option<BatchReturn> {
+    pub(super) fn answered_by(self, copy: &Copy) -> Option<BatchResponse> {
         match self {
             Self::Ready(value) => Some(value),
             Self::Standing(batch, accepted) => {
                 let standing = crate::batches::standing(copy, batch);
                 standing.map(|standing| match accepted {
-                    true => BatchReturn::Accepted(standing),
-                    false => BatchReturn::Standing(standing),
+                    true => BatchResponse::Accepted(standing),
+                    false => BatchResponse::Status(standing),
                 })
             }
             Self::Returns(batch, after) => {
-                crate::batches::returns(copy, batch, after).map(BatchReturn::Returns)
+                crate::batches::returns(copy, batch, after).map(BatchResponse::ItemResults)
             }
             Self::Results(batch, after) => {
                 let found = crate::batches::routed::results(copy, batch, after);
-                found.map(|(total, results)| BatchReturn::Results { total, results })
+                found.map(|(total, results)| BatchResponse::RoutedResults { total, results })
             }
             Self::Body(batch, id) => {
-                crate::batches::routed::body(copy, batch, &id).map(BatchReturn::Body)
+                crate::batches::routed::body(copy, batch, &id).map(BatchResponse::Body)
             }
         }
     }
@@ -68,19 +68,19 @@
 fn is_sure(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
     let replica = &hosted.replica;
     let is_of_batch = |key| crate::batches::rows::is_of(key, batch.number);
-    let touched = || replica.copy().last_changed().any(is_of_batch);
+    let touched = || replica.copy().last_changed_keys().any(is_of_batch);
     let synced_by_all = || {
         let others_have = hosted.all_have_synced(other_backups(record, me));
-        let primary_has = replica.is_last_synced_by_primary();
+        let primary_has = replica.primary_synced_last_batch();
         record.is_complete() && replica.is_synced() && others_have && primary_has
     };
-    match (replica.doubt(), replica.is_primary()) {
-        (Doubt::Nothing, _) => true,
+    match (replica.uncommitted(), replica.is_primary()) {
+        (Uncommitted::Nothing, _) => true,
         // It is on as many disks as the record bears losses, and one more. That the primary holds it in
         // memory is not enough: it may lose its power while the others lose their disks.
-        (Doubt::LastChanges, false) if synced_by_all() => true,
-        (Doubt::LastChanges, _) => !touched(),
-        (Doubt::SomeChanges | Doubt::All, _) => false,
+        (Uncommitted::LastBatch, false) if synced_by_all() => true,
+        (Uncommitted::LastBatch, _) => !touched(),
+        (Uncommitted::UnknownBatch | Uncommitted::All, _) => false,
     }
 }
 
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -10,16 +10,16 @@
 
 use hosted::Hosted;
 use topazyard_membership::Membership;
-use topazyard_replication::{Follower, follower::Followed};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::disk::{DiskState, DiskWatch};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
 /// How old control's last word may be when a shard stops for a record with its learner.
@@ -77,15 +77,15 @@
 /// One storage node.
 pub struct StorageMachine {
     pub(crate) member: Member,
-    pub(crate) life: Life,
+    pub(crate) boot_id: BootId,
     membership: Membership,
-    follower: Follower,
-    pub(crate) view: FleetView,
+    follower: FeedFollower,
+    pub(crate) view: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
     /// Shards in which this node answers nothing more, up to that epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
-    after_write: std::collections::BTreeMap<u64, ShardWish>,
+    after_write: std::collections::BTreeMap<u64, ShardChangeRequest>,
     /// The number of the write that deleted this node's last copy of a shard.
     deletions: std::collections::BTreeMap<ShardId, u64>,
     last_write: u64,
@@ -121,13 +121,13 @@
             .get("stopped")
             .and_then(|value| topazyard_wire::rows::decode(value))
             .unwrap_or_default();
-        let life = Life(start.chance);
+        let boot_id = BootId(start.chance);
         Self {
-            life,
+            boot_id,
             membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
-            follower: Follower::new(sources, life),
+            follower: FeedFollower::new(sources, boot_id),
             member: start.member,
-            view: FleetView::default(),
+            view: FleetSnapshot::default(),
             hosted: std::collections::BTreeMap::new(),
             loaded: start.loaded,
             stopped,
@@ -137,7 +137,7 @@
             last_sweep: MonotonicMs(0),
             budgets_told: MonotonicMs(0),
             started: None,
-            confirming: confirm::Confirming::new(life),
+            confirming: confirm::Confirming::new(boot_id),
             behind_since: None,
             remembered,
             room_bytes: room_bytes(&start.resources),
@@ -162,7 +162,7 @@
         self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::holds))
     }
 
-    fn write_own(&mut self, row: RowChange, then: Option<ShardWish>, out: &mut Out) {
+    fn write_own(&mut self, row: RowChange, then: Option<ShardChangeRequest>, out: &mut Out) {
         self.last_write += 1;
         if let Some(wish) = then {
             self.after_write.insert(self.last_write, wish);
@@ -172,13 +172,13 @@
     }
 
     /// Answers nothing more in a shard's epoch, and once that is synced wishes for another record.
-    pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, out: &mut Out) {
+    pub(crate) fn stop_and_wish(&mut self, wish: ShardChangeRequest, out: &mut Out) {
         let shard = wish.shard;
         // The counter is lost with its process, and with it whatever it could answer: it need not
         // wait for a disk that may have stalled.
         let at_once = shard.is_counter().then_some(MonotonicMs(0));
         if let Some(hosted) = self.hosted.get_mut(&shard) {
-            hosted.replica.stop_answering();
+            hosted.replica.stop_serving();
             hosted.wish = Some((wish.clone(), at_once));
         }
         if shard.is_counter() {
@@ -192,14 +192,17 @@
     /// Sends wishes until the record changes.
     fn send_wishes(&mut self, now: MonotonicMs, out: &mut Out) {
         let every = topazyard_types::DurationMs(100);
-        let control: Vec<std::net::SocketAddr> = self.follower.leader().into_iter().collect();
+        let control: Vec<std::net::SocketAddr> = self.follower.primary().into_iter().collect();
         for hosted in self.hosted.values_mut() {
             if let Some((wish, Some(sent))) = &mut hosted.wish
                 && now.since(*sent) >= every
             {
                 *sent = now;
                 for to in &control {
-                    out.push(Effect::Send { to: *to, message: Message::Wish(wish.clone()) });
+                    out.push(Effect::Send {
+                        to: *to,
+                        message: Message::ShardChangeRequest(wish.clone()),
+                    });
                 }
             }
         }
@@ -263,16 +266,18 @@
         let outgoing = self.membership.tick(now);
         out.extend(topazyard_membership::effects(outgoing));
         self.remember_addresses(out);
-        self.follower.learn_sources(self.membership.addresses(Duty::Control));
+        self.follower.add_sources(self.membership.addresses(MemberRole::Control));
         let behind = self.behind_since.is_some_and(|at| self.follower.confirmed_at() <= Some(at));
         let waits = self.hosted.values().any(|hosted| hosted.waits_for_control(now));
-        self.follower.hurry(behind || waits || self.is_starting(now));
+        self.follower.set_fast_polling(behind || waits || self.is_starting(now));
         self.ask_feed(now, out);
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in &shards {
             let Some(hosted) = self.hosted.get_mut(shard) else { continue };
             let heard = self.follower.confirmed_at();
-            hosted.replica.hold_learner(heard.is_none_or(|at| now.since(at) >= HEARD_WITHIN));
+            hosted
+                .replica
+                .set_learner_promotion_paused(heard.is_none_or(|at| now.since(at) >= HEARD_WITHIN));
             let outputs = hosted.replica.tick(now);
             self.take_replica(*shard, outputs, now, out);
             self.wish_if_backup_silent(*shard, now, out);
@@ -306,7 +311,7 @@
         if !self.disk.takes_more() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
+        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
             self.write_own(row, None, out);
         }
     }
@@ -329,7 +334,7 @@
             self.answer_for_copy_not_held(shard, from, &message, out);
         } else if let Some(hosted) = hosted {
             self.behind_since = None;
-            let from = topazyard_replication::replica::From { id: sender, address: from };
+            let from = topazyard_replication::replica::Sender { id: sender, address: from };
             let outputs = hosted.replica.receive(from, message, now);
             self.take_replica(shard, outputs, now, out);
         }
@@ -361,8 +366,8 @@
         let may_wish = hosted.wish.is_none() && !self.disk.is_full();
         if may_wish && !alone && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
-            let wish = Wish::DropBackups(silent);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, out);
+            let change = ShardChange::DropBackups(silent);
+            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, out);
         }
     }
 }
@@ -384,7 +389,7 @@
             Input::Written(token) => match token.group {
                 Group::Shard(shard) => {
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
-                        let outputs = hosted.replica.written(token.number);
+                        let outputs = hosted.replica.write_synced(token.number);
                         self.take_replica(shard, outputs, now, &mut out);
                     }
                 }
@@ -396,8 +401,8 @@
                 }
             },
             Input::Call { request: StorageCall::Seeds(seeds), .. } => {
-                self.follower.learn_sources(seeds.iter().copied());
-                self.membership.take_seeds(seeds);
+                self.follower.add_sources(seeds.iter().copied());
+                self.membership.add_seeds(seeds);
             }
             Input::Call { call, request: StorageCall::Health } => {
                 out.push(Effect::Return { call, value: self.own_health(now) });
@@ -408,8 +413,8 @@
                     out.extend(topazyard_membership::effects(outgoing));
                 }
                 Message::Feed(message) => {
-                    if self.follower.receive(from, message) == Followed::Changed {
-                        self.view = FleetView::read(self.follower.copy().rows());
+                    if self.follower.receive(from, message) == FollowOutcome::Changed {
+                        self.view = FleetSnapshot::read(self.follower.copy().rows());
                         self.settle_roles(now, &mut out);
                     }
                     if self.follower.is_fetching() {
@@ -426,11 +431,13 @@
                 Message::Batch(message) => {
                     self.receive_batch(sender, from, message, now, &mut out);
                 }
-                Message::Told(shard, record) => self.told_record(shard, record, now, &mut out),
+                Message::ShardRecord(shard, record) => {
+                    self.told_record(shard, record, now, &mut out)
+                }
                 Message::Confirm(message) => {
                     self.receive_confirm(sender, from, message, now, &mut out);
                 }
-                Message::Core(_) | Message::Wish(_) | Message::Operate(_) => {}
+                Message::Core(_) | Message::ShardChangeRequest(_) | Message::Operate(_) => {}
             },
         }
         self.proceed(now, &mut out);
