--- a/fleet-simulator/src/people/mod.rs
+++ b/fleet-simulator/src/people/mod.rs
@@ -225,7 +225,7 @@
     }
 
     /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, doing: Doing, value: topazyard_relay::RelayReturn) {
+    pub(crate) fn relay_told(&mut self, doing: Doing, value: topazyard_relay::RelayResponse) {
         match doing {
             Doing::Ready(relay) => self.ready_told(relay, &value),
             Doing::BatchCall(batch, serial, asked) => {
--- a/fleet-simulator/src/people/platform.rs
+++ b/fleet-simulator/src/people/platform.rs
@@ -3,7 +3,7 @@
 use super::Doing;
 use crate::history::EngineListSeen;
 use crate::world::{Caller, Event, Kind, NodeIndex, World};
-use topazyard_relay::{RelayCall, RelayReturn};
+use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
 
 impl World {
@@ -24,8 +24,8 @@
         }
     }
 
-    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayReturn) {
-        if matches!(value, RelayReturn::Noted) {
+    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayResponse) {
+        if matches!(value, RelayResponse::Done) {
             self.people.ready.insert(relay);
         } else {
             self.people.ready.remove(&relay);
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -2,7 +2,7 @@
 
 use super::{Body, NodeIndex};
 use crate::world::{Caller, Event, World};
-use topazyard_relay::{RelayCall, RelayReturn, RelayTask};
+use topazyard_relay::{RelayCall, RelayResponse, RelayTask};
 use topazyard_types::{CallId, NodeId};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::message::operate::{Operate, OperateOutcome};
@@ -14,7 +14,7 @@
 /// What a machine put out, whichever machine it is.
 enum Outcome {
     Operate(OperateOutcome),
-    Relay(RelayReturn),
+    Relay(RelayResponse),
 }
 
 impl World {
@@ -224,9 +224,9 @@
         match task {
             RelayTask::RunItem { run, target, body } => self.begin_item(index, run, target, body),
             // Nobody here hands in routed items.
-            RelayTask::RunRouted(_) | RelayTask::BreakOffRuns => {}
+            RelayTask::RunRoutedItem(_) | RelayTask::AbortRoutedRuns => {}
             // Lanes alone are simulated: no engine is ever reached for a route.
-            RelayTask::Look(target) | RelayTask::Reach(target) => {
+            RelayTask::CheckHealth(target) | RelayTask::ProbeConnection(target) => {
                 let is_well = self.engine_takes_looks(&target.engine);
                 let us = if is_well { 2 * self.way() } else { 800_000 };
                 self.after(us, Event::Looked(index, life, target.engine, is_well));
@@ -248,7 +248,7 @@
         if self.defer_if_frozen(index, || Event::Looked(index, life, name, is_well)) {
             return;
         }
-        self.call_relay(index, RelayCall::Looked(engine, is_well), Caller::Nobody);
+        self.call_relay(index, RelayCall::HealthChecked(engine, is_well), Caller::Nobody);
     }
 }
 
--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -25,15 +25,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTimes {
     /// How long clients may still be routed to this relay.
-    pub still_sent: DurationMs,
+    pub deregistration_delay: DurationMs,
     /// How long runs of routed items may continue.
-    pub runs: DurationMs,
+    pub item_runs: DurationMs,
     /// Within which time batch calls are answered.
-    pub calls: DurationMs,
+    pub batch_calls: DurationMs,
     /// How long the relay serves requests.
-    pub serves: DurationMs,
+    pub serving: DurationMs,
     /// When the process exits, whatever is under way.
-    pub ends: DurationMs,
+    pub exit: DurationMs,
 }
 
 impl DrainTimes {
@@ -44,19 +44,19 @@
     /// use topazyard_relay::drain::DrainTimes;
     /// use topazyard_types::DurationMs;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// assert_eq!((times.still_sent.0, times.serves.0, times.ends.0), (2_500, 7_000, 7_500));
+    /// assert_eq!((times.deregistration_delay.0, times.serving.0, times.exit.0), (2_500, 7_000, 7_500));
     /// // With little time it doesn't wait for half of it.
-    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).still_sent.0, 700);
+    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).deregistration_delay.0, 700);
     /// ```
-    pub fn within(grace: DurationMs, still_sent: DurationMs) -> Self {
+    pub fn within(grace: DurationMs, deregistration_delay: DurationMs) -> Self {
         let sixteenths = |count: u64| DurationMs(grace.0 * count / 16);
-        let serves = sixteenths(SERVES_SIXTEENTHS);
+        let serving = sixteenths(SERVES_SIXTEENTHS);
         Self {
-            still_sent: DurationMs(still_sent.0.min(serves.0 / 2)),
-            runs: sixteenths(RUNS_SIXTEENTHS),
-            calls: sixteenths(CALLS_SIXTEENTHS),
-            serves,
-            ends: sixteenths(ENDS_SIXTEENTHS),
+            deregistration_delay: DurationMs(deregistration_delay.0.min(serving.0 / 2)),
+            item_runs: sixteenths(RUNS_SIXTEENTHS),
+            batch_calls: sixteenths(CALLS_SIXTEENTHS),
+            serving,
+            exit: sixteenths(ENDS_SIXTEENTHS),
         }
     }
 }
@@ -70,39 +70,39 @@
 
 impl Draining {
     /// Starts a drain now.
-    pub fn begin(times: DrainTimes, now: MonotonicMs) -> Self {
+    pub fn start(times: DrainTimes, now: MonotonicMs) -> Self {
         Self { begun: now, times }
     }
 
     /// The time since the drain started.
-    pub fn lasted(&self, now: MonotonicMs) -> DurationMs {
+    pub fn elapsed(&self, now: MonotonicMs) -> DurationMs {
         now.since(self.begun)
     }
 
     /// When the remaining runs of routed items are aborted, so that their shards learn their
     /// progress in time.
-    pub fn breaks_off_runs_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.runs)
+    pub fn abort_runs_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.item_runs)
     }
 
     /// The time by which batch calls are answered.
-    pub fn answers_calls_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.calls)
+    pub fn batch_call_deadline(&self) -> MonotonicMs {
+        self.begun.plus(self.times.batch_calls)
     }
 
     /// The end of serving requests.
-    pub fn serves_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.serves)
+    pub fn serving_deadline(&self) -> MonotonicMs {
+        self.begun.plus(self.times.serving)
     }
 
     /// When the process exits, whatever is under way.
-    pub fn ends_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.ends)
+    pub fn exit_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.exit)
     }
 
     /// Until when clients may still be routed to this relay.
-    pub fn still_sent_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.still_sent)
+    pub fn deregistered_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.deregistration_delay)
     }
 
     /// The delay until the next check: until the stage may next change by time alone, at most
@@ -112,20 +112,20 @@
     /// use topazyard_relay::drain::{DrainTimes, Draining};
     /// use topazyard_types::{DurationMs, MonotonicMs};
     /// let times = DrainTimes::within(DurationMs(800), DurationMs(0));
-    /// let draining = Draining::begin(times, MonotonicMs(100));
-    /// let next = |now| draining.until_next_look(DurationMs(100), MonotonicMs(now)).0;
+    /// let draining = Draining::start(times, MonotonicMs(100));
+    /// let next = |now| draining.next_check_delay(DurationMs(100), MonotonicMs(now)).0;
     /// assert_eq!((next(100), next(760), next(800), next(850)), (100, 40, 50, 0));
     /// ```
-    pub fn until_next_look(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
-        let moments = [self.still_sent_until(), self.serves_until(), self.ends_at()];
+    pub fn next_check_delay(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
+        let moments = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
         let next = moments.into_iter().filter(|moment| *moment > now).min();
         next.map_or(DurationMs(0), |moment| moment.since(now).min(longest))
     }
 
     /// Whether a request with this deadline may be admitted: any request while clients are still
     /// routed here, later only one that ends before the relay stops serving.
-    pub fn may_take(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
-        now < self.still_sent_until() || deadline <= self.serves_until()
+    pub fn may_admit(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
+        now < self.deregistered_at() || deadline <= self.serving_deadline()
     }
 
     /// The stage at this time, given whether any work is under way.
@@ -135,16 +135,16 @@
     /// use topazyard_types::{DurationMs, MonotonicMs};
     /// use topazyard_wire::http::inward::Stage;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// let draining = Draining::begin(times, MonotonicMs(100));
+    /// let draining = Draining::start(times, MonotonicMs(100));
     /// assert_eq!(draining.stage(true, MonotonicMs(2_599)), Stage::Closing);
     /// assert_eq!(draining.stage(true, MonotonicMs(2_600)), Stage::ClosingIdle);
     /// assert_eq!(draining.stage(false, MonotonicMs(2_600)), Stage::Ending);
     /// assert_eq!(draining.stage(true, MonotonicMs(7_100)), Stage::Overdue);
     /// ```
     pub fn stage(&self, is_under_way: bool, now: MonotonicMs) -> Stage {
-        if now < self.still_sent_until() {
+        if now < self.deregistered_at() {
             Stage::Closing
-        } else if now >= self.serves_until() {
+        } else if now >= self.serving_deadline() {
             Stage::Overdue
         } else if is_under_way {
             Stage::ClosingIdle
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of prompts on model routes. The cost is estimated beforehand; here the deadline is
 //! checked, then the budget.
 
-use super::{EngineUse, Outputs, Prompt, PromptId, RelayMachine, RelayReturn};
+use super::{EngineOutcome, Outputs, Prompt, PromptId, RelayMachine, RelayResponse};
 use topazyard_spec::ModelRouteKind;
 use topazyard_types::{CallId, DurationMs, EngineName, HoldId, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
@@ -145,7 +145,7 @@
 
     fn refuse(&mut self, call: CallId, error: ApiError, effects: &mut Outputs) {
         self.record_refusal(error.code);
-        effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+        effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
     }
 
     /// The checks that need no other process, cheapest first.
@@ -273,8 +273,8 @@
         self.engines.hold_started(&target.engine, cost, &prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
-            self.allowed += 1;
-            effects.push(Effect::Return { call: entry.call, value: RelayReturn::Held(target) });
+            self.admitted += 1;
+            effects.push(Effect::Return { call: entry.call, value: RelayResponse::SendTo(target) });
         }
         self.request_holds(&pool, now, effects);
     }
@@ -292,8 +292,8 @@
         id: PromptId,
         engine: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let Some(entry) = self.admission.entries.get(&id) else { return refused(Code::Deadline) };
         if !matches!(&entry.stage, Stage::Held(_, held) if held == engine) {
             return refused(Code::NoEngine);
@@ -306,7 +306,7 @@
             now,
         ) {
             Err(code) => refused(code),
-            Ok(until) => RelayReturn::GoUntil(until.min(entry.prompt.deadline)),
+            Ok(until) => RelayResponse::SendBefore(until.min(entry.prompt.deadline)),
         }
     }
 
@@ -347,33 +347,33 @@
         id: PromptId,
         failed: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
+    ) -> RelayResponse {
         self.engines.record_failure(failed, now);
         let Some(entry) = self.admission.entries.get(&id) else {
-            return RelayReturn::Refused(ApiError::not_run(Code::Deadline));
+            return RelayResponse::Refused(ApiError::not_run(Code::Deadline));
         };
         let Stage::Held(hold, held) = &entry.stage else {
-            return RelayReturn::Refused(ApiError::not_run(Code::NoEngine));
+            return RelayResponse::Refused(ApiError::not_run(Code::NoEngine));
         };
         let (hold, held) = (*hold, held.clone());
         let (pool, prompt) = (entry.pool.clone(), entry.prompt.clone());
         let target = self.choose_engine(&pool, &prompt.model, &prompt.prefix, Some(failed));
         let Some(target) = target else {
-            return RelayReturn::Refused(ApiError::not_run(Code::NoEngine));
+            return RelayResponse::Refused(ApiError::not_run(Code::NoEngine));
         };
         self.engines.hold_ended(&held, prompt.cost);
         self.engines.hold_started(&target.engine, prompt.cost, &prompt.prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
         }
-        RelayReturn::Held(target)
+        RelayResponse::SendTo(target)
     }
 
     /// Ends a prompt, whatever the outcome, and releases its hold exactly once.
     pub(super) fn end_prompt(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
@@ -382,7 +382,7 @@
         let pool = entry.pool;
         if let Some(queue) = self.admission.queues.get_mut(&pool) {
             queue.order.retain(|other| *other != id);
-            if let EngineUse::Whole(took) = engine_use {
+            if let EngineOutcome::Completed(took) = engine_outcome {
                 queue.pace.served(took);
             }
             // Budget was released: the first prompt may request a hold at once.
@@ -391,7 +391,7 @@
         if let Stage::Held(hold, engine) = entry.stage {
             self.release_hold(hold, effects);
             self.engines.hold_ended(&engine, entry.prompt.cost);
-            if engine_use == EngineUse::Failed {
+            if engine_outcome == EngineOutcome::Failed {
                 self.engines.record_failure(&engine, now);
             }
         }
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -1,7 +1,7 @@
 //! Batch calls: sent to the shard's primary until a response arrives or the call times out. All of
 //! them are idempotent and may be sent twice.
 
-use super::{FRESH_FOR, Outputs, RelayMachine, RelayReturn};
+use super::{MAX_FEED_AGE, Outputs, RelayMachine, RelayResponse};
 use topazyard_spec::ModelRouteKind;
 use topazyard_types::{
     BatchId, BootId, CallId, DurationMs, Epoch, MonotonicMs, RouteName, ShardId, Tokens,
@@ -24,7 +24,7 @@
 /// applies.
 const MAX_SUBMIT_FEED_AGE: DurationMs = DurationMs(800);
 /// Timeout of a client's call.
-pub const CLIENT_LIMIT: DurationMs = DurationMs(5_000);
+pub const CLIENT_CALL_TIMEOUT: DurationMs = DurationMs(5_000);
 /// Maximum number of calls under way.
 const MAX_PENDING_CALLS: usize = 2_048;
 
@@ -168,7 +168,7 @@
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
-                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -185,11 +185,11 @@
         match self.check_items(&items) {
             Ok(ceiling) => {
                 let request = BatchCall::Submit { batch, items, ceiling };
-                self.call_batch(call, request, CLIENT_LIMIT, now, effects);
+                self.call_batch(call, request, CLIENT_CALL_TIMEOUT, now, effects);
             }
             Err(error) => {
                 self.record_refusal(error.code);
-                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -209,7 +209,7 @@
         let Some((route, terms)) = batch_route else {
             self.record_refusal(Code::NoLane);
             let error = ApiError::not_run(Code::NoLane);
-            return effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+            return effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
         };
         let routed = RoutedBatch {
             batch,
@@ -270,7 +270,7 @@
             last_sent_epoch: None,
         };
         if let Some(draining) = &self.draining {
-            pending.limit_deadline(draining.answers_calls_until());
+            pending.limit_deadline(draining.batch_call_deadline());
         }
         self.batches.pending.insert(id, pending);
         self.send_pending(id, now, effects);
@@ -282,7 +282,7 @@
             .configuration
             .as_ref()
             .map(|(_, configuration)| configuration.batches.waiting_ceiling_tokens);
-        let is_feed_recent = now.plus(FRESH_FOR) < self.fresh_until().plus(MAX_SUBMIT_FEED_AGE);
+        let is_feed_recent = now.plus(MAX_FEED_AGE) < self.fresh_until().plus(MAX_SUBMIT_FEED_AGE);
         let Some(pending) = self.batches.pending.get_mut(&id) else { return };
         if let BatchCall::Submit { ceiling: current_ceiling, .. } = &mut pending.call {
             // Sent only with the ceiling in force: the shard lets the batch wait on that ceiling.
@@ -345,10 +345,10 @@
             (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.record_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
-                effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
             (Caller::Client(call), value) => {
-                effects.push(Effect::Return { call, value: RelayReturn::Batch(value) });
+                effects.push(Effect::Return { call, value: RelayResponse::Batch(value) });
             }
             (Caller::Leasing(requested_at), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, requested_at, now, effects);
@@ -382,7 +382,7 @@
                         ApiError::not_run(Code::NoShard)
                     };
                     self.record_refusal(error.code);
-                    effects.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                    effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
                 }
                 Caller::Leasing(_) => self.items.lease_request_ended(pending.shard),
                 Caller::Starting(run) => self.start_decided(run, false, now, effects),
--- a/programs/topazyard-relay/src/machine/engine_selection.rs
+++ b/programs/topazyard-relay/src/machine/engine_selection.rs
@@ -9,7 +9,7 @@
 
 use super::engines::Engines;
 use super::requests::PromptPart;
-use super::{EngineLoad, EngineUse, Outputs, RelayReturn, RelayTask, Target};
+use super::{EngineLoad, EngineOutcome, Outputs, RelayResponse, RelayTask, Target};
 use topazyard_spec::{Engine, EngineState};
 use topazyard_types::{Digest, DurationMs, EngineName, MonotonicMs, NodeId, PoolName};
 use topazyard_wire::Effect;
@@ -101,7 +101,7 @@
     }
 
     /// The log line about a change between paused and in use, once per change.
-    fn state_change(&mut self, engine: &EngineName) -> Option<Effect<RelayReturn, RelayTask>> {
+    fn state_change(&mut self, engine: &EngineName) -> Option<Effect<RelayResponse, RelayTask>> {
         let is_paused = self.pause.is_some();
         if self.is_logged_as_paused == is_paused {
             return None;
@@ -267,14 +267,14 @@
     pub(super) fn request_ended(
         &mut self,
         engine: &EngineName,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
     ) {
         let Some(record) = self.known.get_mut(engine) else { return };
         let statistics = &mut record.statistics;
         statistics.in_flight = statistics.in_flight.saturating_sub(1);
-        match engine_use {
-            EngineUse::Whole(first) => {
+        match engine_outcome {
+            EngineOutcome::Completed(first) => {
                 let first_byte_ms = first.0 as f64;
                 let before = statistics.first_byte_ms.get_or_insert(first_byte_ms);
                 *before += (first_byte_ms - *before) / 8.0;
@@ -283,17 +283,17 @@
                 statistics.pause = None;
                 record.unhealthy_until = None;
             }
-            EngineUse::TurnedAway => {
+            EngineOutcome::TurnedAway => {
                 statistics.deprioritized_until = Some(now.plus(TURNED_AWAY_PENALTY))
             }
-            EngineUse::Failed => {
+            EngineOutcome::Failed => {
                 statistics.failures += 1;
                 if statistics.failures >= FAILURES_BEFORE_PAUSE {
                     self.pause_engine(engine, now);
                 }
             }
-            EngineUse::Unreachable => self.pause_engine(engine, now),
-            EngineUse::BrokenOff | EngineUse::Unsent => {}
+            EngineOutcome::Unreachable => self.pause_engine(engine, now),
+            EngineOutcome::Aborted | EngineOutcome::NotSent => {}
         }
     }
 
@@ -341,7 +341,7 @@
                 // It stays paused until the probe's result arrives.
                 record.unhealthy_until = Some(now.plus(pause.max(DurationMs(1_000))));
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                effects.push(Effect::Start(RelayTask::Reach(target)));
+                effects.push(Effect::Start(RelayTask::ProbeConnection(target)));
             }
         }
     }
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -4,7 +4,7 @@
 use super::batches::Caller;
 use super::engine_selection::EngineQuery;
 use super::requests::PromptPart;
-use super::{EngineUse, Outputs, RelayMachine, RelayReturn, RelayTask, Target};
+use super::{EngineOutcome, Outputs, RelayMachine, RelayResponse, RelayTask, Target};
 use topazyard_spec::{ModelRouteKind, RouteKind};
 use topazyard_types::{
     BatchId, Digest, DurationMs, EngineName, HoldId, ModelName, MonotonicMs, PoolName, RouteName,
@@ -17,7 +17,7 @@
 use topazyard_wire::state::FleetSnapshot;
 
 /// Timeout of an item's run. An unresponsive engine holds its budget no longer than this.
-pub const RUN_LIMIT: DurationMs = DurationMs(30_000);
+pub const RUN_TIMEOUT: DurationMs = DurationMs(30_000);
 /// Items that one relay may lease or run at a time where the engines' slots are unknown or few.
 const DEFAULT_MAX_ITEMS: usize = 24;
 /// One relay may lease up to one in this many of the engines' slots.
@@ -164,7 +164,7 @@
         if self.items.abort_runs_at.is_some_and(|at| now >= at)
             && self.items.entries.values().any(is_routed)
         {
-            effects.push(Effect::Start(RelayTask::BreakOffRuns));
+            effects.push(Effect::Start(RelayTask::AbortRoutedRuns));
             self.items.abort_runs_at = None;
         }
     }
@@ -434,8 +434,8 @@
         run: Run,
         engine: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let Some(entry) = self.items.entries.get(&run) else { return refused(Code::NotFound) };
         let Stage::Started(_, start_deadline, chosen) = &entry.stage else {
             return refused(Code::NotFound);
@@ -449,13 +449,13 @@
         if let Some(routed) = &entry.routed {
             return match self.routed_send_deadline(engine, &entry.pool, &routed.route, now) {
                 Err(code) => refused(code),
-                Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
+                Ok(until) => RelayResponse::SendBefore(until.min(*start_deadline)),
             };
         }
         match self.send_deadline(engine, &entry.pool, &entry.item.model, ModelRouteKind::Batch, now)
         {
             Err(code) => refused(code),
-            Ok(until) => RelayReturn::GoUntil(until.min(*start_deadline)),
+            Ok(until) => RelayResponse::SendBefore(until.min(*start_deadline)),
         }
     }
 
@@ -577,12 +577,12 @@
             host: routed.host.clone(),
             body: entry.item.body.clone(),
             progress: routed.progress.clone(),
-            silence: super::routed_items::silence_timeout(route),
+            silence_timeout: super::routed_items::silence_timeout(route),
             target,
         };
         self.engines.request_started(&routed_run.target.engine, &prefix, now);
         self.set_stage(run, started);
-        effects.push(Effect::Start(RelayTask::RunRouted(Box::new(routed_run))));
+        effects.push(Effect::Start(RelayTask::RunRoutedItem(Box::new(routed_run))));
     }
 
     /// Until when a routed item may be sent to an engine.
@@ -614,7 +614,7 @@
         &mut self,
         run: Run,
         end: RunEnd,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
@@ -622,7 +622,7 @@
             self.items.entries.get(&run)
         {
             let engine = engine.clone();
-            self.engines.request_ended(&engine, engine_use, now);
+            self.engines.request_ended(&engine, engine_outcome, now);
         }
         self.release_item(run, effects);
         self.finish_run(run, end, now, effects);
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -27,7 +27,7 @@
 
 /// Maximum age of the feed's last confirmation. Below the 2 s within which operators are promised
 /// that a change applies.
-pub const FRESH_FOR: DurationMs = DurationMs(1_800);
+pub const MAX_FEED_AGE: DurationMs = DurationMs(1_800);
 
 /// A budget block expires after this multiple of `Bounds::contact`, the time within which faults
 /// are expected to be over.
@@ -83,61 +83,61 @@
 
 /// How the use of an engine for a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineUse {
+pub enum EngineOutcome {
     /// The complete response was received; with the time until its head, or on a model route until
     /// its end.
-    Whole(DurationMs),
+    Completed(DurationMs),
     /// The engine failed.
     Failed,
     /// The relay or the client aborted the request, or the engine was never used.
-    BrokenOff,
+    Aborted,
     /// The engine accepted no connection.
     Unreachable,
     /// The engine reported that it did not run the request.
     TurnedAway,
     /// The time in which it could be sent passed before it was sent.
-    Unsent,
+    NotSent,
 }
 
 /// Calls to the relay's state machine.
 #[derive(Debug)]
 pub enum RelayCall {
     /// Admits a prompt, at once or after a short wait.
-    Allow(Prompt),
+    AdmitPrompt(Prompt),
     /// Checks whether the prompt may be sent to that engine now.
-    Dispatch(PromptId, EngineName),
+    DispatchPrompt(PromptId, EngineName),
     /// Requests another engine for a prompt that this one failed.
-    Another(PromptId, EngineName),
+    RetryPrompt(PromptId, EngineName),
     /// The prompt ended, whatever the outcome.
-    Ended(PromptId, EngineUse),
+    PromptEnded(PromptId, EngineOutcome),
     /// Finds the route of a request and admits it, at once or after a short wait.
-    Arrive(requests::Arrival),
+    AdmitRequest(requests::Arrival),
     /// Requests another engine for a request, with the outcome at the last one.
-    Retry(PromptId, EngineUse),
+    RetryRequest(PromptId, EngineOutcome),
     /// The engine has not responded for longer than expected.
-    Doubt(EngineName),
+    SuspectEngine(EngineName),
     /// A request failed at that engine.
     EngineFailed(EngineName, Failure),
     /// An engine reported its load.
     EngineLoad(EngineName, EngineLoad),
     /// The request ended, whatever the outcome.
-    RequestEnded(PromptId, EngineUse),
+    RequestEnded(PromptId, EngineOutcome),
     /// Whether a paused engine accepted a connection.
-    Reached(EngineName, bool),
+    ConnectionProbed(EngineName, bool),
     /// A batch call with its timeout.
     Batch(BatchCall, DurationMs),
     /// Submits a batch.
-    Submit(BatchId, Vec<Item>),
+    SubmitBatch(BatchId, Vec<Item>),
     /// Submits a batch of routed items, with the call's timeout.
-    SubmitRouted(BatchId, RouteName, Vec<Item>, DurationMs),
+    SubmitRoutedBatch(BatchId, RouteName, Vec<Item>, DurationMs),
     /// Checks whether this item's run may be sent to that engine now.
     DispatchItem(Run, EngineName),
     /// The run of an item ended.
     ItemEnded(Run, RunEnd),
     /// The run of a routed item ended, with the outcome at the engine.
-    RoutedEnded(Run, RunEnd, EngineUse),
+    RoutedItemEnded(Run, RunEnd, EngineOutcome),
     /// The result of an engine's health check.
-    Looked(EngineName, bool),
+    HealthChecked(EngineName, bool),
     /// Starts a drain: from now on admits only what ends in time, and finishes what is under way.
     Drain(crate::drain::DrainTimes),
     /// Requests the relay's readiness.
@@ -148,9 +148,9 @@
 
 /// Responses of the relay's state machine.
 #[derive(Debug)]
-pub enum RelayReturn {
+pub enum RelayResponse {
     /// The prompt holds its cost: send it to this engine.
-    Held(Target),
+    SendTo(Target),
     /// The request was admitted.
     Admitted(Box<requests::Admitted>),
     /// Another engine for the request.
@@ -158,13 +158,13 @@
     /// The request is for this batch route.
     OnBatchRoute(topazyard_types::RouteName),
     /// It may be sent before this time.
-    GoUntil(MonotonicMs),
+    SendBefore(MonotonicMs),
     /// The result of a batch call.
     Batch(BatchResponse),
     /// The drain, with its phases.
-    Drains(crate::drain::Draining),
+    Draining(crate::drain::Draining),
     /// Done; there is no value to return.
-    Noted,
+    Done,
     /// Refused.
     Refused(ApiError),
     /// The relay's health.
@@ -184,13 +184,13 @@
         body: bytes::Bytes,
     },
     /// Runs a routed item and reports its end.
-    RunRouted(Box<routed_items::RoutedRun>),
+    RunRoutedItem(Box<routed_items::RoutedRun>),
     /// Aborts the runs of routed items and reports the progress of each.
-    BreakOffRuns,
+    AbortRoutedRuns,
     /// Checks an engine's health and reports the result.
-    Look(Target),
+    CheckHealth(Target),
     /// Opens a connection to an engine, keeps it and reports the result.
-    Reach(Target),
+    ProbeConnection(Target),
 }
 
 /// The health of a relay.
@@ -201,9 +201,11 @@
     /// Whether it is ready.
     pub ready: bool,
     /// The configuration in force here.
-    pub spec: Option<ConfigurationVersion>,
+    #[serde(rename = "spec")]
+    pub configuration: Option<ConfigurationVersion>,
     /// The position reached in the feed.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub position: String,
     /// Age of the feed's last confirmation.
     pub feed_age_ms: Option<DurationMs>,
     /// Requests that wait.
@@ -215,15 +217,18 @@
     /// Clients' batch calls under way.
     pub batch_calls: usize,
     /// Ends of item runs that their shards have not acknowledged.
-    pub ends_to_tell: usize,
+    #[serde(rename = "ends_to_tell")]
+    pub unacknowledged_run_ends: usize,
     /// Lease requests without a response; items may already be leased to this relay.
-    pub leases_asked: usize,
+    #[serde(rename = "leases_asked")]
+    pub pending_lease_requests: usize,
     /// Time since the drain started, while draining.
     pub drained_for_ms: Option<DurationMs>,
     /// Usable engines.
     pub engines: usize,
     /// Requests admitted since the start.
-    pub allowed: u64,
+    #[serde(rename = "allowed")]
+    pub admitted: u64,
     /// Requests refused since the start, by code.
     pub refused: std::collections::BTreeMap<String, u64>,
 }
@@ -231,7 +236,7 @@
 impl RelayHealth {
     /// Whether any work is under way that a relay should finish before it exits.
     pub fn under_way(&self) -> bool {
-        let item_work = self.items + self.leases_asked + self.ends_to_tell;
+        let item_work = self.items + self.pending_lease_requests + self.unacknowledged_run_ends;
         self.waiting + self.holding + self.batch_calls + item_work > 0
     }
 }
@@ -247,7 +252,7 @@
     pub bounds: topazyard_spec::Bounds,
 }
 
-pub(crate) type Outputs = Vec<Effect<RelayReturn, RelayTask>>;
+pub(crate) type Outputs = Vec<Effect<RelayResponse, RelayTask>>;
 
 /// The state machine of one relay.
 pub struct RelayMachine {
@@ -266,7 +271,7 @@
     pub(crate) engines: engines::Engines,
     pub(crate) items: items::Items,
     pub(crate) batches: batches::BatchCalls,
-    allowed: u64,
+    admitted: u64,
     refused: std::collections::BTreeMap<Code, u64>,
     refused_for_capacity: u32,
     engine_failures: engine_failures::EngineFailures,
@@ -295,7 +300,7 @@
             engines: engines::Engines::default(),
             items: items::Items::default(),
             batches: batches::BatchCalls::new(boot_id),
-            allowed: 0,
+            admitted: 0,
             refused: std::collections::BTreeMap::new(),
             refused_for_capacity: 0,
             engine_failures: engine_failures::EngineFailures::default(),
@@ -305,7 +310,7 @@
 
     /// Until when the feed's last confirmation counts as fresh.
     pub(crate) fn fresh_until(&self) -> MonotonicMs {
-        self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(FRESH_FOR))
+        self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(MAX_FEED_AGE))
     }
 
     /// The dependency that was not heard from in time: the feed or the counter.
@@ -352,18 +357,18 @@
         RelayHealth {
             node: self.node,
             ready: self.not_ready_reason(now).is_none(),
-            spec: self.fleet.configuration.as_ref().map(|(version, _)| *version),
-            place: self.follower.copy().position().to_string(),
+            configuration: self.fleet.configuration.as_ref().map(|(version, _)| *version),
+            position: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
             items: self.items.len(),
             batch_calls: self.batches.client_calls(),
-            ends_to_tell: self.batches.unreported_ends(),
-            leases_asked: self.batches.pending_leases(),
-            drained_for_ms: self.draining.map(|draining| draining.lasted(now)),
+            unacknowledged_run_ends: self.batches.unreported_ends(),
+            pending_lease_requests: self.batches.pending_leases(),
+            drained_for_ms: self.draining.map(|draining| draining.elapsed(now)),
             engines: self.fleet.engines.values().filter(|e| self.engines.is_usable(e)).count(),
-            allowed: self.allowed,
+            admitted: self.admitted,
             refused: self
                 .refused
                 .iter()
@@ -431,63 +436,67 @@
         effects: &mut Outputs,
     ) {
         let value = match request {
-            RelayCall::Allow(prompt) => return self.admit_prompt(call, prompt, now, effects),
+            RelayCall::AdmitPrompt(prompt) => return self.admit_prompt(call, prompt, now, effects),
             RelayCall::Batch(request, limit) => {
                 return self.call_batch(call, request, limit, now, effects);
             }
-            RelayCall::Submit(batch, items) => {
+            RelayCall::SubmitBatch(batch, items) => {
                 return self.submit_batch(call, batch, items, now, effects);
             }
-            RelayCall::SubmitRouted(batch, route, items, limit) => {
+            RelayCall::SubmitRoutedBatch(batch, route, items, limit) => {
                 return self.submit_routed(call, (batch, &route), items, limit, now, effects);
             }
-            RelayCall::Arrive(arrival) => return self.admit_request(call, arrival, now, effects),
-            RelayCall::Retry(id, engine_use) => self.retry_request(id, engine_use, now),
-            RelayCall::Doubt(engine) => {
+            RelayCall::AdmitRequest(arrival) => {
+                return self.admit_request(call, arrival, now, effects);
+            }
+            RelayCall::RetryRequest(id, engine_outcome) => {
+                self.retry_request(id, engine_outcome, now)
+            }
+            RelayCall::SuspectEngine(engine) => {
                 self.engines.suspect(&engine, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
             RelayCall::EngineFailed(engine, failure) => {
                 self.record_engine_failure(engine, failure);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
             RelayCall::EngineLoad(engine, load) => {
                 self.engines.record_load(&engine, load, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::RequestEnded(id, engine_use) => {
-                self.end_request(id, engine_use, now, effects);
-                RelayReturn::Noted
+            RelayCall::RequestEnded(id, engine_outcome) => {
+                self.end_request(id, engine_outcome, now, effects);
+                RelayResponse::Done
             }
-            RelayCall::Reached(engine, reached) => {
+            RelayCall::ConnectionProbed(engine, reached) => {
                 self.engines.connection_probed(&engine, reached, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Dispatch(id, engine) => self.dispatch_prompt(id, &engine, now),
-            RelayCall::Another(id, failed) => self.retry_prompt(id, &failed, now),
-            RelayCall::Ended(id, engine_use) => {
-                self.end_prompt(id, engine_use, now, effects);
-                RelayReturn::Noted
+            RelayCall::DispatchPrompt(id, engine) => self.dispatch_prompt(id, &engine, now),
+            RelayCall::RetryPrompt(id, failed) => self.retry_prompt(id, &failed, now),
+            RelayCall::PromptEnded(id, engine_outcome) => {
+                self.end_prompt(id, engine_outcome, now, effects);
+                RelayResponse::Done
             }
             RelayCall::DispatchItem(run, engine) => self.dispatch_item(run, &engine, now),
-            RelayCall::RoutedEnded(run, end, engine_use) => {
-                self.routed_ended(run, end, engine_use, now, effects);
-                RelayReturn::Noted
+            RelayCall::RoutedItemEnded(run, end, engine_outcome) => {
+                self.routed_ended(run, end, engine_outcome, now, effects);
+                RelayResponse::Done
             }
             RelayCall::ItemEnded(run, end) => {
                 self.item_ended(run, end, now, effects);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Looked(engine, is_well) => {
+            RelayCall::HealthChecked(engine, is_well) => {
                 self.engines.health_checked(engine, is_well, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Drain(times) => RelayReturn::Drains(self.drain(times, now, effects)),
+            RelayCall::Drain(times) => RelayResponse::Draining(self.drain(times, now, effects)),
             RelayCall::Ready => match self.not_ready_reason(now) {
-                None => RelayReturn::Noted,
-                Some(code) => RelayReturn::Refused(ApiError::not_run(code)),
+                None => RelayResponse::Done,
+                Some(code) => RelayResponse::Refused(ApiError::not_run(code)),
             },
-            RelayCall::Health => RelayReturn::Health(Box::new(self.health(now))),
+            RelayCall::Health => RelayResponse::Health(Box::new(self.health(now))),
         };
         effects.push(Effect::Return { call, value });
     }
@@ -500,10 +509,10 @@
         now: MonotonicMs,
         effects: &mut Outputs,
     ) -> crate::drain::Draining {
-        let begun = crate::drain::Draining::begin(times, now);
+        let begun = crate::drain::Draining::start(times, now);
         let draining = *self.draining.get_or_insert(begun);
-        self.batches.limit_client_deadlines(draining.answers_calls_until());
-        self.drain_items(draining.breaks_off_runs_at(), now, effects);
+        self.batches.limit_client_deadlines(draining.batch_call_deadline());
+        self.drain_items(draining.abort_runs_at(), now, effects);
         draining
     }
 
@@ -535,7 +544,7 @@
 
 impl Machine for RelayMachine {
     type Call = RelayCall;
-    type Return = RelayReturn;
+    type Return = RelayResponse;
     type Task = RelayTask;
 
     fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Outputs {
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -7,7 +7,7 @@
 //! limit while a request needs no round trip.
 
 use super::engine_selection::EngineQuery;
-use super::{EngineUse, Outputs, PromptId, RelayMachine, RelayReturn, Target};
+use super::{EngineOutcome, Outputs, PromptId, RelayMachine, RelayResponse, Target};
 use topazyard_spec::RouteKind;
 use topazyard_types::{
     CallId, Digest, DurationMs, EngineName, HoldId, MonotonicMs, PoolName, Tokens,
@@ -62,7 +62,7 @@
     /// Prompt tokens plus maximum output tokens, if stated.
     pub cost: Option<Tokens>,
     /// When it arrived.
-    pub arrived: MonotonicMs,
+    pub arrived_at: MonotonicMs,
     /// How long the client waits.
     pub wait: DurationMs,
     /// The parts of its prompt.
@@ -79,7 +79,7 @@
     /// Whether a stream may be continued from another engine.
     pub resumable: bool,
     /// The maximum number of engines that it may be sent to.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// The deadline of its response.
     pub deadline: MonotonicMs,
     /// The engine that it goes to.
@@ -92,9 +92,9 @@
     /// The engine.
     pub target: Target,
     /// Until when it may be sent there, by the checks made so far.
-    pub until: MonotonicMs,
+    pub send_before: MonotonicMs,
     /// Time without a response after which the engine is suspected.
-    pub doubt_after: DurationMs,
+    pub suspect_after: DurationMs,
 }
 
 #[derive(Debug)]
@@ -110,7 +110,7 @@
     pool: PoolName,
     charge: Tokens,
     priority: u32,
-    arrived: MonotonicMs,
+    arrived_at: MonotonicMs,
     deadline: MonotonicMs,
     wait_deadline: MonotonicMs,
     prefix: Vec<PromptPart>,
@@ -255,7 +255,7 @@
         let passed = match self.check_arrival(&arrival, now) {
             Ok(passed) => passed,
             Err(refused) => {
-                if let RelayReturn::Refused(error) = &refused {
+                if let RelayResponse::Refused(error) = &refused {
                     self.record_refusal(error.code);
                 }
                 return effects.push(Effect::Return { call, value: refused });
@@ -266,7 +266,7 @@
             pool: passed.pool,
             charge: passed.charge,
             priority: passed.priority,
-            arrived: arrival.arrived,
+            arrived_at: arrival.arrived_at,
             deadline: passed.terms.deadline,
             wait_deadline: passed.wait_deadline,
             prefix: arrival.prefix,
@@ -289,8 +289,8 @@
         &self,
         arrival: &Arrival,
         now: MonotonicMs,
-    ) -> Result<PassedChecks, RelayReturn> {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> Result<PassedChecks, RelayResponse> {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let fleet = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
         let Some((_, configuration)) = &fleet.configuration else {
             return Err(refused(Code::StaleFeed));
@@ -299,13 +299,13 @@
             return Err(refused(Code::NoRoute));
         };
         if route.kind == RouteKind::Batch {
-            return Err(RelayReturn::OnBatchRoute(route.name.clone()));
+            return Err(RelayResponse::OnBatchRoute(route.name.clone()));
         }
         let pool = choose_pool(route, arrival.id).and_then(|name| configuration.pool(name));
         let Some(pool) = pool else { return Err(refused(Code::NoEngine)) };
         let wait = DurationMs(arrival.wait.0.min(route.timeout_ms));
-        let deadline = arrival.arrived.plus(wait);
-        if self.draining.is_some_and(|draining| !draining.may_take(deadline, now)) {
+        let deadline = arrival.arrived_at.plus(wait);
+        if self.draining.is_some_and(|draining| !draining.may_admit(deadline, now)) {
             return Err(refused(Code::Draining));
         }
         if deadline.since(now).0 <= self.engines.best_first_byte_ms(&pool.name) {
@@ -323,17 +323,17 @@
             pool: pool.name.clone(),
             charge: arrival.cost.unwrap_or(DEFAULT_COST),
             priority: route.priority,
-            wait_deadline: arrival.arrived.plus(timeout).min(deadline),
+            wait_deadline: arrival.arrived_at.plus(timeout).min(deadline),
             terms: Admitted {
                 repeatable: route.is_repeatable(),
                 stream: route.kind == RouteKind::Streaming,
                 resumable: route.resumable && route.kind == RouteKind::Streaming,
-                most_tries: route.max_attempts,
+                max_attempts: route.max_attempts,
                 deadline,
                 chosen: Chosen {
                     target: Target { engine: EngineName::default(), address: self.agent },
-                    until: now,
-                    doubt_after: DurationMs(0),
+                    send_before: now,
+                    suspect_after: DurationMs(0),
                 },
             },
         })
@@ -366,8 +366,8 @@
                 Some(chosen) => {
                     entry.stage = Stage::Held(chosen.target.engine.clone());
                     entry.terms.chosen = chosen;
-                    let value = RelayReturn::Admitted(Box::new(entry.terms.clone()));
-                    self.allowed += 1;
+                    let value = RelayResponse::Admitted(Box::new(entry.terms.clone()));
+                    self.admitted += 1;
                     effects.push(Effect::Return { call, value });
                 }
                 None => {
@@ -462,10 +462,10 @@
             prefix: &entry.prefix,
             excluded: &entry.tried_engines,
         };
-        let (target, doubt_after) = self.engines.choose(&self.fleet, &query, self.node, now)?;
+        let (target, suspect_after) = self.engines.choose(&self.fleet, &query, self.node, now)?;
         self.engines.request_started(&target.engine, &entry.prefix, now);
-        let until = self.routes_fresh_until().min(now.plus(DISPATCH_TTL)).min(entry.deadline);
-        Some(Chosen { target, until, doubt_after })
+        let send_before = self.routes_fresh_until().min(now.plus(DISPATCH_TTL)).min(entry.deadline);
+        Some(Chosen { target, send_before, suspect_after })
     }
 
     /// Selects another engine for a request that one failed or turned away, or whose time to be
@@ -473,10 +473,10 @@
     pub(super) fn retry_request(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         if now >= self.routes_fresh_until() {
             return refused(Code::StaleFeed);
         }
@@ -485,10 +485,10 @@
         };
         let Stage::Held(engine) = &entry.stage else { return refused(Code::Deadline) };
         let engine = engine.clone();
-        if engine_use != EngineUse::Unsent {
+        if engine_outcome != EngineOutcome::NotSent {
             entry.tried_engines.push(engine.clone());
         }
-        self.engines.request_ended(&engine, engine_use, now);
+        self.engines.request_ended(&engine, engine_outcome, now);
         let chosen = self.choose(id, now);
         let Some(entry) = self.requests.entries.get_mut(&id) else {
             return refused(Code::Deadline);
@@ -496,7 +496,7 @@
         match chosen {
             Some(chosen) => {
                 entry.stage = Stage::Held(chosen.target.engine.clone());
-                RelayReturn::Chosen(Box::new(chosen))
+                RelayResponse::Chosen(Box::new(chosen))
             }
             None => {
                 // It has no engine any more; its budget is released when it ends.
@@ -510,7 +510,7 @@
     pub(super) fn end_request(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
@@ -522,9 +522,9 @@
             }
         }
         if let Stage::Held(engine) = &entry.stage {
-            self.engines.request_ended(engine, engine_use, now);
+            self.engines.request_ended(engine, engine_outcome, now);
         }
-        if let EngineUse::Whole(first) = engine_use {
+        if let EngineOutcome::Completed(first) = engine_outcome {
             self.engines.record_first_byte(&entry.pool, first);
         }
         self.admit_waiting(&entry.pool, now, effects);
@@ -539,7 +539,7 @@
 
     fn refuse_request(&mut self, call: CallId, code: Code, effects: &mut Outputs) {
         self.record_refusal(code);
-        let value = RelayReturn::Refused(ApiError::not_run(code));
+        let value = RelayResponse::Refused(ApiError::not_run(code));
         effects.push(Effect::Return { call, value });
     }
 
@@ -556,12 +556,13 @@
     /// Checks, once a drain's serving phase is over, that no request admitted late is left.
     fn check_taken_with_time_left(&mut self, now: MonotonicMs) {
         let Some(draining) = self.draining else { return };
-        if self.requests.drain_checked || now < draining.serves_until().plus(END_REPORT_TIMEOUT) {
+        if self.requests.drain_checked || now < draining.serving_deadline().plus(END_REPORT_TIMEOUT)
+        {
             return;
         }
         self.requests.drain_checked = true;
-        let late_from = draining.still_sent_until();
-        let left = self.requests.entries.values().filter(|entry| entry.arrived >= late_from);
+        let late_from = draining.deregistered_at();
+        let left = self.requests.entries.values().filter(|entry| entry.arrived_at >= late_from);
         let left = left.count();
         invariants::check(left == 0, Invariant::TakenWithTimeLeft, || format!("left={left}"));
     }
--- a/programs/topazyard-relay/src/machine/routed_items.rs
+++ b/programs/topazyard-relay/src/machine/routed_items.rs
@@ -26,7 +26,7 @@
     /// The progress of an earlier run.
     pub progress: Progress,
     /// Time without a byte from the engine after which the run is aborted.
-    pub silence: DurationMs,
+    pub silence_timeout: DurationMs,
 }
 
 /// The pool that an item's run goes to, chosen by the route's weights; the same for each run of the
--- a/programs/topazyard-relay/src/prompt/mod.rs
+++ b/programs/topazyard-relay/src/prompt/mod.rs
@@ -1,5 +1,5 @@
 //! The processing of one request, independent of I/O.
 
-pub mod chart;
+pub mod state_machine;
 
-pub use chart::{Chart, Failure, Next, State};
+pub use state_machine::{Failure, FailureAction, RequestStateMachine, State};
--- a/programs/topazyard-relay/src/prompt/chart.rs
+++ b/programs/topazyard-relay/src/prompt/state_machine.rs
@@ -26,9 +26,9 @@
     /// Part of the response may have reached the client.
     Relaying,
     /// The complete response was relayed.
-    Whole,
+    Completed,
     /// The response was cut off, and the client's connection with it.
-    Cut,
+    Interrupted,
     /// Ended with an error as the final response.
     Refused,
 }
@@ -39,11 +39,11 @@
     /// No connection could be made; nothing was sent.
     NotConnected,
     /// The connection was lost, or the response was invalid.
-    Broken,
+    ConnectionLost,
     /// The response belongs to no request that was sent on this connection.
-    Foreign,
+    MismatchedResponse,
     /// The engine reported an error.
-    Failed,
+    EngineError,
     /// No response arrived in time.
     TimedOut,
     /// The engine reported that it did not run the request and never will.
@@ -52,13 +52,13 @@
 
 /// What to do about a failure.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Next {
+pub enum FailureAction {
     /// Try another engine.
-    Another,
+    TryAnotherEngine,
     /// Send this error as the final response at once.
-    Answer(ApiError),
+    Respond(ApiError),
     /// Close the client's connection.
-    Break,
+    CloseConnection,
 }
 
 /// Maximum attempts of a request without a route, and the minimum that any request has for engines
@@ -67,7 +67,7 @@
 
 /// The state machine of one request.
 #[derive(Debug)]
-pub struct Chart {
+pub struct RequestStateMachine {
     state: State,
     repeatable: bool,
     /// Whether a response that has begun may be continued from another engine.
@@ -84,20 +84,20 @@
     begun: bool,
 }
 
-impl Chart {
+impl RequestStateMachine {
     /// A request that has just arrived.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{Chart, Failure, Next, State};
+    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction, State};
     /// use topazyard_types::MonotonicMs;
-    /// let mut chart = Chart::arrived(false, MonotonicMs(1_000));
-    /// chart.wait();
-    /// chart.hold();
-    /// chart.dispatch();
+    /// let mut state_machine = RequestStateMachine::arrived(false, MonotonicMs(1_000));
+    /// state_machine.enqueue();
+    /// state_machine.hold();
+    /// state_machine.dispatch();
     /// // Sent and not repeatable: never sent again, and never said not to have run.
-    /// let Next::Answer(error) = chart.fail(Failure::Broken, MonotonicMs(10)) else { panic!() };
+    /// let FailureAction::Respond(error) = state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)) else { panic!() };
     /// assert_eq!(error.ran, topazyard_wire::Execution::MayHaveRun);
-    /// assert_eq!(chart.state(), State::Refused);
+    /// assert_eq!(state_machine.state(), State::Refused);
     /// ```
     pub fn arrived(repeatable: bool, deadline: MonotonicMs) -> Self {
         Self {
@@ -117,18 +117,18 @@
     /// A request admitted on a route; the route's settings decide about attempts.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{Chart, Failure, Next};
+    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction};
     /// use topazyard_types::MonotonicMs;
-    /// let mut chart = Chart::on_route(true, true, 2, MonotonicMs(1_000));
-    /// chart.wait();
-    /// chart.hold();
-    /// chart.dispatch();
-    /// chart.relay();
+    /// let mut state_machine = RequestStateMachine::on_route(true, true, 2, MonotonicMs(1_000));
+    /// state_machine.enqueue();
+    /// state_machine.hold();
+    /// state_machine.dispatch();
+    /// state_machine.start_relaying();
     /// // A resumable stream that broke midway goes on elsewhere, once.
-    /// assert_eq!(chart.fail(Failure::Broken, MonotonicMs(10)), Next::Another);
-    /// chart.hold();
-    /// chart.dispatch();
-    /// assert_eq!(chart.fail(Failure::Broken, MonotonicMs(10)), Next::Break);
+    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::TryAnotherEngine);
+    /// state_machine.hold();
+    /// state_machine.dispatch();
+    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::CloseConnection);
     /// ```
     pub fn on_route(
         repeatable: bool,
@@ -154,7 +154,7 @@
     }
 
     /// Enters the queue.
-    pub fn wait(&mut self) {
+    pub fn enqueue(&mut self) {
         self.change(&[State::Arrived], State::Waiting);
     }
 
@@ -173,21 +173,21 @@
     }
 
     /// Takes the last dispatch back: the connection was closed before the first byte was sent.
-    pub fn unsent(&mut self) {
+    pub fn undo_dispatch(&mut self) {
         self.tries -= 1;
         self.sent = self.sent_before;
         self.change(&[State::Dispatched], State::Held);
     }
 
     /// The head of the response arrived and is relayed to the client.
-    pub fn relay(&mut self) {
+    pub fn start_relaying(&mut self) {
         self.begun = true;
         self.change(&[State::Dispatched], State::Relaying);
     }
 
     /// The complete response was relayed.
     pub fn complete(&mut self) {
-        self.change(&[State::Relaying], State::Whole);
+        self.change(&[State::Relaying], State::Completed);
     }
 
     /// Refuses the request with this error, marked as possibly run if any attempt may have run.
@@ -202,7 +202,7 @@
     }
 
     /// Whether no other engine may be tried after this one.
-    pub fn is_last_try(&self) -> bool {
+    pub fn is_last_attempt(&self) -> bool {
         self.tries >= self.most_tries
     }
 
@@ -215,20 +215,20 @@
     }
 
     /// Whether a response head was relayed, so that the response can only be continued or cut off.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_relayed_head(&self) -> bool {
         self.begun
     }
 
     /// Decides what a failure means in the current state.
-    pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> Next {
+    pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> FailureAction {
         let in_time = now < self.deadline;
         match self.state {
             State::Relaying | State::Dispatched if self.begun => {
                 if self.resumable && in_time && self.tries < self.most_tries {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
-                self.change(&[State::Relaying, State::Dispatched], State::Cut);
-                Next::Break
+                self.change(&[State::Relaying, State::Dispatched], State::Interrupted);
+                FailureAction::CloseConnection
             }
             State::Dispatched => {
                 if failure == Failure::TurnedAway {
@@ -236,28 +236,28 @@
                 }
                 let may_repeat = self.repeatable || failure == Failure::TurnedAway;
                 if may_repeat && in_time && self.tries < self.most_tries {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
                 let error = match failure {
                     Failure::TurnedAway => ApiError::not_run(Code::TurnedAway),
                     Failure::TimedOut => ApiError::may_have_run(Code::EngineTimeout),
-                    Failure::Broken
-                    | Failure::Foreign
-                    | Failure::Failed
+                    Failure::ConnectionLost
+                    | Failure::MismatchedResponse
+                    | Failure::EngineError
                     | Failure::NotConnected => ApiError::may_have_run(Code::EngineFailed),
                 };
-                Next::Answer(self.refuse(error))
+                FailureAction::Respond(self.refuse(error))
             }
             _ => {
                 self.unconnected += 1;
                 if in_time && self.unconnected + self.tries < self.most_tries.max(MOST_TRIES) {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
                 if self.begun {
-                    self.change(&[State::Held, State::Relaying], State::Cut);
-                    return Next::Break;
+                    self.change(&[State::Held, State::Relaying], State::Interrupted);
+                    return FailureAction::CloseConnection;
                 }
-                Next::Answer(self.refuse(ApiError::not_run(Code::NoEngine)))
+                FailureAction::Respond(self.refuse(ApiError::not_run(Code::NoEngine)))
             }
         }
     }
