--- a/fleet-simulator/src/people/mod.rs
+++ b/fleet-simulator/src/people/mod.rs
@@ -239,7 +239,7 @@
     pub(crate) fn control_told(
         &mut self,
         doing: Doing,
-        outcome: topazyard_wire::message::operate::OperateOutcome,
+        outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
         match doing {
             Doing::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -5,7 +5,7 @@
 use topazyard_relay::{RelayCall, RelayResponse, RelayTask};
 use topazyard_types::{CallId, NodeId};
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::operate::{Operate, OperateOutcome};
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::{Effect, Input, Machine as _, Message, WriteToken};
 
 /// How often a process ticks.
@@ -13,7 +13,7 @@
 
 /// What a machine put out, whichever machine it is.
 enum Outcome {
-    Operate(OperateOutcome),
+    Operate(OperatorOutcome),
     Relay(RelayResponse),
 }
 
@@ -66,7 +66,12 @@
     }
 
     /// Calls into a control node's machine.
-    pub(crate) fn call_control(&mut self, index: NodeIndex, request: Operate, caller: Caller) {
+    pub(crate) fn call_control(
+        &mut self,
+        index: NodeIndex,
+        request: OperatorRequest,
+        caller: Caller,
+    ) {
         let call = self.note_call(index, caller);
         let request = topazyard_control::ControlCall::Operate(request);
         self.step(index, StepInput::Control(call, request));
@@ -154,7 +159,7 @@
     pub(super) fn make_control(
         &mut self,
         index: NodeIndex,
-        effect: Effect<OperateOutcome, topazyard_control::ControlTask>,
+        effect: Effect<OperatorOutcome, topazyard_control::ControlTask>,
     ) {
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -37,7 +37,7 @@
 
     /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
     /// not before. Only a witness whose disk is empty may be let.
-    pub fn may_bootstrap(&mut self, genesis: EpochRecord) -> Option<RowChange> {
+    pub fn allow_bootstrap(&mut self, genesis: EpochRecord) -> Option<RowChange> {
         if self.genesis.is_some() || self.record.is_some() {
             return None;
         }
--- a/programs/topazyard-control/src/machine/configurations.rs
+++ b/programs/topazyard-control/src/machine/configurations.rs
@@ -2,7 +2,7 @@
 
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 /// Counts answers since the process began, and the newest version that was acknowledged.
 #[derive(Clone, Default)]
@@ -24,13 +24,13 @@
 
 impl Configurations {
     /// An order is answered while that version is in force.
-    pub fn answered(&mut self, outcome: &OperateOutcome, in_force: ConfigurationVersion) {
+    pub fn answered(&mut self, outcome: &OperatorOutcome, in_force: ConfigurationVersion) {
         match outcome {
-            OperateOutcome::Done(_) => {
+            OperatorOutcome::Done(_) => {
                 self.acknowledged += 1;
                 self.check(in_force);
             }
-            OperateOutcome::Refused(_) => self.refused += 1,
+            OperatorOutcome::Refused(_) => self.refused += 1,
         }
     }
 
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -10,7 +10,7 @@
 use topazyard_types::{DurationMs, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, PartRequest, UpdateContent};
-use topazyard_wire::state::is_fed;
+use topazyard_wire::state::is_in_feed;
 use topazyard_wire::{Effect, RowChange};
 
 /// After how long without a return a follower that still asks counts as one that hears nothing.
@@ -117,7 +117,7 @@
     /// The changes after a place, if they are all remembered and fit in one answer.
     fn few_changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
-        changes.retain(|change| is_fed(&change.key));
+        changes.retain(|change| is_in_feed(&change.key));
         (weight_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
@@ -135,7 +135,7 @@
     }
 
     fn fed_rows(&self) -> Vec<Row> {
-        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_fed(key));
+        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_in_feed(key));
         rows.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 }
--- a/programs/topazyard-control/src/machine/founding.rs
+++ b/programs/topazyard-control/src/machine/founding.rs
@@ -18,7 +18,7 @@
     /// settings say that the fleet is new.
     pub(super) fn keep_right_to_found(&mut self, is_new: bool, out: &mut Out) {
         let Some(genesis) = genesis::genesis(&self.seeds).filter(|_| is_new) else { return };
-        if let Some(row) = self.witness.may_bootstrap(genesis) {
+        if let Some(row) = self.witness.allow_bootstrap(genesis) {
             self.write_own(Group::Witness, vec![row], Vec::new(), out);
         }
     }
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -6,7 +6,7 @@
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::CoreMessage;
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 /// How often it is said again.
 const SAY_EVERY: DurationMs = DurationMs(100);
@@ -37,7 +37,7 @@
         }
         if waited >= self.timeouts.leaving || !self.is_needed() || !self.can_be_replaced(now) {
             self.leaving = None;
-            let value = OperateOutcome::Done(String::new());
+            let value = OperatorOutcome::Done(String::new());
             out.push(Effect::Return { call, value });
         } else if is_due {
             self.say_leaving(now, out);
--- a/programs/topazyard-control/src/machine/listing.rs
+++ b/programs/topazyard-control/src/machine/listing.rs
@@ -4,7 +4,7 @@
 use super::{ControlMachine, ControlTask, Out};
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::Effect;
-use topazyard_wire::message::operate::{Command, Operate};
+use topazyard_wire::message::operate::{Command, OperatorRequest};
 
 /// After how long without a report a reading counts as lost.
 const LOST_AFTER: DurationMs = DurationMs(3_000);
@@ -46,7 +46,7 @@
         self.listing.under_way = false;
         let Some(engines) = list.filter(|_| self.replica.is_serving()) else { return };
         if self.changes_engines(&engines) {
-            let command = Operate::Command(Command::ListEngines(engines));
+            let command = OperatorRequest::Command(Command::ListEngines(engines));
             self.take_operate(super::operate::Origin::Listing, command, now, out);
         }
     }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -25,7 +25,7 @@
 use topazyard_wire::invariants::Invariant;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardChangeRequest};
 use topazyard_wire::message::membership::MemberRole;
-use topazyard_wire::message::operate::{Operate, OperateOutcome};
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum ControlCall {
     /// An operator's call.
-    Operate(Operate),
+    Operate(OperatorRequest),
     /// What engines said of their load.
     Loads(Vec<crate::tuner::EngineLoad>),
     /// The platform's whole list of engines, if it could be read.
@@ -79,7 +79,7 @@
 }
 
 /// The effects of a control node.
-pub(crate) type Out = Vec<Effect<OperateOutcome, ControlTask>>;
+pub(crate) type Out = Vec<Effect<OperatorOutcome, ControlTask>>;
 
 /// One control node.
 #[derive(Debug, Clone)]
@@ -143,7 +143,7 @@
     /// A command whose outcome is known once it is committed.
     Command {
         origin: operate::Origin,
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
         /// Whether it puts a configuration in force.
         is_configuration: bool,
     },
@@ -338,11 +338,11 @@
         match waiting {
             Waiting::Command { origin, .. } => {
                 let unknown = ApiError::may_have_run(Code::OutcomeUnknown);
-                self.answer(*origin, OperateOutcome::Refused(unknown), now, out);
+                self.answer(*origin, OperatorOutcome::Refused(unknown), now, out);
             }
             Waiting::Query(origin, _) => {
                 let refused = ApiError::not_run(Code::NoPrimary);
-                self.answer(*origin, OperateOutcome::Refused(refused), now, out);
+                self.answer(*origin, OperatorOutcome::Refused(refused), now, out);
             }
             // A follower asks again.
             Waiting::Follower { .. } | Waiting::Planner => {}
@@ -397,7 +397,7 @@
     }
 
     /// How this node itself fares, whether or not it leads.
-    fn health(&self, now: MonotonicMs) -> OperateOutcome {
+    fn health(&self, now: MonotonicMs) -> OperatorOutcome {
         let record = self.witness.record();
         let health = ControlHealth {
             node: self.me.id,
@@ -410,7 +410,7 @@
             configurations_refused: self.configurations.refused,
             orders_waiting: self.operate.waiting(),
         };
-        OperateOutcome::Done(serde_json::json!(health).to_string())
+        OperatorOutcome::Done(serde_json::json!(health).to_string())
     }
 
     /// Remembers where others are, so that stale seeds don't strand this node.
@@ -470,7 +470,7 @@
 
 impl Machine for ControlMachine {
     type Call = ControlCall;
-    type Return = OperateOutcome;
+    type Return = OperatorOutcome;
     type Task = ControlTask;
 
     fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Out {
--- a/programs/topazyard-control/src/machine/operate.rs
+++ b/programs/topazyard-control/src/machine/operate.rs
@@ -11,7 +11,9 @@
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::operate::{Command, Operate, OperateMessage, OperateOutcome};
+use topazyard_wire::message::operate::{
+    Command, OperatorMessage, OperatorOutcome, OperatorRequest,
+};
 
 /// Commands that may wait.
 const QUEUE_LIMIT: usize = 256;
@@ -81,7 +83,7 @@
 fn not_taken(
     command: &Command,
     error: &ApiError,
-) -> Option<Effect<OperateOutcome, super::ControlTask>> {
+) -> Option<Effect<OperatorOutcome, super::ControlTask>> {
     let order = match command {
         Command::ApplyConfiguration { base, version, .. } => format!("spec {version} on {base}"),
         Command::PatchConfiguration { base, version, .. } => format!("patch {version} on {base}"),
@@ -130,19 +132,19 @@
     pub(super) fn take_operate(
         &mut self,
         origin: Origin,
-        request: Operate,
+        request: OperatorRequest,
         now: MonotonicMs,
         out: &mut Out,
     ) {
         if self.replica.is_serving() {
             match request {
-                Operate::Query(query) => {
+                OperatorRequest::Query(query) => {
                     self.submit(Vec::new(), Waiting::Query(origin, query));
                 }
-                Operate::Command(command) if self.operate.queued() < QUEUE_LIMIT => {
+                OperatorRequest::Command(command) if self.operate.queued() < QUEUE_LIMIT => {
                     self.queue(origin, command, now, out);
                 }
-                Operate::Command(_) => self.refuse(origin, Code::NoPrimary, now, out),
+                OperatorRequest::Command(_) => self.refuse(origin, Code::NoPrimary, now, out),
             }
             return;
         }
@@ -151,18 +153,17 @@
             (Origin::Local(_) | Origin::Tuner, Some(primary)) if primary.id != self.me.id => {
                 self.operate.last_id += 1;
                 let id = self.operate.last_id;
-                let must_be_fresh =
-                    matches!(&request, Operate::Command(command) if command.must_be_fresh());
+                let must_be_fresh = matches!(&request, OperatorRequest::Command(command) if command.must_be_fresh());
                 let passed = PassedOn {
                     origin,
                     to: primary.id,
-                    is_command: matches!(request, Operate::Command(_)),
+                    is_command: matches!(request, OperatorRequest::Command(_)),
                     since: now,
                     must_be_fresh,
                     confirmed: None,
                 };
                 self.operate.passed_on.insert(id, passed);
-                let message = Message::Operate(OperateMessage::Request { id, request });
+                let message = Message::Operate(OperatorMessage::Request { id, request });
                 out.push(Effect::Send { to: primary.address, message });
             }
             _ => self.refuse(origin, Code::NoPrimary, now, out),
@@ -189,7 +190,7 @@
         self.operate.last_id += 1;
         let offer = self.operate.last_id;
         self.operate.offered.insert(offer, Offered { from, queued });
-        let message = Message::Operate(OperateMessage::ConfirmWaiting { id, offer });
+        let message = Message::Operate(OperatorMessage::ConfirmWaiting { id, offer });
         out.push(Effect::Send { to, message });
     }
 
@@ -197,15 +198,15 @@
         &mut self,
         sender: NodeId,
         from: std::net::SocketAddr,
-        message: OperateMessage,
+        message: OperatorMessage,
         now: MonotonicMs,
         out: &mut Out,
     ) {
         match message {
-            OperateMessage::Request { id, request } => {
+            OperatorMessage::Request { id, request } => {
                 self.take_operate(Origin::Passed(sender, from, id), request, now, out);
             }
-            OperateMessage::Response { id, outcome } => {
+            OperatorMessage::Response { id, outcome } => {
                 let passed = self.operate.passed_on.get(&id);
                 if passed.is_none_or(|passed| passed.to != sender) {
                     return;
@@ -214,13 +215,13 @@
                     self.answer(passed.origin, outcome, now, out);
                 }
             }
-            OperateMessage::ConfirmWaiting { id, offer } => {
+            OperatorMessage::ConfirmWaiting { id, offer } => {
                 if self.confirms(sender, id, offer, now) {
-                    let message = Message::Operate(OperateMessage::StillWaiting { offer });
+                    let message = Message::Operate(OperatorMessage::StillWaiting { offer });
                     out.push(Effect::Send { to: from, message });
                 }
             }
-            OperateMessage::StillWaiting { offer } => self.take_confirmation(sender, offer, now),
+            OperatorMessage::StillWaiting { offer } => self.take_confirmation(sender, offer, now),
         }
     }
 
@@ -258,10 +259,10 @@
         }
         // A refusal is committed like a read: what it was judged by is then confirmed state.
         let (changes, outcome) = match self.judge(&command, now) {
-            Ok((changes, done)) => (changes, OperateOutcome::Done(done.to_string())),
+            Ok((changes, done)) => (changes, OperatorOutcome::Done(done.to_string())),
             Err(error) => {
                 out.extend(not_taken(&command, &error));
-                (Vec::new(), OperateOutcome::Refused(error))
+                (Vec::new(), OperatorOutcome::Refused(error))
             }
         };
         let is_configuration = command.is_configuration();
@@ -271,7 +272,7 @@
     pub(super) fn answer(
         &mut self,
         origin: Origin,
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
         now: MonotonicMs,
         out: &mut Out,
     ) {
@@ -282,13 +283,13 @@
             Origin::Local(call) => Effect::Return { call, value: outcome },
             Origin::Passed(_, to, id) => Effect::Send {
                 to,
-                message: Message::Operate(OperateMessage::Response { id, outcome }),
+                message: Message::Operate(OperatorMessage::Response { id, outcome }),
             },
         });
     }
 
     fn refuse(&mut self, origin: Origin, code: Code, now: MonotonicMs, out: &mut Out) {
-        self.answer(origin, OperateOutcome::Refused(ApiError::not_run(code)), now, out);
+        self.answer(origin, OperatorOutcome::Refused(ApiError::not_run(code)), now, out);
     }
 
     /// Refuses commands that were never worked on.
@@ -318,7 +319,7 @@
             .collect();
         for id in late {
             if let Some(passed) = self.operate.passed_on.remove(&id) {
-                let outcome = OperateOutcome::Refused(passed.lost());
+                let outcome = OperatorOutcome::Refused(passed.lost());
                 self.answer(passed.origin, outcome, now, out);
             }
         }
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -6,7 +6,7 @@
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 use topazyard_wire::state::FleetSnapshot;
 
 /// How often weights are looked at.
@@ -51,7 +51,7 @@
             return;
         }
         self.tuning.last = now;
-        let request = Operate::Query(Query::Load);
+        let request = OperatorRequest::Query(Query::Load);
         self.take_operate(super::operate::Origin::Tuner, request, now, out);
     }
 
@@ -93,8 +93,13 @@
     }
 
     /// The primary's answer to the duty's question: work out each pool's share and ask for it.
-    pub(super) fn tuner_told(&mut self, outcome: &OperateOutcome, now: MonotonicMs, out: &mut Out) {
-        let OperateOutcome::Done(text) = outcome else { return };
+    pub(super) fn tuner_told(
+        &mut self,
+        outcome: &OperatorOutcome,
+        now: MonotonicMs,
+        out: &mut Out,
+    ) {
+        let OperatorOutcome::Done(text) = outcome else { return };
         // The return of a weight that was set is of another shape, and needs nothing more.
         let Ok(load) = serde_json::from_str::<Load>(text) else { return };
         if !self.tunes(now) {
@@ -119,7 +124,7 @@
                     live_percent: share,
                 };
                 let origin = super::operate::Origin::Tuner;
-                self.take_operate(origin, Operate::Command(command), now, out);
+                self.take_operate(origin, OperatorRequest::Command(command), now, out);
             }
         }
         out.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
--- a/programs/topazyard-control/tests/catching_up.rs
+++ b/programs/topazyard-control/tests/catching_up.rs
@@ -10,7 +10,7 @@
 use topazyard_types::{BootId, ConfigurationVersion, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 use topazyard_wire::state::FleetSnapshot;
 
 /// No answer may be much larger: the rest is keys, lengths and the frame.
@@ -59,9 +59,9 @@
         let command = order(self.version, routes, host, self.version);
         let primary = self.fleet.primary().expect("a primary");
         self.fleet.nodes[primary].returned = None;
-        self.fleet.tell(primary, ControlCall::Operate(Operate::Command(command)));
+        self.fleet.tell(primary, ControlCall::Operate(OperatorRequest::Command(command)));
         let outcome = self.fleet.nodes[primary].returned.take();
-        assert!(matches!(outcome, Some(OperateOutcome::Done(_))), "not taken");
+        assert!(matches!(outcome, Some(OperatorOutcome::Done(_))), "not taken");
     }
 
     /// Lets a follower ask once, and gives what it is answered.
@@ -249,5 +249,5 @@
     fed.change(2, 5);
     fed.follow(&mut follower);
     let rows = follower.copy().rows();
-    assert!(rows.keys().all(|key| topazyard_wire::state::is_fed(key)));
+    assert!(rows.keys().all(|key| topazyard_wire::state::is_in_feed(key)));
 }
--- a/programs/topazyard-control/tests/disks.rs
+++ b/programs/topazyard-control/tests/disks.rs
@@ -7,7 +7,7 @@
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::Input;
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::operate::{Command, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, Query};
 
 impl Fleet {
     /// A node's disk takes no more bytes; it hears of it with its next write, or at once.
@@ -64,7 +64,7 @@
 /// Which nodes are the primary and the backups, as the primary says it, if it can.
 fn known_members(fleet: &mut Fleet) -> Option<Vec<usize>> {
     let primary = fleet.primary()?;
-    let Some(OperateOutcome::Done(text)) = fleet.query(primary, Query::FleetState) else {
+    let Some(OperatorOutcome::Done(text)) = fleet.query(primary, Query::FleetState) else {
         return None;
     };
     let state: serde_json::Value = serde_json::from_str(&text).expect("json");
@@ -83,7 +83,7 @@
     fleet.nodes[number].returned = None;
     fleet.tell(number, ControlCall::Health);
     match fleet.nodes[number].returned.take() {
-        Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
+        Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
         other => panic!("no health: {other:?}"),
     }
 }
@@ -100,10 +100,10 @@
     assert!(!members(&mut fleet).contains(&old), "what can't write holds no copy");
     assert_eq!(health(&mut fleet, old)["disk"], "full");
     let taken = fleet.command(new, spec(0, 1));
-    assert!(matches!(taken, Some(OperateOutcome::Done(_))), "{taken:?}");
+    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
     // What needs no new byte goes on there: it passes a query on to who leads.
     let read = fleet.query(old, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let last = fleet.primary().expect("two of three lead again");
     assert!(members(&mut fleet).contains(&old));
     let read = fleet.query(last, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -138,7 +138,7 @@
     assert!(!members(&mut fleet).contains(&backup));
     let leads = fleet.primary().expect("a primary");
     let read = fleet.query(leads, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let state = |fleet: &mut Fleet| -> serde_json::Value {
         let primary = fleet.primary().expect("a primary");
         match fleet.query(primary, Query::ListStorage) {
-            Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
+            Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
             other => panic!("no list: {other:?}"),
         }
     };
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -4,12 +4,12 @@
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::invariants::{Invariant, violations};
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 #[test]
 fn a_configuration_that_goes_back_is_a_violation() {
-    let done = OperateOutcome::Done(String::new());
-    let refused = OperateOutcome::Refused(ApiError::not_run(Code::StaleBase));
+    let done = OperatorOutcome::Done(String::new());
+    let refused = OperatorOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
     configurations.answered(&done, ConfigurationVersion(4));
     configurations.answered(&refused, ConfigurationVersion(4));
--- a/programs/topazyard-control/tests/leaving.rs
+++ b/programs/topazyard-control/tests/leaving.rs
@@ -5,7 +5,7 @@
 use fleet::Fleet;
 use topazyard_control::ControlCall;
 use topazyard_types::ConfigurationVersion;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 fn configuration(base: u64, version: u64) -> Command {
     let route = serde_json::json!({ "name": "r", "host": "a.example", "path_prefix": "/r/",
@@ -25,7 +25,7 @@
     let mut fleet = Fleet::new(3, 3);
     fleet.run(2_000);
     let taken = fleet.command(0, configuration(0, 3));
-    assert!(matches!(taken, Some(OperateOutcome::Done(_))), "{taken:?}");
+    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
     fleet.may_bootstrap = false;
     fleet.add();
     fleet.run(1_000);
@@ -51,7 +51,7 @@
             fleet.run(4_000);
             let asked = (0..4).find(|number| *number != leaves && *number != lost).expect("one");
             let read = fleet.query(asked, Query::ReadSource);
-            assert_eq!(read, Some(OperateOutcome::Done("3".into())), "{leaves} left, {lost} lost");
+            assert_eq!(read, Some(OperatorOutcome::Done("3".into())), "{leaves} left, {lost} lost");
         }
     }
 }
@@ -76,7 +76,7 @@
 const TICK_MS: u64 = fleet::TICK.0;
 
 /// What callers at a node were returned while so much time passed.
-fn returned(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperateOutcome> {
+fn returned(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperatorOutcome> {
     let mut all = Vec::new();
     for _ in 0..for_ms / TICK_MS {
         all.extend(fleet.nodes[number].returned.take());
@@ -90,7 +90,7 @@
 /// waits for 900 ms at most.
 #[test]
 fn an_order_that_a_leaving_primary_has_taken_is_answered_in_time() {
-    let order = || ControlCall::Operate(Operate::Command(configuration(3, 4)));
+    let order = || ControlCall::Operate(OperatorRequest::Command(configuration(3, 4)));
     for before_ms in [0, 25, 50, 75, 100, 200] {
         for passes_on in [false, true] {
             let mut fleet = with_a_successor();
@@ -103,7 +103,7 @@
             fleet.tell(asked, order());
             got.extend(returned(&mut fleet, asked, 800));
             let of_order =
-                got.iter().filter(|outcome| **outcome != OperateOutcome::Done(String::new()));
+                got.iter().filter(|outcome| **outcome != OperatorOutcome::Done(String::new()));
             assert_eq!(of_order.count(), 1, "{before_ms} ms, passed on {passes_on}: {got:?}");
         }
     }
--- a/programs/topazyard-control/tests/orders.rs
+++ b/programs/topazyard-control/tests/orders.rs
@@ -9,7 +9,7 @@
 use topazyard_wire::Message;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{
-    Command, Operate, OperateMessage, OperateOutcome, Query, SourcePatch,
+    Command, OperatorMessage, OperatorOutcome, OperatorRequest, Query, SourcePatch,
 };
 
 fn bundle(routes: usize) -> String {
@@ -42,17 +42,17 @@
 }
 
 #[track_caller]
-fn taken(outcome: Option<OperateOutcome>) -> serde_json::Value {
+fn taken(outcome: Option<OperatorOutcome>) -> serde_json::Value {
     match outcome {
-        Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("JSON"),
+        Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("JSON"),
         other => panic!("not taken: {other:?}"),
     }
 }
 
 #[track_caller]
-fn refused(outcome: Option<OperateOutcome>, code: Code) {
+fn refused(outcome: Option<OperatorOutcome>, code: Code) {
     match outcome {
-        Some(OperateOutcome::Refused(error)) => assert_eq!(error.code, code),
+        Some(OperatorOutcome::Refused(error)) => assert_eq!(error.code, code),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -60,7 +60,7 @@
 #[track_caller]
 fn source_is(fleet: &mut Fleet, number: usize, wanted: &str) {
     let read = fleet.query(number, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done(wanted.to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done(wanted.to_owned())));
 }
 
 fn running() -> Fleet {
@@ -70,9 +70,9 @@
 }
 
 /// Hands in an order and gives its outcome without letting any time pass.
-fn at_once(fleet: &mut Fleet, number: usize, command: Command) -> Option<OperateOutcome> {
+fn at_once(fleet: &mut Fleet, number: usize, command: Command) -> Option<OperatorOutcome> {
     fleet.nodes[number].returned = None;
-    fleet.tell(number, ControlCall::Operate(Operate::Command(command)));
+    fleet.tell(number, ControlCall::Operate(OperatorRequest::Command(command)));
     fleet.nodes[number].returned.take()
 }
 
@@ -195,7 +195,7 @@
 }
 
 fn is_ask(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Request { .. }))
+    matches!(message, Message::Operate(OperatorMessage::Request { .. }))
 }
 
 #[test]
@@ -249,7 +249,7 @@
     with_two_storage_nodes(&mut fleet);
     let primary = fleet.primary().expect("a primary");
     fleet.network = |message| match message {
-        Message::Operate(OperateMessage::StillWaiting { .. }) => Fate::Waits,
+        Message::Operate(OperatorMessage::StillWaiting { .. }) => Fate::Waits,
         _ => Fate::Arrives,
     };
     fleet.storage = (1..=4).map(storage).collect();
@@ -267,17 +267,17 @@
     let primary = fleet.primary().expect("a primary");
     let (asking, other) = ((primary + 1) % 3, (primary + 2) % 3);
     fleet.network = |message| match message {
-        Message::Operate(OperateMessage::Response { .. }) => Fate::Waits,
+        Message::Operate(OperatorMessage::Response { .. }) => Fate::Waits,
         _ => Fate::Arrives,
     };
     assert_eq!(at_once(&mut fleet, asking, order(0, 3, "a")), None);
     fleet.network = |_| Fate::Arrives;
     let answer = fleet.late.pop().expect("an answer");
-    let Message::Operate(OperateMessage::Response { id, .. }) = answer.message else { panic!() };
+    let Message::Operate(OperatorMessage::Response { id, .. }) = answer.message else { panic!() };
     // Another node, or another life at the same address, answers an asking of the same number.
     for sender in [fleet.id(other), topazyard_types::NodeId(999)] {
-        let outcome = OperateOutcome::Done("wrong".into());
-        let message = Message::Operate(OperateMessage::Response { id, outcome });
+        let outcome = OperatorOutcome::Done("wrong".into());
+        let message = Message::Operate(OperatorMessage::Response { id, outcome });
         fleet.arrive(fleet::Frame { sender, message, ..answer.clone() });
         assert_eq!(fleet.nodes[asking].returned, None);
     }
@@ -311,7 +311,7 @@
     let mut winners = Vec::new();
     for number in 0..3 {
         let mark = marks[(number + turn) % 3];
-        if matches!(fleet.nodes[number].returned.take(), Some(OperateOutcome::Done(_))) {
+        if matches!(fleet.nodes[number].returned.take(), Some(OperatorOutcome::Done(_))) {
             winners.push(mark);
         }
     }
@@ -334,7 +334,7 @@
 }
 
 fn is_answer(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Response { .. }))
+    matches!(message, Message::Operate(OperatorMessage::Response { .. }))
 }
 
 fn stage_of(fleet: &Fleet, id: topazyard_types::NodeId) -> topazyard_wire::state::StorageStage {
@@ -454,7 +454,7 @@
     taken(fleet.command(0, whole(0, 1)));
     taken(fleet.command(1, removal(1, 5, "r1")));
     source_is(&mut fleet, 2, r#"{"items":[{"name":"r0"},{"name":"r2"}],"number":5}"#);
-    let Some(OperateOutcome::Done(read)) = fleet.query(0, Query::ReadConfiguration(None)) else {
+    let Some(OperatorOutcome::Done(read)) = fleet.query(0, Query::ReadConfiguration(None)) else {
         panic!("not read");
     };
     let read: serde_json::Value = serde_json::from_str(&read).expect("JSON");
--- a/programs/topazyard-relay/src/machine/counter.rs
+++ b/programs/topazyard-relay/src/machine/counter.rs
@@ -70,7 +70,7 @@
         let limit = known.map_or(Tokens(0), |pool| self.fleet.limit(pool));
         let part = match kind {
             HoldKind::Live | HoldKind::Block => limit,
-            HoldKind::Item => self.fleet.item_part(pool, limit),
+            HoldKind::Item => self.fleet.batch_share(pool, limit),
         };
         let expiry = match kind {
             HoldKind::Block => self.block_expiry,
