--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -12,14 +12,14 @@
 
 /// Sixteenths of the grace period after which runs of routed items are aborted, so that another
 /// relay resumes them.
-const RUNS_SIXTEENTHS: u64 = 12;
+const ITEM_RUNS_SIXTEENTHS: u64 = 12;
 /// Sixteenths of the grace period within which batch calls are answered; the rest is left for
 /// delivering the responses.
-const CALLS_SIXTEENTHS: u64 = 13;
+const BATCH_CALLS_SIXTEENTHS: u64 = 13;
 /// Sixteenths of the grace period during which the relay serves requests.
-const SERVES_SIXTEENTHS: u64 = 14;
+const SERVING_SIXTEENTHS: u64 = 14;
 /// Sixteenths of the grace period after which the process exits by itself, before it is killed.
-const ENDS_SIXTEENTHS: u64 = 15;
+const EXIT_SIXTEENTHS: u64 = 15;
 
 /// The phases of a drain, as offsets from SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,19 +44,21 @@
     /// use topazyard_relay::drain::DrainTimes;
     /// use topazyard_types::DurationMs;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// assert_eq!((times.deregistration_delay.0, times.serving.0, times.exit.0), (2_500, 7_000, 7_500));
-    /// // With little time it doesn't wait for half of it.
-    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).deregistration_delay.0, 700);
+    /// let phases = (times.deregistration_delay.0, times.serving.0, times.exit.0);
+    /// assert_eq!(phases, (2_500, 7_000, 7_500));
+    /// // With a short grace period the delay is limited to half of the serving time.
+    /// let times = DrainTimes::within(DurationMs(1_600), DurationMs(2_500));
+    /// assert_eq!(times.deregistration_delay.0, 700);
     /// ```
     pub fn within(grace: DurationMs, deregistration_delay: DurationMs) -> Self {
         let sixteenths = |count: u64| DurationMs(grace.0 * count / 16);
-        let serving = sixteenths(SERVES_SIXTEENTHS);
+        let serving = sixteenths(SERVING_SIXTEENTHS);
         Self {
             deregistration_delay: DurationMs(deregistration_delay.0.min(serving.0 / 2)),
-            item_runs: sixteenths(RUNS_SIXTEENTHS),
-            batch_calls: sixteenths(CALLS_SIXTEENTHS),
+            item_runs: sixteenths(ITEM_RUNS_SIXTEENTHS),
+            batch_calls: sixteenths(BATCH_CALLS_SIXTEENTHS),
             serving,
-            exit: sixteenths(ENDS_SIXTEENTHS),
+            exit: sixteenths(EXIT_SIXTEENTHS),
         }
     }
 }
@@ -64,45 +66,45 @@
 /// A drain in progress: its start and its phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draining {
-    begun: MonotonicMs,
+    started_at: MonotonicMs,
     times: DrainTimes,
 }
 
 impl Draining {
     /// Starts a drain now.
     pub fn start(times: DrainTimes, now: MonotonicMs) -> Self {
-        Self { begun: now, times }
+        Self { started_at: now, times }
     }
 
     /// The time since the drain started.
     pub fn elapsed(&self, now: MonotonicMs) -> DurationMs {
-        now.since(self.begun)
+        now.since(self.started_at)
     }
 
     /// When the remaining runs of routed items are aborted, so that their shards learn their
     /// progress in time.
     pub fn abort_runs_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.item_runs)
+        self.started_at.plus(self.times.item_runs)
     }
 
     /// The time by which batch calls are answered.
     pub fn batch_call_deadline(&self) -> MonotonicMs {
-        self.begun.plus(self.times.batch_calls)
+        self.started_at.plus(self.times.batch_calls)
     }
 
     /// The end of serving requests.
     pub fn serving_deadline(&self) -> MonotonicMs {
-        self.begun.plus(self.times.serving)
+        self.started_at.plus(self.times.serving)
     }
 
     /// When the process exits, whatever is under way.
     pub fn exit_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.exit)
+        self.started_at.plus(self.times.exit)
     }
 
     /// Until when clients may still be routed to this relay.
     pub fn deregistered_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.deregistration_delay)
+        self.started_at.plus(self.times.deregistration_delay)
     }
 
     /// The delay until the next check: until the stage may next change by time alone, at most
@@ -117,9 +119,9 @@
     /// assert_eq!((next(100), next(760), next(800), next(850)), (100, 40, 50, 0));
     /// ```
     pub fn next_check_delay(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
-        let moments = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
-        let next = moments.into_iter().filter(|moment| *moment > now).min();
-        next.map_or(DurationMs(0), |moment| moment.since(now).min(longest))
+        let transitions = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
+        let next = transitions.into_iter().filter(|at| *at > now).min();
+        next.map_or(DurationMs(0), |at| at.since(now).min(longest))
     }
 
     /// Whether a request with this deadline may be admitted: any request while clients are still
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -285,7 +285,7 @@
         let is_feed_recent = now.plus(MAX_FEED_AGE) < self.fresh_until().plus(MAX_SUBMIT_FEED_AGE);
         let Some(pending) = self.batches.pending.get_mut(&id) else { return };
         if let BatchCall::Submit { ceiling: current_ceiling, .. } = &mut pending.call {
-            // Sent only with the ceiling in force: the shard lets the batch wait on that ceiling.
+            // The shard keeps the batch waiting only while it is sent the ceiling in force.
             match ceiling.filter(|_| is_feed_recent) {
                 Some(ceiling) => *current_ceiling = ceiling,
                 None => return pending.send_at = now.plus(REFUSED_RETRY_INTERVAL),
--- a/programs/topazyard-relay/src/machine/counter.rs
+++ b/programs/topazyard-relay/src/machine/counter.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn counting_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+    pub(super) fn counter_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         let Some((_, epoch)) = self.primary_of(ShardId::COUNTER) else { return };
         let primary_changed = epoch != self.counter.epoch;
         self.counter.epoch = epoch;
--- a/programs/topazyard-relay/src/machine/engine_selection.rs
+++ b/programs/topazyard-relay/src/machine/engine_selection.rs
@@ -166,7 +166,7 @@
         let mut by_cost: Vec<(bool, f64, &Engine)> = ranked
             .into_iter()
             .enumerate()
-            .map(|(place, (_, engine))| (place < AFFINITY_ENGINES, self.cost(engine, now), engine))
+            .map(|(rank, (_, engine))| (rank < AFFINITY_ENGINES, self.cost(engine, now), engine))
             .collect();
         by_cost.sort_by(|(_, one, _), (_, other, _)| one.total_cmp(other));
         let cheapest = by_cost.first().map_or(0.0, |(_, cost, _)| *cost);
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -396,7 +396,7 @@
 
     fn tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         self.poll_feed(now, effects);
-        self.counting_tick(now, effects);
+        self.counter_tick(now, effects);
         self.admission_tick(now, effects);
         self.requests_tick(now, effects);
         self.engines_tick(now, effects);
@@ -468,8 +468,8 @@
                 self.end_request(id, engine_outcome, now, effects);
                 RelayResponse::Done
             }
-            RelayCall::ConnectionProbed(engine, reached) => {
-                self.engines.connection_probed(&engine, reached, now);
+            RelayCall::ConnectionProbed(engine, is_connected) => {
+                self.engines.connection_probed(&engine, is_connected, now);
                 RelayResponse::Done
             }
             RelayCall::DispatchPrompt(id, engine) => self.dispatch_prompt(id, &engine, now),
@@ -487,8 +487,8 @@
                 self.item_ended(run, end, now, effects);
                 RelayResponse::Done
             }
-            RelayCall::HealthChecked(engine, is_well) => {
-                self.engines.health_checked(engine, is_well, now);
+            RelayCall::HealthChecked(engine, is_healthy) => {
+                self.engines.health_checked(engine, is_healthy, now);
                 RelayResponse::Done
             }
             RelayCall::Drain(times) => RelayResponse::Draining(self.drain(times, now, effects)),
@@ -509,8 +509,8 @@
         now: MonotonicMs,
         effects: &mut Outputs,
     ) -> crate::drain::Draining {
-        let begun = crate::drain::Draining::start(times, now);
-        let draining = *self.draining.get_or_insert(begun);
+        let started = crate::drain::Draining::start(times, now);
+        let draining = *self.draining.get_or_insert(started);
         self.batches.limit_client_deadlines(draining.batch_call_deadline());
         self.drain_items(draining.abort_runs_at(), now, effects);
         draining
--- a/programs/topazyard-relay/src/prompt/state_machine.rs
+++ b/programs/topazyard-relay/src/prompt/state_machine.rs
@@ -2,9 +2,9 @@
 //! may be tried, which error the client gets, or that the client's connection must be closed.
 //!
 //! ```text
-//! Arrived -> Waiting -> Held -> Dispatched -> Relaying -> Whole
+//! Arrived -> Waiting -> Held -> Dispatched -> Relaying -> Completed
 //!    |          |        | ^        |             |
-//!    +----------+--------+-|--------+-> Refused   +-> Cut
+//!    +----------+--------+-|--------+-> Refused   +-> Interrupted
 //!                          +-- (another engine) --+
 //! ```
 
@@ -63,7 +63,7 @@
 
 /// Maximum attempts of a request without a route, and the minimum that any request has for engines
 /// that accept no connection.
-const MOST_TRIES: u32 = 3;
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
 /// The state machine of one request.
 #[derive(Debug)]
@@ -73,29 +73,30 @@
     /// Whether a response that has begun may be continued from another engine.
     resumable: bool,
     deadline: MonotonicMs,
-    most_tries: u32,
-    tries: u32,
-    unconnected: u32,
+    max_attempts: u32,
+    attempts: u32,
+    failed_connects: u32,
     /// Whether any attempt may have run.
-    sent: bool,
+    may_have_run: bool,
     /// Whether an attempt before the current one may have run.
-    sent_before: bool,
+    may_have_run_before: bool,
     /// Whether a response head was relayed.
-    begun: bool,
+    head_relayed: bool,
 }
 
 impl RequestStateMachine {
     /// A request that has just arrived.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction, State};
+    /// use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine, State};
     /// use topazyard_types::MonotonicMs;
     /// let mut state_machine = RequestStateMachine::arrived(false, MonotonicMs(1_000));
     /// state_machine.enqueue();
     /// state_machine.hold();
     /// state_machine.dispatch();
-    /// // Sent and not repeatable: never sent again, and never said not to have run.
-    /// let FailureAction::Respond(error) = state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)) else { panic!() };
+    /// // Sent and not repeatable: not retried, and reported as possibly run.
+    /// let action = state_machine.fail(Failure::ConnectionLost, MonotonicMs(10));
+    /// let FailureAction::Respond(error) = action else { panic!() };
     /// assert_eq!(error.ran, topazyard_wire::Execution::MayHaveRun);
     /// assert_eq!(state_machine.state(), State::Refused);
     /// ```
@@ -105,38 +106,41 @@
             repeatable,
             resumable: false,
             deadline,
-            most_tries: MOST_TRIES,
-            tries: 0,
-            unconnected: 0,
-            sent: false,
-            sent_before: false,
-            begun: false,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
+            attempts: 0,
+            failed_connects: 0,
+            may_have_run: false,
+            may_have_run_before: false,
+            head_relayed: false,
         }
     }
 
     /// A request admitted on a route; the route's settings decide about attempts.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction};
+    /// use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine};
     /// use topazyard_types::MonotonicMs;
     /// let mut state_machine = RequestStateMachine::on_route(true, true, 2, MonotonicMs(1_000));
     /// state_machine.enqueue();
     /// state_machine.hold();
     /// state_machine.dispatch();
     /// state_machine.start_relaying();
-    /// // A resumable stream that broke midway goes on elsewhere, once.
-    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::TryAnotherEngine);
+    /// // A resumable stream whose connection is lost is continued from another engine, once.
+    /// let now = MonotonicMs(10);
+    /// let action = state_machine.fail(Failure::ConnectionLost, now);
+    /// assert_eq!(action, FailureAction::TryAnotherEngine);
     /// state_machine.hold();
     /// state_machine.dispatch();
-    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::CloseConnection);
+    /// let action = state_machine.fail(Failure::ConnectionLost, now);
+    /// assert_eq!(action, FailureAction::CloseConnection);
     /// ```
     pub fn on_route(
         repeatable: bool,
         resumable: bool,
-        most_tries: u32,
+        max_attempts: u32,
         deadline: MonotonicMs,
     ) -> Self {
-        Self { resumable, most_tries, ..Self::arrived(repeatable, deadline) }
+        Self { resumable, max_attempts, ..Self::arrived(repeatable, deadline) }
     }
 
     /// The current state.
@@ -145,11 +149,11 @@
     }
 
     fn change(&mut self, from: &[State], to: State) {
-        let is_allowed = from.contains(&self.state);
-        invariants::check(is_allowed, Invariant::RequestFollowsItsChart, || {
+        let is_valid = from.contains(&self.state);
+        invariants::check(is_valid, Invariant::RequestFollowsItsChart, || {
             format!("from={:?} to={to:?}", self.state)
         });
-        debug_assert!(is_allowed, "{:?} -> {to:?}", self.state);
+        debug_assert!(is_valid, "{:?} -> {to:?}", self.state);
         self.state = to;
     }
 
@@ -160,28 +164,28 @@
 
     /// Holds its cost and has an engine.
     pub fn hold(&mut self) {
-        let before = [State::Waiting, State::Held, State::Dispatched, State::Relaying];
-        self.change(&before, State::Held);
+        let allowed_states = [State::Waiting, State::Held, State::Dispatched, State::Relaying];
+        self.change(&allowed_states, State::Held);
     }
 
     /// Its bytes are sent with the next step.
     pub fn dispatch(&mut self) {
-        self.tries += 1;
-        self.sent_before = self.sent;
-        self.sent = true;
+        self.attempts += 1;
+        self.may_have_run_before = self.may_have_run;
+        self.may_have_run = true;
         self.change(&[State::Held], State::Dispatched);
     }
 
     /// Takes the last dispatch back: the connection was closed before the first byte was sent.
     pub fn undo_dispatch(&mut self) {
-        self.tries -= 1;
-        self.sent = self.sent_before;
+        self.attempts -= 1;
+        self.may_have_run = self.may_have_run_before;
         self.change(&[State::Dispatched], State::Held);
     }
 
     /// The head of the response arrived and is relayed to the client.
     pub fn start_relaying(&mut self) {
-        self.begun = true;
+        self.head_relayed = true;
         self.change(&[State::Dispatched], State::Relaying);
     }
 
@@ -192,9 +196,9 @@
 
     /// Refuses the request with this error, marked as possibly run if any attempt may have run.
     pub fn refuse(&mut self, error: ApiError) -> ApiError {
-        let before = [State::Arrived, State::Waiting, State::Held, State::Dispatched];
-        self.change(&before, State::Refused);
-        if self.sent {
+        let allowed_states = [State::Arrived, State::Waiting, State::Held, State::Dispatched];
+        self.change(&allowed_states, State::Refused);
+        if self.may_have_run {
             ApiError { ran: topazyard_wire::Execution::MayHaveRun, ..error }
         } else {
             error
@@ -203,28 +207,28 @@
 
     /// Whether no other engine may be tried after this one.
     pub fn is_last_attempt(&self) -> bool {
-        self.tries >= self.most_tries
+        self.attempts >= self.max_attempts
     }
 
     /// How long to wait for the head of the response. A request that may be repeated leaves time
     /// for another attempt.
     pub fn timeout(&self, now: MonotonicMs) -> DurationMs {
         let left = self.deadline.since(now);
-        let last = !self.repeatable || self.tries >= self.most_tries;
-        if last { left } else { DurationMs(left.0 / 2) }
+        let is_last = !self.repeatable || self.attempts >= self.max_attempts;
+        if is_last { left } else { DurationMs(left.0 / 2) }
     }
 
     /// Whether a response head was relayed, so that the response can only be continued or cut off.
     pub fn has_relayed_head(&self) -> bool {
-        self.begun
+        self.head_relayed
     }
 
     /// Decides what a failure means in the current state.
     pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> FailureAction {
-        let in_time = now < self.deadline;
+        let before_deadline = now < self.deadline;
         match self.state {
-            State::Relaying | State::Dispatched if self.begun => {
-                if self.resumable && in_time && self.tries < self.most_tries {
+            State::Relaying | State::Dispatched if self.head_relayed => {
+                if self.resumable && before_deadline && self.attempts < self.max_attempts {
                     return FailureAction::TryAnotherEngine;
                 }
                 self.change(&[State::Relaying, State::Dispatched], State::Interrupted);
@@ -232,10 +236,10 @@
             }
             State::Dispatched => {
                 if failure == Failure::TurnedAway {
-                    self.sent = self.sent_before;
+                    self.may_have_run = self.may_have_run_before;
                 }
                 let may_repeat = self.repeatable || failure == Failure::TurnedAway;
-                if may_repeat && in_time && self.tries < self.most_tries {
+                if may_repeat && before_deadline && self.attempts < self.max_attempts {
                     return FailureAction::TryAnotherEngine;
                 }
                 let error = match failure {
@@ -249,11 +253,14 @@
                 FailureAction::Respond(self.refuse(error))
             }
             _ => {
-                self.unconnected += 1;
-                if in_time && self.unconnected + self.tries < self.most_tries.max(MOST_TRIES) {
+                self.failed_connects += 1;
+                if before_deadline
+                    && self.failed_connects + self.attempts
+                        < self.max_attempts.max(DEFAULT_MAX_ATTEMPTS)
+                {
                     return FailureAction::TryAnotherEngine;
                 }
-                if self.begun {
+                if self.head_relayed {
                     self.change(&[State::Held, State::Relaying], State::Interrupted);
                     return FailureAction::CloseConnection;
                 }
