--- a/programs/topazyard-relay/tests/admission.rs
+++ b/programs/topazyard-relay/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission as the relay's machine does it, with the others' words put in by hand.
+//! Admission by the relay's state machine, with the messages of the other nodes injected by the
+//! test.
 
 use topazyard_relay::drain::DrainTimes;
 use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId};
@@ -26,8 +27,8 @@
     machine: RelayMachine,
     now: MonotonicMs,
     last_call: u64,
-    returned: Vec<(CallId, RelayResponse)>,
-    asked: Vec<CounterBody>,
+    responses: Vec<(CallId, RelayResponse)>,
+    counter_requests: Vec<CounterBody>,
     feed_nonce: u64,
 }
 
@@ -40,14 +41,14 @@
             machine: RelayMachine::new(&start),
             now: MonotonicMs(86_400_000),
             last_call: 0,
-            returned: Vec::new(),
-            asked: Vec::new(),
+            responses: Vec::new(),
+            counter_requests: Vec::new(),
             feed_nonce: 0,
         };
         relay.tick(0);
-        relay.hear_feed();
+        relay.receive_feed();
         relay.tick(25);
-        relay.hear_lease();
+        relay.receive_renewal();
         relay
     }
 
@@ -55,14 +56,14 @@
         for effect in self.machine.step(input, self.now) {
             match effect {
                 Effect::Send { message: Message::Counter(message), .. } => {
-                    self.asked.push(message.body);
+                    self.counter_requests.push(message.body);
                 }
                 Effect::Send {
                     message: Message::Feed(FeedMessage::Request { nonce, .. }), ..
                 } => {
                     self.feed_nonce = nonce;
                 }
-                Effect::Return { call, value } => self.returned.push((call, value)),
+                Effect::Return { call, value } => self.responses.push((call, value)),
                 Effect::Start(RelayTask::CheckHealth(_))
                 | Effect::Send { .. }
                 | Effect::Note { .. } => {}
@@ -76,12 +77,18 @@
         self.step(Input::Tick);
     }
 
-    fn hear_feed(&mut self) {
-        self.hear_news(1, "m", topazyard_spec::EngineState::Ready);
+    fn receive_feed(&mut self) {
+        self.receive_configuration(1, "m", topazyard_spec::EngineState::Ready);
     }
 
-    /// Hears that the usual lane takes that model, and that the engine stands so.
-    fn hear_news(&mut self, sequence: u64, model: &str, state: topazyard_spec::EngineState) {
+    /// Receives a configuration whose second model route is for that model, and an engine in that
+    /// state.
+    fn receive_configuration(
+        &mut self,
+        sequence: u64,
+        model: &str,
+        state: topazyard_spec::EngineState,
+    ) {
         let text = r#"{"pools":[{"name":"main","limit_tokens":1000,"queue_depth":3}],"lanes":[
             {"name":"worth","kind":"live","models":["worth"],"pool":"main","value":9},
             {"name":"usual","kind":"live","models":["m"],"pool":"main"}]}"#;
@@ -112,7 +119,7 @@
         ];
         let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
         let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
-        let news = FeedMessage::Update {
+        let update = FeedMessage::Update {
             nonce: self.feed_nonce,
             position,
             content: UpdateContent::Snapshot(rows),
@@ -120,21 +127,21 @@
         self.step(Input::Frame {
             sender: NodeId(1),
             from: at(AGENT),
-            message: Message::Feed(news),
+            message: Message::Feed(update),
         });
     }
 
-    fn counter_says(&mut self, body: CounterBody) {
+    fn receive_counter(&mut self, body: CounterBody) {
         let message = Message::Counter(CounterMessage { epoch: Epoch(1), body });
         self.step(Input::Frame { sender: NodeId(2), from: at(COUNTER), message });
     }
 
-    fn hear_lease(&mut self) {
-        let number = self.asked.iter().rev().find_map(|body| match body {
+    fn receive_renewal(&mut self) {
+        let number = self.counter_requests.iter().rev().find_map(|body| match body {
             CounterBody::Renew { number, .. } => Some(*number),
             _ => None,
         });
-        self.counter_says(CounterBody::Renewed { number: number.expect("a renewal") });
+        self.receive_counter(CounterBody::Renewed { number: number.expect("a renewal was sent") });
     }
 
     fn call(&mut self, request: RelayCall) -> CallId {
@@ -144,7 +151,7 @@
         call
     }
 
-    fn allow_model(&mut self, id: u64, model: &str, wait_ms: u64) -> CallId {
+    fn admit_model(&mut self, id: u64, model: &str, wait_ms: u64) -> CallId {
         let prompt = Prompt {
             id: PromptId(id),
             model: model.into(),
@@ -155,98 +162,101 @@
         self.call(RelayCall::AdmitPrompt(prompt))
     }
 
-    fn allow(&mut self, id: u64, wait_ms: u64) -> CallId {
-        self.allow_model(id, "m", wait_ms)
+    fn admit(&mut self, id: u64, wait_ms: u64) -> CallId {
+        self.admit_model(id, "m", wait_ms)
     }
 
-    fn asked_holds(&self) -> Vec<HoldId> {
-        let holds = self.asked.iter().filter_map(|body| match body {
+    fn requested_holds(&self) -> Vec<HoldId> {
+        let holds = self.counter_requests.iter().filter_map(|body| match body {
             CounterBody::Add(hold) => Some(hold.id),
             _ => None,
         });
         holds.collect()
     }
 
-    fn returned(&self, call: CallId) -> Option<&RelayResponse> {
-        self.returned.iter().find(|(of, _)| *of == call).map(|(_, value)| value)
+    fn response(&self, call: CallId) -> Option<&RelayResponse> {
+        self.responses.iter().find(|(of, _)| *of == call).map(|(_, value)| value)
     }
 
     fn code(&self, call: CallId) -> Option<Code> {
-        match self.returned(call) {
+        match self.response(call) {
             Some(RelayResponse::Refused(error)) => Some(error.code),
             _ => None,
         }
     }
 
-    fn settle(&mut self, granted: bool) {
-        let id = *self.asked_holds().last().expect("an asking");
-        self.counter_says(CounterBody::Added { id, granted, engine: None });
+    fn decide_hold(&mut self, granted: bool) {
+        let id = *self.requested_holds().last().expect("a hold request");
+        self.receive_counter(CounterBody::Added { id, granted, engine: None });
     }
 }
 
 #[test]
-fn a_granted_prompt_may_be_sent_only_while_all_it_rests_on_is_fresh() {
+fn held_prompt_is_not_dispatched_on_a_stale_feed() {
     let mut relay = Relay::ready();
-    let call = relay.allow(1, 60_000);
-    relay.settle(true);
-    assert!(matches!(relay.returned(call), Some(RelayResponse::SendTo(_))));
+    let call = relay.admit(1, 60_000);
+    relay.decide_hold(true);
+    assert!(matches!(relay.response(call), Some(RelayResponse::SendTo(_))));
     let engine = EngineName::from("e1");
     let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), engine.clone()));
-    let Some(RelayResponse::SendBefore(until)) = relay.returned(call) else {
-        panic!("not allowed")
+    let Some(RelayResponse::SendBefore(until)) = relay.response(call) else {
+        panic!("not dispatched")
     };
     assert!(*until <= MonotonicMs(relay.now.0 + 2_000));
-    // It froze: nothing was heard meanwhile, and the first thing it does is to go on.
+    // The process was stopped: it received nothing meanwhile, and its first step is this call.
     relay.now.0 += 5_000;
     let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), engine));
     assert_eq!(relay.code(call), Some(Code::StaleFeed));
 }
 
 #[test]
-fn what_changed_since_it_was_held_is_seen_by_the_last_check() {
+fn dispatch_check_sees_changes_since_admission() {
     use topazyard_spec::EngineState::{Leaving, Ready};
     for (model, state, code) in [("other", Ready, Code::NoLane), ("m", Leaving, Code::NoEngine)] {
         let mut relay = Relay::ready();
-        relay.allow(1, 60_000);
-        relay.settle(true);
+        relay.admit(1, 60_000);
+        relay.decide_hold(true);
         relay.tick(300);
-        relay.hear_news(2, model, state);
+        relay.receive_configuration(2, model, state);
         let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), "e1".into()));
         assert_eq!(relay.code(call), Some(code));
     }
 }
 
 #[test]
-fn a_hold_is_released_once_whichever_way_its_prompt_ends() {
+fn hold_is_released_once_when_its_prompt_ends() {
     let mut relay = Relay::ready();
-    relay.allow(1, 60_000);
-    relay.settle(true);
+    relay.admit(1, 60_000);
+    relay.decide_hold(true);
     relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
     relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
-    let released = relay.asked.iter().filter(|b| matches!(b, CounterBody::Release(_))).count();
+    let released =
+        relay.counter_requests.iter().filter(|b| matches!(b, CounterBody::Release(_))).count();
     assert_eq!(released, 1);
 }
 
 #[test]
-fn a_grant_that_nobody_waits_for_is_given_back() {
+fn grant_without_a_waiting_prompt_is_released() {
     let mut relay = Relay::ready();
-    relay.allow(1, 60_000);
+    relay.admit(1, 60_000);
     relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
-    let before = relay.asked.len();
-    relay.settle(true);
-    assert!(relay.asked[before..].iter().any(|body| matches!(body, CounterBody::Release(_))));
+    let before = relay.counter_requests.len();
+    relay.decide_hold(true);
+    assert!(
+        relay.counter_requests[before..].iter().any(|body| matches!(body, CounterBody::Release(_)))
+    );
 }
 
 #[test]
-fn a_prompt_is_given_up_on_at_once_and_not_held_until_its_deadline() {
+fn prompt_without_budget_is_refused_long_before_its_deadline() {
     let mut relay = Relay::ready();
-    let call = relay.allow(1, 60_000);
+    let call = relay.admit(1, 60_000);
     let mut waited_ms = 0;
-    while relay.returned(call).is_none() && waited_ms < 60_000 {
-        relay.settle(false);
+    while relay.response(call).is_none() && waited_ms < 60_000 {
+        relay.decide_hold(false);
         relay.tick(50);
-        relay.hear_feed();
-        relay.hear_lease();
+        relay.receive_feed();
+        relay.receive_renewal();
         waited_ms += 50;
     }
     assert_eq!(relay.code(call), Some(Code::Budget));
@@ -254,59 +264,59 @@
 }
 
 #[test]
-fn a_deadline_that_has_passed_is_refused_before_the_counter_is_asked() {
+fn passed_deadline_is_refused_without_a_hold_request() {
     let mut relay = Relay::ready();
-    let call = relay.allow(1, 0);
+    let call = relay.admit(1, 0);
     assert_eq!(relay.code(call), Some(Code::Deadline));
-    assert!(relay.asked_holds().is_empty());
+    assert!(relay.requested_holds().is_empty());
 }
 
 #[test]
-fn an_queue_that_is_full_refuses() {
+fn full_queue_refuses() {
     let mut relay = Relay::ready();
-    let calls: Vec<CallId> = (1..=6).map(|id| relay.allow(id, 60_000)).collect();
+    let calls: Vec<CallId> = (1..=6).map(|id| relay.admit(id, 60_000)).collect();
     assert_eq!(relay.code(calls[5]), Some(Code::QueueFull));
 }
 
 #[test]
-fn when_room_is_short_what_is_worth_more_goes_first_and_equals_in_order() {
+fn higher_value_goes_first_when_budget_is_short() {
     let mut relay = Relay::ready();
-    relay.allow(1, 60_000);
-    relay.settle(false);
-    let usual = relay.allow(2, 60_000);
-    let worth = relay.allow_model(3, "worth", 60_000);
+    relay.admit(1, 60_000);
+    relay.decide_hold(false);
+    let usual = relay.admit(2, 60_000);
+    let valuable = relay.admit_model(3, "worth", 60_000);
     relay.tick(50);
-    relay.settle(true);
-    assert!(matches!(relay.returned(worth), Some(RelayResponse::SendTo(_))));
-    assert!(relay.returned(usual).is_none());
+    relay.decide_hold(true);
+    assert!(matches!(relay.response(valuable), Some(RelayResponse::SendTo(_))));
+    assert!(relay.response(usual).is_none());
 }
 
 #[test]
-fn a_model_without_a_lane_reaches_neither_counter_nor_engine() {
+fn model_without_a_model_route_is_refused_without_a_hold_request() {
     let mut relay = Relay::ready();
-    let call = relay.allow_model(1, "unmapped", 60_000);
+    let call = relay.admit_model(1, "unmapped", 60_000);
     assert_eq!(relay.code(call), Some(Code::NoLane));
-    assert!(relay.asked_holds().is_empty());
+    assert!(relay.requested_holds().is_empty());
 }
 
 #[test]
-fn a_relay_that_drains_takes_nothing_new_and_finishes_what_it_has() {
+fn draining_relay_refuses_new_prompts_and_dispatches_held_ones() {
     let mut relay = Relay::ready();
-    relay.allow(1, 60_000);
-    relay.settle(true);
+    relay.admit(1, 60_000);
+    relay.decide_hold(true);
     relay.call(RelayCall::Drain(DrainTimes::within(DurationMs(8_000), DurationMs(0))));
-    let call = relay.allow(2, 60_000);
+    let call = relay.admit(2, 60_000);
     assert_eq!(relay.code(call), Some(Code::Draining));
     let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), "e1".into()));
-    assert!(matches!(relay.returned(call), Some(RelayResponse::SendBefore(_))));
+    assert!(matches!(relay.response(call), Some(RelayResponse::SendBefore(_))));
 }
 
 #[test]
-fn an_answer_to_a_former_life_grants_nothing() {
+fn response_to_an_earlier_process_grants_nothing() {
     let mut relay = Relay::ready();
-    let call = relay.allow(1, 60_000);
+    let call = relay.admit(1, 60_000);
     for id in 0..50 {
-        relay.counter_says(CounterBody::Added { id: HoldId(id), granted: true, engine: None });
+        relay.receive_counter(CounterBody::Added { id: HoldId(id), granted: true, engine: None });
     }
-    assert!(relay.returned(call).is_none());
+    assert!(relay.response(call).is_none());
 }
--- a/programs/topazyard-relay/tests/invariants.rs
+++ b/programs/topazyard-relay/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant that the relay checks, seen violated.
+//! Each invariant that the relay checks is violated once.
 
 use topazyard_relay::front::ended::{Unanswered, check_all_answered};
 use topazyard_relay::prompt::{RequestStateMachine, State};
@@ -6,7 +6,7 @@
 use topazyard_wire::invariants::{Invariant, violations};
 
 #[test]
-fn a_request_that_leaves_its_chart_is_a_violation() {
+fn invalid_state_transition_is_a_violation() {
     let mut state_machine = RequestStateMachine::on_route(false, false, 1, MonotonicMs(1_000));
     state_machine.enqueue();
     state_machine.hold();
@@ -17,7 +17,7 @@
         (state_machine.state(), violations(Invariant::RequestFollowsItsChart)),
         (State::Completed, 0)
     );
-    // It ended: a second end panics in debug builds, and is counted in every build.
+    // The request has ended: a second end panics in debug builds and is counted in every build.
     let ended_again =
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| state_machine.complete()));
     assert_eq!(ended_again.is_err(), cfg!(debug_assertions));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_without_a_response_at_the_end_is_a_violation() {
+fn request_without_a_response_at_exit_is_a_violation() {
     let unanswered = Unanswered::begin();
     check_all_answered();
     assert_eq!(violations(Invariant::AnsweredBeforeEnd), 1);
--- a/programs/topazyard-relay/tests/metrics.rs
+++ b/programs/topazyard-relay/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a relay tells in its metrics.
+//! The metrics of a relay.
 
 use topazyard_relay::drain::DrainTimes;
 use topazyard_relay::machine::RelayHealth;
@@ -17,12 +17,12 @@
 }
 
 fn health(relay: &mut RelayMachine, now: MonotonicMs) -> RelayHealth {
-    let asked = Input::Call { call: CallId(1), request: RelayCall::Health };
-    let health = relay.step(asked, now).into_iter().find_map(|effect| match effect {
+    let call = Input::Call { call: CallId(1), request: RelayCall::Health };
+    let health = relay.step(call, now).into_iter().find_map(|effect| match effect {
         Effect::Return { value: RelayResponse::Health(health), .. } => Some(*health),
         _ => None,
     });
-    health.expect("its health")
+    health.expect("the health")
 }
 
 fn text(health: RelayHealth, stage: Stage) -> String {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_relay_tells_what_is_under_way_and_how_it_drains() {
+fn metrics_show_work_under_way_and_the_drain() {
     let mut relay = relay();
     let serving = text(health(&mut relay, STARTED), Stage::Serving);
     for work in ["waiting", "holding", "items", "batch_calls"] {
--- a/programs/topazyard-relay/tests/reading.rs
+++ b/programs/topazyard-relay/tests/reading.rs
@@ -1,12 +1,12 @@
-//! Clients' requests: whatever they hold, the field at fault is named.
+//! Parsing of client requests: whatever they contain, the malformed field is named.
 
 use topazyard_relay::front::{batches::items_of, read::read};
 use topazyard_types::{DurationMs, Tokens};
 use topazyard_wire::api::Code;
 
-fn head(replicas: &[(&'static str, &str)]) -> hyper::HeaderMap {
+fn head(pairs: &[(&'static str, &str)]) -> hyper::HeaderMap {
     let mut head = hyper::HeaderMap::new();
-    for (name, value) in replicas {
+    for (name, value) in pairs {
         head.insert(*name, value.parse().expect("a header value"));
     }
     head
@@ -15,7 +15,7 @@
 const BODY: &[u8] = br#"{"inputs":"one two","parameters":{"max_new_tokens":8}}"#;
 
 #[test]
-fn facts_come_from_headers_and_the_greater_count_goes() {
+fn headers_are_parsed_and_the_greater_token_count_applies() {
     let head = head(&[
         ("topazyard-model", "m"),
         ("topazyard-token-count", "90"),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn each_malformed_part_is_named() {
+fn malformed_headers_and_bodies_are_named() {
     for (name, value) in [
         ("topazyard-token-count", "many"),
         ("topazyard-time-remaining", "-1"),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn any_headers_and_body_are_read_or_refused() {
+fn arbitrary_headers_and_bodies_are_parsed_or_refused() {
     bolero::check!().with_type::<(Vec<u8>, Vec<u8>, Vec<u8>)>().with_iterations(3_000).for_each(
         |(model, count, body)| {
             let mut head = hyper::HeaderMap::new();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_item_with_a_bad_body_is_named_by_its_number() {
+fn malformed_item_body_is_named_by_its_index() {
     let text = br#"{"items":[{"model":"m","body":{"inputs":"a"}},{"model":"m","body":{}}]}"#;
     assert_eq!(items_of(text).unwrap_err().field.as_deref(), Some("items[1].body"));
 }
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -1,5 +1,5 @@
-//! Batches of routed items as the relay's machine hands them in and runs them, with the others'
-//! words put in by hand.
+//! Batches of routed items as the relay's state machine submits and runs them, with the messages of
+//! the other nodes injected by the test.
 
 use topazyard_relay::drain::DrainTimes;
 use topazyard_relay::front::items::{Events, OutOfOrder};
@@ -41,9 +41,9 @@
     released: Vec<HoldId>,
     renewals: Vec<u64>,
     calls: Vec<(u64, BatchCall)>,
-    returned: Vec<(CallId, RelayResponse)>,
+    responses: Vec<(CallId, RelayResponse)>,
     runs: Vec<RoutedRun>,
-    /// The primary of the shard with the batch and its epoch, as the feed says.
+    /// The primary of the batch's shard and its epoch, according to the feed.
     shard: u16,
     epoch: Epoch,
 }
@@ -62,15 +62,15 @@
             released: Vec::new(),
             renewals: Vec::new(),
             calls: Vec::new(),
-            returned: Vec::new(),
+            responses: Vec::new(),
             runs: Vec::new(),
             shard: SHARD,
             epoch: Epoch(1),
         };
         relay.tick(0);
-        relay.hear_feed(1, true);
+        relay.receive_feed(1, true);
         relay.tick(25);
-        relay.hear_lease();
+        relay.receive_renewal();
         relay
     }
 
@@ -94,7 +94,7 @@
                         self.calls.push((message.call, call));
                     }
                 }
-                Effect::Return { call, value } => self.returned.push((call, value)),
+                Effect::Return { call, value } => self.responses.push((call, value)),
                 Effect::Start(RelayTask::RunRoutedItem(run)) => self.runs.push(*run),
                 _ => {}
             }
@@ -106,12 +106,12 @@
         self.step(Input::Tick);
     }
 
-    fn hear(&mut self, port: u16, message: Message) {
+    fn receive(&mut self, port: u16, message: Message) {
         self.step(Input::Frame { sender: NodeId(u64::from(port)), from: at(port), message });
     }
 
-    /// Hears of the engine, the shards and, maybe, the route.
-    fn hear_feed(&mut self, sequence: u64, with_route: bool) {
+    /// Receives the engine, the shards and, with `with_route`, the route.
+    fn receive_feed(&mut self, sequence: u64, with_route: bool) {
         let text = r#"{"pools":[{"name":"main","limit_tokens":1000}],"lanes":[
             {"name":"usual","kind":"live","models":["m"],"pool":"main"}]}"#;
         let route = format!(
@@ -150,38 +150,38 @@
         }
         let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
         let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
-        let news = FeedMessage::Update {
+        let update = FeedMessage::Update {
             nonce: self.feed_nonce,
             position,
             content: UpdateContent::Snapshot(rows),
         };
-        self.hear(AGENT, Message::Feed(news));
+        self.receive(AGENT, Message::Feed(update));
     }
 
-    fn hear_counter(&mut self, body: CounterBody) {
-        self.hear(COUNTER, Message::Counter(CounterMessage { epoch: Epoch(1), body }));
+    fn receive_counter(&mut self, body: CounterBody) {
+        self.receive(COUNTER, Message::Counter(CounterMessage { epoch: Epoch(1), body }));
     }
 
-    fn hear_lease(&mut self) {
-        let number = *self.renewals.last().expect("the lease is asked for");
-        self.hear_counter(CounterBody::Renewed { number });
+    fn receive_renewal(&mut self) {
+        let number = *self.renewals.last().expect("a renewal was sent");
+        self.receive_counter(CounterBody::Renewed { number });
     }
 
-    fn hear_shard(&mut self, call: u64, value: BatchResponse) {
-        self.hear_shard_of(self.epoch, call, value);
+    fn receive_shard(&mut self, call: u64, value: BatchResponse) {
+        self.receive_shard_in_epoch(self.epoch, call, value);
     }
 
-    fn hear_shard_of(&mut self, epoch: Epoch, call: u64, value: BatchResponse) {
+    fn receive_shard_in_epoch(&mut self, epoch: Epoch, call: u64, value: BatchResponse) {
         let body = BatchBody::Response(value);
         let message = BatchMessage { shard: batch().shard, epoch, call, body };
-        self.hear(SHARD, Message::Batch(message));
+        self.receive(SHARD, Message::Batch(message));
     }
 
-    /// The shard with the batch has another primary.
+    /// The batch's shard gets another primary.
     fn move_shard(&mut self) {
         self.tick(200);
         (self.shard, self.epoch) = (SHARD + 1, Epoch(2));
-        self.hear_feed(2, true);
+        self.receive_feed(2, true);
     }
 
     fn call(&mut self, request: RelayCall) {
@@ -194,19 +194,19 @@
         self.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
     }
 
-    fn last_return(&self) -> &RelayResponse {
-        &self.returned.last().expect("it is answered").1
+    fn last_response(&self) -> &RelayResponse {
+        &self.responses.last().expect("a response").1
     }
 
     fn last_code(&self) -> Option<Code> {
-        match self.last_return() {
+        match self.last_response() {
             RelayResponse::Refused(ApiError { code, .. }) => Some(*code),
             _ => None,
         }
     }
 
-    /// The call under which the shard was asked for items last.
-    fn asked_lease(&self) -> (u64, u32) {
+    /// The last lease request: its call id and its maximum number of items.
+    fn last_lease_request(&self) -> (u64, u32) {
         let lease = self.calls.iter().rev().find_map(|(call, body)| match body {
             BatchCall::Lease { most, models, routes } => {
                 assert!(models.is_empty() && *routes == ["r".into()]);
@@ -214,19 +214,23 @@
             }
             _ => None,
         });
-        lease.expect("items are asked for")
+        lease.expect("a lease request")
     }
 
-    /// Leases an item and lets it have its cost.
-    fn run_one(&mut self) -> Run {
+    /// Leases an item to the relay and grants its hold.
+    fn start_item(&mut self) -> Run {
         let run = Run { batch: batch(), item: ItemNumber(0), lease: 5 };
-        let (call, _) = self.asked_lease();
+        let (call, _) = self.last_lease_request();
         let route = Some(("r".into(), HOST.to_owned()));
         let progress = Progress { last_event: Some(3), text: "so far".to_owned() };
         let leased = LeasedItem { run, item: item(), route, progress };
-        self.hear_shard(call, BatchResponse::Leased(vec![leased]));
+        self.receive_shard(call, BatchResponse::Leased(vec![leased]));
         if let Some(id) = self.holds.last().copied() {
-            self.hear_counter(CounterBody::Added { id, granted: true, engine: Some("e1".into()) });
+            self.receive_counter(CounterBody::Added {
+                id,
+                granted: true,
+                engine: Some("e1".into()),
+            });
         }
         run
     }
@@ -259,12 +263,12 @@
 }
 
 #[test]
-fn a_leased_item_runs_with_its_hold_and_without_a_recorded_start() {
+fn leased_item_runs_with_its_hold_and_without_a_recorded_start() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    assert_eq!(relay.asked_lease().1, 6, "of 64 places a relay leases a part of a part");
-    let run = relay.run_one();
-    let started = relay.runs.first().expect("it runs");
+    assert_eq!(relay.last_lease_request().1, 6, "a quarter of the maximum of 24 items");
+    let run = relay.start_item();
+    let started = relay.runs.first().expect("the item runs");
     assert_eq!((started.run, started.host.as_str()), (run, HOST));
     assert_eq!(started.progress.last_event, Some(3));
     assert!(!relay.calls.iter().any(|(_, call)| matches!(call, BatchCall::Start(_))));
@@ -278,117 +282,118 @@
 }
 
 #[test]
-fn an_item_is_not_sent_later_than_an_ended_batch_allows() {
+fn item_is_not_sent_after_the_cancel_bound() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let asked = relay.now;
-    let run = relay.run_one();
+    let requested_at = relay.now;
+    let run = relay.start_item();
     relay.call(RelayCall::DispatchItem(run, EngineName("e1".to_owned())));
-    let RelayResponse::SendBefore(until) = relay.last_return() else { panic!("it may go") };
-    assert!(*until < asked.plus(CANCEL), "{until:?}");
+    let RelayResponse::SendBefore(until) = relay.last_response() else { panic!("not dispatched") };
+    assert!(*until < requested_at.plus(CANCEL), "{until:?}");
 }
 
 #[test]
-fn an_item_whose_route_went_is_handed_back() {
+fn item_of_a_removed_route_is_handed_back() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let asked = relay.asked_lease();
+    let requested = relay.last_lease_request();
     relay.tick(500);
-    relay.hear_feed(2, false);
-    assert_eq!(relay.asked_lease(), asked);
-    relay.run_one();
+    relay.receive_feed(2, false);
+    assert_eq!(relay.last_lease_request(), requested);
+    relay.start_item();
     assert!(relay.runs.is_empty());
     assert_eq!(relay.finished(), Some(&RunEnd::NotRun));
 }
 
 #[test]
-fn an_item_whose_route_goes_while_it_connects_is_not_sent() {
+fn item_is_not_sent_when_its_route_is_removed_while_it_connects() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let run = relay.run_one();
+    let run = relay.start_item();
     relay.tick(500);
-    relay.hear_feed(2, false);
+    relay.receive_feed(2, false);
     relay.call(RelayCall::DispatchItem(run, EngineName("e1".to_owned())));
     assert_eq!(relay.last_code(), Some(Code::NoLane));
 }
 
 #[test]
-fn a_batch_goes_to_its_shard_with_the_ceiling_in_force() {
+fn batch_is_submitted_with_the_ceiling_in_force() {
     let mut relay = Relay::ready();
     relay.submit();
-    let (call, body) = relay.calls.last().cloned().expect("it is sent");
+    let (call, body) = relay.calls.last().cloned().expect("the batch is sent");
     let BatchCall::SubmitRouted(routed) = body else { panic!("{body:?}") };
     assert_eq!((routed.ceiling, routed.terms.max_attempts), (Tokens(700), 2));
-    let standing =
+    let status =
         BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
-    relay.hear_shard(call, BatchResponse::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayResponse::Batch(BatchResponse::Accepted(_))));
+    relay.receive_shard(call, BatchResponse::Accepted(status));
+    assert!(matches!(relay.last_response(), RelayResponse::Batch(BatchResponse::Accepted(_))));
 }
 
 #[test]
-fn a_batch_that_does_not_fit_is_refused_and_one_of_unknown_fate_is_not() {
+fn batch_above_the_ceiling_gets_429_and_one_with_unknown_outcome_504() {
     let mut relay = Relay::ready();
     relay.submit();
-    let call = relay.calls.last().expect("it is sent").0;
-    relay.hear_shard(call, BatchResponse::CeilingReached);
+    let call = relay.calls.last().expect("the batch is sent").0;
+    relay.receive_shard(call, BatchResponse::CeilingReached);
     assert_eq!(relay.last_code().map(Code::status), Some(429));
     relay.submit();
     relay.tick(1_000);
-    assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been taken");
+    assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been accepted");
 }
 
-// Else a batch that its shard's primary left unanswered as it ended is answered by nobody.
+// Guards against a batch that is never answered because its shard's primary exited without a
+// response.
 #[test]
-fn a_batch_whose_shard_moves_is_handed_in_at_its_new_primary() {
+fn batch_is_resubmitted_to_the_new_primary_of_its_shard() {
     let mut relay = Relay::ready();
     relay.submit();
-    let first = relay.calls.last().expect("it is sent").clone();
+    let first = relay.calls.last().expect("the batch is sent").clone();
     relay.move_shard();
     relay.tick(400);
-    let again = relay.calls.last().expect("it is sent again").clone();
+    let again = relay.calls.last().expect("the batch is sent again").clone();
     assert_eq!(again, first, "the same call, to the new primary");
-    let standing =
+    let status =
         BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
-    relay.hear_shard(again.0, BatchResponse::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayResponse::Batch(BatchResponse::Accepted(_))));
+    relay.receive_shard(again.0, BatchResponse::Accepted(status));
+    assert!(matches!(relay.last_response(), RelayResponse::Batch(BatchResponse::Accepted(_))));
 }
 
-// Else a client is promised that nothing runs of a batch that the new primary takes.
+// Guards against telling a client that nothing of a batch runs when the new primary accepts it.
 #[test]
-fn a_former_primarys_refusal_says_nothing_of_a_batch_that_was_sent_to_its_successor() {
+fn refusal_by_a_former_primary_is_ignored_after_resubmission() {
     let mut relay = Relay::ready();
     relay.submit();
-    let call = relay.calls.last().expect("it is sent").0;
+    let call = relay.calls.last().expect("the batch is sent").0;
     relay.move_shard();
     relay.tick(400);
-    let answered = relay.returned.len();
-    relay.hear_shard_of(Epoch(1), call, BatchResponse::CeilingReached);
-    assert_eq!(relay.returned.len(), answered, "its successor may take it");
-    relay.hear_shard_of(Epoch(2), call, BatchResponse::CeilingReached);
+    let response_count = relay.responses.len();
+    relay.receive_shard_in_epoch(Epoch(1), call, BatchResponse::CeilingReached);
+    assert_eq!(relay.responses.len(), response_count, "its successor may still accept the batch");
+    relay.receive_shard_in_epoch(Epoch(2), call, BatchResponse::CeilingReached);
     assert_eq!(relay.last_code().map(Code::status), Some(429));
 }
 
 #[test]
-fn a_batch_whose_route_goes_before_it_was_sent_is_surely_not_taken() {
+fn batch_whose_route_is_removed_before_submission_is_refused() {
     let mut relay = Relay::ready();
-    // Its shard is not heard of lately enough: it waits here.
+    // The feed is not recent enough for a submission: the batch waits here.
     relay.tick(1_000);
     relay.submit();
     assert!(!relay.calls.iter().any(|(_, call)| matches!(call, BatchCall::SubmitRouted(_))));
-    relay.hear_feed(2, false);
+    relay.receive_feed(2, false);
     relay.tick(1_000);
     assert_eq!(relay.last_code().map(Code::status), Some(503));
 }
 
 #[test]
-fn a_batch_is_handed_in_only_on_a_route_that_is_there() {
+fn batch_on_an_unknown_route_is_refused() {
     let mut relay = Relay::ready();
     let limit = DurationMs(1_000);
     relay.call(RelayCall::SubmitRoutedBatch(batch(), "other".into(), vec![item()], limit));
     assert_eq!(relay.last_code(), Some(Code::NoLane));
 }
 
-/// The relay's bounds: how long it may take to end.
+/// The grace period of a relay's shutdown.
 fn grace() -> u64 {
     topazyard_spec::Bounds::default().grace.0
 }
@@ -401,50 +406,50 @@
 
     fn is_under_way(&mut self) -> bool {
         self.call(RelayCall::Health);
-        match self.last_return() {
+        match self.last_response() {
             RelayResponse::Health(health) => health.under_way(),
             other => panic!("{other:?}"),
         }
     }
 
-    /// Lets time go by while the agent still brings news, tick by tick.
-    fn pass(&mut self, ms: u64) {
+    /// Advances time in ticks with feed updates.
+    fn advance(&mut self, ms: u64) {
         for sequence in 0..ms / 200 {
-            self.hear_feed(10 + self.now.0 + sequence, true);
+            self.receive_feed(10 + self.now.0 + sequence, true);
             for _ in 0..8 {
                 self.tick(25);
             }
         }
     }
 
-    fn lease_without_room(&mut self) -> Run {
+    fn lease_without_grant(&mut self) -> Run {
         let run = Run { batch: batch(), item: ItemNumber(0), lease: 5 };
-        let (call, _) = self.asked_lease();
+        let (call, _) = self.last_lease_request();
         let route = Some(("r".into(), HOST.to_owned()));
         let leased = LeasedItem { run, item: item(), route, progress: Progress::default() };
-        self.hear_shard(call, BatchResponse::Leased(vec![leased]));
+        self.receive_shard(call, BatchResponse::Leased(vec![leased]));
         run
     }
 }
 
-// Else items are leased to a relay that has ended, and wait for the end of their leases.
+// Guards against items leased to a relay that has exited, which wait for their leases to expire.
 #[test]
-fn a_relay_ends_only_after_it_heard_what_was_leased_to_it() {
+fn relay_waits_for_pending_lease_responses_before_it_exits() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let (call, _) = relay.asked_lease();
+    let (call, _) = relay.last_lease_request();
     relay.drain();
-    assert!(relay.is_under_way(), "items may be on their way here");
-    relay.hear_shard(call, BatchResponse::Leased(Vec::new()));
+    assert!(relay.is_under_way(), "items may already be leased to this relay");
+    relay.receive_shard(call, BatchResponse::Leased(Vec::new()));
     assert!(!relay.is_under_way());
 }
 
-// Else an item waits for the end of its lease, or is begun by a relay that ends.
+// Guards against an item that waits for its lease to expire, or is started by a draining relay.
 #[test]
-fn an_item_that_waits_for_room_is_handed_back_as_the_relay_drains() {
+fn item_waiting_for_budget_is_handed_back_on_drain() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    relay.lease_without_room();
+    relay.lease_without_grant();
     assert_eq!((relay.holds.len(), relay.finished()), (1, None));
     relay.drain();
     assert_eq!(relay.finished(), Some(&RunEnd::NotRun));
@@ -452,31 +457,32 @@
 }
 
 #[test]
-fn items_leased_to_a_relay_that_drains_are_handed_back() {
+fn items_leased_to_a_draining_relay_are_handed_back() {
     let mut relay = Relay::ready();
     relay.tick(25);
     relay.drain();
-    relay.lease_without_room();
+    relay.lease_without_grant();
     assert_eq!(relay.finished(), Some(&RunEnd::NotRun));
     assert!(relay.runs.is_empty() && relay.released == relay.holds);
 }
 
 #[test]
-fn an_item_that_still_connects_is_not_sent_by_a_relay_that_drains() {
+fn connecting_item_is_not_sent_by_a_draining_relay() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let run = relay.run_one();
+    let run = relay.start_item();
     relay.drain();
     relay.call(RelayCall::DispatchItem(run, EngineName("e1".to_owned())));
     assert_eq!(relay.last_code(), Some(Code::Draining));
 }
 
-// Else the result of a run that ended just before its relay is lost with it, and the item runs again.
+// Guards against losing the result of a run that ended just before its relay exited, so that the
+// item runs again.
 #[test]
-fn a_relay_ends_only_after_the_end_of_a_run_was_noted() {
+fn relay_waits_for_acknowledged_run_ends_before_it_exits() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let run = relay.run_one();
+    let run = relay.start_item();
     relay.drain();
     assert!(relay.is_under_way());
     let done = RunEnd::StreamComplete { text: "x".to_owned() };
@@ -485,41 +491,41 @@
         done.clone(),
         EngineOutcome::Completed(DurationMs(9)),
     ));
-    assert!(relay.is_under_way(), "the shard may not have heard of it");
-    let told = relay.calls.iter().rev().find_map(|(call, body)| match body {
+    assert!(relay.is_under_way(), "the shard may not have received it");
+    let report = relay.calls.iter().rev().find_map(|(call, body)| match body {
         BatchCall::Finish(_, end) if *end == done => Some(*call),
         _ => None,
     });
-    relay.hear_shard(told.expect("it is told"), BatchResponse::Acknowledged);
+    relay.receive_shard(report.expect("the end is reported"), BatchResponse::Acknowledged);
     assert!(!relay.is_under_way());
 }
 
-// Else a read that comes late in a drain, or a call that came before it, is cut by the process's end.
+// Guards against a call before or late in a drain that is cut off when the process exits.
 #[test]
-fn a_batch_call_is_answered_before_a_draining_relay_ends() {
-    for late in [0, grace() / 2, grace() * 3 / 4, grace() * 13 / 16] {
+fn batch_call_is_answered_before_a_draining_relay_exits() {
+    for delay in [0, grace() / 2, grace() * 3 / 4, grace() * 13 / 16] {
         let mut relay = Relay::ready();
         let read = BatchCall::RoutedResults { batch: batch(), after: 0 };
         relay.drain();
-        relay.pass(late / 200 * 200);
-        relay.returned.clear();
-        // The limit is a client's that waits longer than the process lives.
+        relay.advance(delay / 200 * 200);
+        relay.responses.clear();
+        // The timeout of a client that waits longer than the process lives.
         relay.call(RelayCall::Batch(read, DurationMs(grace())));
-        let left = (grace() * 27 / 32).saturating_sub(late);
-        relay.pass(left);
-        assert_eq!(relay.last_code().map(Code::status), Some(503), "{late} ms after the signal");
+        let remaining = (grace() * 27 / 32).saturating_sub(delay);
+        relay.advance(remaining);
+        assert_eq!(relay.last_code().map(Code::status), Some(503), "{delay} ms after SIGTERM");
     }
 }
 
 #[test]
-fn a_batch_that_was_sent_before_the_signal_is_answered_before_the_relay_ends() {
+fn batch_sent_before_sigterm_is_answered_before_the_relay_exits() {
     let mut relay = Relay::ready();
     let (items, limit) = (vec![item()], DurationMs(grace()));
     relay.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
     relay.drain();
-    relay.returned.clear();
-    relay.pass(grace() * 27 / 32);
-    assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been taken");
+    relay.responses.clear();
+    relay.advance(grace() * 27 / 32);
+    assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been accepted");
 }
 
 fn events(pieces: &[&str], so_far: Progress) -> Result<Option<String>, OutOfOrder> {
@@ -531,12 +537,15 @@
 }
 
 #[test]
-fn a_text_is_whole_only_if_its_events_follow_on_each_other() {
+fn text_is_complete_only_with_consecutive_events() {
     let fresh = Progress::default;
-    let whole = |text: &str| Ok(Some(text.to_owned()));
-    assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"], fresh()), whole("a\nb"));
-    assert_eq!(events(&["id:0\r\nda", "ta:a\r\n\r", "\n"], fresh()), whole("a"));
-    assert_eq!(events(&["some-version: 4\nid: 1\ndata: a\ndata: b\n\n"], fresh()), whole("a\nb"));
+    let complete = |text: &str| Ok(Some(text.to_owned()));
+    assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"], fresh()), complete("a\nb"));
+    assert_eq!(events(&["id:0\r\nda", "ta:a\r\n\r", "\n"], fresh()), complete("a"));
+    assert_eq!(
+        events(&["some-version: 4\nid: 1\ndata: a\ndata: b\n\n"], fresh()),
+        complete("a\nb")
+    );
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 3\ndata: b\n\n"], fresh()), Err(OutOfOrder));
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 1\ndata: a\n\n"], fresh()), Err(OutOfOrder));
     assert_eq!(events(&["id: 2\ndata: a\n\n"], fresh()), Err(OutOfOrder));
@@ -547,19 +556,20 @@
 }
 
 #[test]
-fn a_resumed_text_joins_only_at_the_event_after_the_last() {
+fn resumed_text_continues_at_the_event_after_the_last() {
     let so_far = || Progress { last_event: Some(2), text: "a\nb".to_owned() };
     assert_eq!(events(&["id: 3\ndata: c\n\n"], so_far()), Ok(Some("a\nb\nc".to_owned())));
     assert_eq!(events(&["id: 1\ndata: a\n\n"], so_far()), Err(OutOfOrder));
     assert_eq!(events(&["id: 4\ndata: d\n\n"], so_far()), Err(OutOfOrder));
 }
 
-// Else a relay keeps items from others, and asks for each in a loop, while there is no room.
+// Guards against a relay that keeps items from other relays, and requests a hold for each in a
+// loop, while there is no budget.
 #[test]
-fn while_there_is_no_room_fewer_items_are_leased_and_one_at_a_time_asks() {
+fn without_budget_fewer_items_are_leased_and_one_at_a_time_requests_a_hold() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let (call, most) = relay.asked_lease();
+    let (call, most) = relay.last_lease_request();
     assert_eq!(most, 6);
     let leased = |number| LeasedItem {
         run: Run { batch: batch(), item: ItemNumber(number), lease: u64::from(number) },
@@ -567,19 +577,19 @@
         route: Some(("r".into(), HOST.to_owned())),
         progress: Progress::default(),
     };
-    relay.hear_shard(call, BatchResponse::Leased((0..6).map(leased).collect()));
-    let asked = relay.holds.clone();
-    assert_eq!(asked.len(), 6, "what is leased asks at once");
-    for id in asked {
-        relay.hear_counter(CounterBody::Added { id, granted: false, engine: None });
+    relay.receive_shard(call, BatchResponse::Leased((0..6).map(leased).collect()));
+    let requested = relay.holds.clone();
+    assert_eq!(requested.len(), 6, "leased items request holds at once");
+    for id in requested {
+        relay.receive_counter(CounterBody::Added { id, granted: false, engine: None });
     }
     relay.tick(25);
     assert_eq!(relay.holds.len(), 6);
     relay.tick(25);
-    assert_eq!(relay.holds.len(), 7, "the one that waits longest asks again");
-    let id = *relay.holds.last().expect("it asked");
-    relay.hear_counter(CounterBody::Added { id, granted: true, engine: Some("e1".into()) });
+    assert_eq!(relay.holds.len(), 7, "the item that has waited longest requests a hold again");
+    let id = *relay.holds.last().expect("a hold request");
+    relay.receive_counter(CounterBody::Added { id, granted: true, engine: Some("e1".into()) });
     assert_eq!(relay.runs.len(), 1);
-    assert_eq!(relay.holds.len(), 9, "a grant lets two more ask");
-    assert_eq!(relay.asked_lease().0, call, "those that wait are as many as may");
+    assert_eq!(relay.holds.len(), 9, "a grant lets two more items request holds");
+    assert_eq!(relay.last_lease_request().0, call, "the window for waiting items is full");
 }
--- a/programs/topazyard-relay/tests/state_machine.rs
+++ b/programs/topazyard-relay/tests/state_machine.rs
@@ -1,5 +1,5 @@
-//! The chart against a count kept apart: how often a request may have run, and what its client is
-//! told.
+//! The request state machine checked against independent counters: how often a request may have
+//! run, and what its client is told.
 
 use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine};
 use topazyard_types::MonotonicMs;
@@ -7,96 +7,101 @@
 
 const DEADLINE: MonotonicMs = MonotonicMs(1_000);
 
-/// What happens to one try.
+/// The outcome of one attempt.
 #[derive(Debug, Clone, Copy)]
-enum Try {
-    /// No connection.
+enum Attempt {
+    /// No connection was made.
     NotConnected,
     /// The connection was closed before the first byte.
     Unsent,
-    /// It was sent, and failed this way.
+    /// It was sent and failed in this way.
     Sent(Failure),
-    /// The head of a return was relayed, and the rest failed this way.
-    Cut(Failure),
+    /// The head of a response was relayed, and the rest failed in this way.
+    Interrupted(Failure),
 }
 
-const TRIES: [Try; 9] = [
-    Try::NotConnected,
-    Try::Unsent,
-    Try::Sent(Failure::TurnedAway),
-    Try::Sent(Failure::ConnectionLost),
-    Try::Sent(Failure::MismatchedResponse),
-    Try::Sent(Failure::EngineError),
-    Try::Sent(Failure::TimedOut),
-    Try::Cut(Failure::ConnectionLost),
-    Try::Cut(Failure::TimedOut),
+const ATTEMPTS: [Attempt; 9] = [
+    Attempt::NotConnected,
+    Attempt::Unsent,
+    Attempt::Sent(Failure::TurnedAway),
+    Attempt::Sent(Failure::ConnectionLost),
+    Attempt::Sent(Failure::MismatchedResponse),
+    Attempt::Sent(Failure::EngineError),
+    Attempt::Sent(Failure::TimedOut),
+    Attempt::Interrupted(Failure::ConnectionLost),
+    Attempt::Interrupted(Failure::TimedOut),
 ];
 
-/// A chart, and what was counted beside it.
+/// A state machine and the independent counters.
 struct Counted {
     state_machine: RequestStateMachine,
     sent: u32,
     may_have_run: u32,
-    begun: bool,
+    head_relayed: bool,
 }
 
 impl Counted {
-    fn play(&mut self, what: Try, now: MonotonicMs) -> FailureAction {
-        match what {
-            Try::NotConnected => self.state_machine.fail(Failure::NotConnected, now),
-            Try::Unsent => {
+    fn apply(&mut self, attempt: Attempt, now: MonotonicMs) -> FailureAction {
+        match attempt {
+            Attempt::NotConnected => self.state_machine.fail(Failure::NotConnected, now),
+            Attempt::Unsent => {
                 self.state_machine.dispatch();
                 self.state_machine.undo_dispatch();
                 self.state_machine.fail(Failure::NotConnected, now)
             }
-            Try::Sent(failure) => {
+            Attempt::Sent(failure) => {
                 self.state_machine.dispatch();
                 self.sent += 1;
                 self.may_have_run += u32::from(failure != Failure::TurnedAway);
                 self.state_machine.fail(failure, now)
             }
-            Try::Cut(failure) => {
+            Attempt::Interrupted(failure) => {
                 self.state_machine.dispatch();
                 self.state_machine.start_relaying();
                 self.sent += 1;
                 self.may_have_run += 1;
-                self.begun = true;
+                self.head_relayed = true;
                 self.state_machine.fail(failure, now)
             }
         }
     }
 }
 
-// Else a request that may not run twice does, goes to more engines than its route allows, or its
-// client is promised that it did not run.
+// Guards against a non-repeatable request that runs twice, a request that is sent to more engines
+// than its route allows, and a client that is told wrongly that its request did not run.
 #[test]
-fn no_order_of_failures_sends_a_request_too_often_or_promises_too_much() {
+fn no_sequence_of_failures_exceeds_the_attempts_or_misreports_execution() {
     bolero::check!().with_type::<(u8, u8, Vec<(u8, u16)>)>().with_iterations(20_000).for_each(
-        |(kind, most, tries)| {
+        |(kind, max_attempts, attempts)| {
             let (repeatable, resumable) =
                 [(false, false), (true, false), (true, true)][usize::from(kind % 3)];
-            let most = 1 + u32::from(most % 4);
+            let max_attempts = 1 + u32::from(max_attempts % 4);
             let mut counted = Counted {
-                state_machine: RequestStateMachine::on_route(repeatable, resumable, most, DEADLINE),
+                state_machine: RequestStateMachine::on_route(
+                    repeatable,
+                    resumable,
+                    max_attempts,
+                    DEADLINE,
+                ),
                 sent: 0,
                 may_have_run: 0,
-                begun: false,
+                head_relayed: false,
             };
             counted.state_machine.enqueue();
             counted.state_machine.hold();
-            for (what, now) in tries {
-                let what = TRIES[usize::from(*what) % TRIES.len()];
-                let next = counted.play(what, MonotonicMs(u64::from(now % 1_100)));
-                assert!(counted.sent <= most);
+            for (attempt, now) in attempts {
+                let attempt = ATTEMPTS[usize::from(*attempt) % ATTEMPTS.len()];
+                let next = counted.apply(attempt, MonotonicMs(u64::from(now % 1_100)));
+                assert!(counted.sent <= max_attempts);
                 assert!(repeatable || counted.may_have_run <= 1);
                 match next {
                     FailureAction::TryAnotherEngine => counted.state_machine.hold(),
                     FailureAction::Respond(error) => {
                         let may_have_run = counted.may_have_run > 0;
                         assert_eq!(error.ran == Execution::MayHaveRun, may_have_run);
-                        return assert!(!counted.begun, "a second head");
+                        return assert!(!counted.head_relayed, "a head was already relayed");
                     }
-                    FailureAction::CloseConnection => return assert!(counted.begun),
+                    FailureAction::CloseConnection => return assert!(counted.head_relayed),
                 }
             }
         },
