--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -208,9 +208,9 @@
                 continue;
             }
             self.items.pending_leases.insert(shard, max_lease.min(capacity));
-            let most = max_lease.min(capacity) as u32;
+            let lease_items = max_lease.min(capacity) as u32;
             let models = models.clone();
-            let call = BatchCall::Lease { most, models, routes: routes.clone() };
+            let call = BatchCall::Lease { max_items: lease_items, models, routes: routes.clone() };
             let limit = DurationMs(1_000);
             self.send_batch(Caller::Leasing(now), shard, call, limit, now, effects);
         }
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -208,9 +208,9 @@
     /// The last lease request: its call id and its maximum number of items.
     fn last_lease_request(&self) -> (u64, u32) {
         let lease = self.calls.iter().rev().find_map(|(call, body)| match body {
-            BatchCall::Lease { most, models, routes } => {
+            BatchCall::Lease { max_items, models, routes } => {
                 assert!(models.is_empty() && *routes == ["r".into()]);
-                Some((*call, *most))
+                Some((*call, *max_items))
             }
             _ => None,
         });
@@ -569,8 +569,8 @@
 fn without_budget_fewer_items_are_leased_and_one_at_a_time_requests_a_hold() {
     let mut relay = Relay::ready();
     relay.tick(25);
-    let (call, most) = relay.last_lease_request();
-    assert_eq!(most, 6);
+    let (call, max_items) = relay.last_lease_request();
+    assert_eq!(max_items, 6);
     let leased = |number| LeasedItem {
         run: Run { batch: batch(), item: ItemNumber(number), lease: u64::from(number) },
         item: item(),
