--- a/programs/topazyard-relay/src/lib.rs
+++ b/programs/topazyard-relay/src/lib.rs
@@ -1,5 +1,5 @@
-//! The edge: HTTP for clients, admission, prefix affinity, streaming, and batch items run under
-//! leases.
+//! The edge node of the fleet: HTTP for clients, admission control, prefix affinity, streaming, and
+//! batch items run under leases.
 
 pub mod drain;
 pub mod front;
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -146,7 +146,7 @@
         &mut self,
         call: CallId,
         request: BatchCall,
-        limit: DurationMs,
+        timeout: DurationMs,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
@@ -164,7 +164,7 @@
         };
         match (refused, shard_of(&request)) {
             (None, Some(shard)) => {
-                self.send_batch(Caller::Client(call), shard, request, limit, now, effects);
+                self.send_batch(Caller::Client(call), shard, request, timeout, now, effects);
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
@@ -200,7 +200,7 @@
         call: CallId,
         (batch, route): (BatchId, &RouteName),
         items: Vec<Item>,
-        limit: DurationMs,
+        timeout: DurationMs,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
@@ -223,7 +223,7 @@
             items,
             ceiling: terms.ceiling_tokens,
         };
-        self.call_batch(call, BatchCall::SubmitRouted(routed), limit, now, effects);
+        self.call_batch(call, BatchCall::SubmitRouted(routed), timeout, now, effects);
     }
 
     /// Checks items against the configuration in force and returns its ceiling on waiting work.
@@ -252,13 +252,13 @@
         caller: Caller,
         shard: ShardId,
         call: BatchCall,
-        limit: DurationMs,
+        timeout: DurationMs,
         now: MonotonicMs,
         effects: &mut Outputs,
     ) {
         self.batches.last_id += 1;
         let id = self.batches.last_id;
-        let deadline = now.plus(limit);
+        let deadline = now.plus(timeout);
         let replica_read_at = now.plus(REPLICA_READ_DELAY);
         let mut pending = PendingCall {
             caller,
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -22,7 +22,7 @@
 const DEFAULT_MAX_ITEMS: usize = 24;
 /// One relay may lease up to one in this many of the engines' slots.
 const SLOTS_DIVISOR: usize = 4;
-/// Minimum of the limit on items requested in one lease.
+/// Lower bound of the maximum number of items requested in one lease.
 const MIN_LEASE_ITEMS: usize = 4;
 /// Interval between lease requests to a shard that has items.
 const LEASE_INTERVAL: DurationMs = DurationMs(120);
@@ -88,7 +88,7 @@
     /// each grant, half after a refusal, so that items wait at their shards and not here.
     window: Option<usize>,
     window_halved_at: MonotonicMs,
-    /// When the counter may be asked again after a refusal.
+    /// When a hold may be requested again after a refusal.
     next_hold_request_at: Option<MonotonicMs>,
     next_lease_request: std::collections::BTreeMap<ShardId, (MonotonicMs, DurationMs)>,
     lease_backoff_until: MonotonicMs,
@@ -211,8 +211,8 @@
             let lease_items = max_lease.min(capacity) as u32;
             let models = models.clone();
             let call = BatchCall::Lease { max_items: lease_items, models, routes: routes.clone() };
-            let limit = DurationMs(1_000);
-            self.send_batch(Caller::Leasing(now), shard, call, limit, now, effects);
+            let timeout = DurationMs(1_000);
+            self.send_batch(Caller::Leasing(now), shard, call, timeout, now, effects);
         }
     }
 
@@ -225,7 +225,7 @@
         effects: &mut Outputs,
     ) {
         self.items.lease_request_ended(shard);
-        // A shard without items is asked less and less often, so that a large idle fleet puts
+        // A shard without items is queried less and less often, so that a large idle fleet puts
         // little load on its storage nodes.
         let previous = self
             .items
@@ -361,7 +361,9 @@
 
     /// The item that requested a hold.
     fn run_for_hold(&self, hold: HoldId) -> Option<Run> {
-        let is_requesting = |entry: &ItemEntry| matches!(entry.stage, Stage::Requesting(requested) if requested == hold);
+        let is_requesting = |entry: &ItemEntry| {
+            matches!(entry.stage, Stage::Requesting(requested) if requested == hold)
+        };
         let found = self.items.entries.iter().find(|(_, entry)| is_requesting(entry));
         found.map(|(run, _)| *run)
     }
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -437,14 +437,14 @@
     ) {
         let value = match request {
             RelayCall::AdmitPrompt(prompt) => return self.admit_prompt(call, prompt, now, effects),
-            RelayCall::Batch(request, limit) => {
-                return self.call_batch(call, request, limit, now, effects);
+            RelayCall::Batch(request, timeout) => {
+                return self.call_batch(call, request, timeout, now, effects);
             }
             RelayCall::SubmitBatch(batch, items) => {
                 return self.submit_batch(call, batch, items, now, effects);
             }
-            RelayCall::SubmitRoutedBatch(batch, route, items, limit) => {
-                return self.submit_routed(call, (batch, &route), items, limit, now, effects);
+            RelayCall::SubmitRoutedBatch(batch, route, items, timeout) => {
+                return self.submit_routed(call, (batch, &route), items, timeout, now, effects);
             }
             RelayCall::AdmitRequest(arrival) => {
                 return self.admit_request(call, arrival, now, effects);
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -190,8 +190,8 @@
     }
 
     fn submit(&mut self) {
-        let (items, limit) = (vec![item()], DurationMs(1_000));
-        self.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
+        let (items, timeout) = (vec![item()], DurationMs(1_000));
+        self.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, timeout));
     }
 
     fn last_response(&self) -> &RelayResponse {
@@ -388,8 +388,8 @@
 #[test]
 fn batch_on_an_unknown_route_is_refused() {
     let mut relay = Relay::ready();
-    let limit = DurationMs(1_000);
-    relay.call(RelayCall::SubmitRoutedBatch(batch(), "other".into(), vec![item()], limit));
+    let timeout = DurationMs(1_000);
+    relay.call(RelayCall::SubmitRoutedBatch(batch(), "other".into(), vec![item()], timeout));
     assert_eq!(relay.last_code(), Some(Code::NoLane));
 }
 
@@ -520,8 +520,8 @@
 #[test]
 fn batch_sent_before_sigterm_is_answered_before_the_relay_exits() {
     let mut relay = Relay::ready();
-    let (items, limit) = (vec![item()], DurationMs(grace()));
-    relay.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
+    let (items, timeout) = (vec![item()], DurationMs(grace()));
+    relay.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, timeout));
     relay.drain();
     relay.responses.clear();
     relay.advance(grace() * 27 / 32);
