--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -361,9 +361,8 @@
 
     /// The item that requested a hold.
     fn run_for_hold(&self, hold: HoldId) -> Option<Run> {
-        let is_requesting = |entry: &ItemEntry| {
-            matches!(entry.stage, Stage::Requesting(requested) if requested == hold)
-        };
+        let is_requesting =
+            |entry: &ItemEntry| matches!(entry.stage, Stage::Requesting(id) if id == hold);
         let found = self.items.entries.iter().find(|(_, entry)| is_requesting(entry));
         found.map(|(run, _)| *run)
     }
