--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -8,7 +8,7 @@
 //! for sending these.
 
 use topazyard_types::{DurationMs, MonotonicMs};
-use topazyard_wire::http::inward::Stage;
+use topazyard_wire::http::inbound::Stage;
 
 /// Sixteenths of the grace period after which runs of routed items are aborted, so that another
 /// relay resumes them.
@@ -135,7 +135,7 @@
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
     /// use topazyard_types::{DurationMs, MonotonicMs};
-    /// use topazyard_wire::http::inward::Stage;
+    /// use topazyard_wire::http::inbound::Stage;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
     /// let draining = Draining::start(times, MonotonicMs(100));
     /// assert_eq!(draining.stage(true, MonotonicMs(2_599)), Stage::Closing);
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -145,7 +145,7 @@
 
     fn refuse(&mut self, call: CallId, error: ApiError, effects: &mut Outputs) {
         self.record_refusal(error.code);
-        effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+        effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
     }
 
     /// The checks that need no other process, cheapest first.
@@ -274,7 +274,8 @@
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
             self.admitted += 1;
-            effects.push(Effect::Return { call: entry.call, value: RelayResponse::SendTo(target) });
+            effects
+                .push(Effect::Respond { call: entry.call, value: RelayResponse::SendTo(target) });
         }
         self.request_holds(&pool, now, effects);
     }
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -168,7 +168,7 @@
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
-                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -189,7 +189,7 @@
             }
             Err(error) => {
                 self.record_refusal(error.code);
-                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -209,7 +209,7 @@
         let Some((route, terms)) = batch_route else {
             self.record_refusal(Code::NoLane);
             let error = ApiError::not_run(Code::NoLane);
-            return effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+            return effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
         };
         let routed = RoutedBatch {
             batch,
@@ -345,10 +345,10 @@
             (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.record_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
-                effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
             (Caller::Client(call), value) => {
-                effects.push(Effect::Return { call, value: RelayResponse::Batch(value) });
+                effects.push(Effect::Respond { call, value: RelayResponse::Batch(value) });
             }
             (Caller::Leasing(requested_at), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, requested_at, now, effects);
@@ -382,7 +382,7 @@
                         ApiError::not_run(Code::NoShard)
                     };
                     self.record_refusal(error.code);
-                    effects.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                    effects.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
                 }
                 Caller::Leasing(_) => self.items.lease_request_ended(pending.shard),
                 Caller::Starting(run) => self.start_decided(run, false, now, effects),
--- a/programs/topazyard-relay/src/machine/engine_failures.rs
+++ b/programs/topazyard-relay/src/machine/engine_failures.rs
@@ -56,7 +56,7 @@
         } else if now.since(self.engine_failures.interval_started_at) >= SUMMARY_INTERVAL {
             let reported = std::mem::take(&mut self.engine_failures);
             self.engine_failures.interval_started_at = now;
-            effects.extend(reported.summary().map(|text| Effect::Note { grave: false, text }));
+            effects.extend(reported.summary().map(|text| Effect::Log { is_error: false, text }));
         }
     }
 }
--- a/programs/topazyard-relay/src/machine/engine_selection.rs
+++ b/programs/topazyard-relay/src/machine/engine_selection.rs
@@ -108,7 +108,7 @@
         }
         self.is_logged_as_paused = is_paused;
         let what = if is_paused { "is paused after failures" } else { "is used again" };
-        Some(Effect::Note { grave: false, text: format!("engine {engine} {what}") })
+        Some(Effect::Log { is_error: false, text: format!("engine {engine} {what}") })
     }
 }
 
@@ -341,7 +341,7 @@
                 // It stays paused until the probe's result arrives.
                 record.unhealthy_until = Some(now.plus(pause.max(DurationMs(1_000))));
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                effects.push(Effect::Start(RelayTask::ProbeConnection(target)));
+                effects.push(Effect::StartTask(RelayTask::ProbeConnection(target)));
             }
         }
     }
--- a/programs/topazyard-relay/src/machine/engines.rs
+++ b/programs/topazyard-relay/src/machine/engines.rs
@@ -199,7 +199,7 @@
             if record.last_check_at.is_none_or(|at| now.since(at) >= HEALTH_CHECK_INTERVAL) {
                 record.last_check_at = Some(now);
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                effects.push(Effect::Start(RelayTask::CheckHealth(target)));
+                effects.push(Effect::StartTask(RelayTask::CheckHealth(target)));
             }
         }
         let listed = &self.fleet.engines;
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -164,7 +164,7 @@
         if self.items.abort_runs_at.is_some_and(|at| now >= at)
             && self.items.entries.values().any(is_routed)
         {
-            effects.push(Effect::Start(RelayTask::AbortRoutedRuns));
+            effects.push(Effect::StartTask(RelayTask::AbortRoutedRuns));
             self.items.abort_runs_at = None;
         }
     }
@@ -419,7 +419,7 @@
                 self.engines.hold_started(&target.engine, cost, &[]);
                 let until = requested_at.plus(START_TIMEOUT);
                 self.set_stage(run, Stage::Started(hold, until, target.engine.clone()));
-                effects.push(Effect::Start(RelayTask::RunItem { run, target, body }));
+                effects.push(Effect::StartTask(RelayTask::RunItem { run, target, body }));
             }
             None => {
                 // If the start was recorded after all, this reports that nothing ran.
@@ -583,7 +583,7 @@
         };
         self.engines.request_started(&routed_run.target.engine, &prefix, now);
         self.set_stage(run, started);
-        effects.push(Effect::Start(RelayTask::RunRoutedItem(Box::new(routed_run))));
+        effects.push(Effect::StartTask(RelayTask::RunRoutedItem(Box::new(routed_run))));
     }
 
     /// Until when a routed item may be sent to an engine.
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -424,7 +424,7 @@
         if let Some(version) = version.filter(|version| previous != Some(*version)) {
             let engines = self.fleet.engines.len();
             let text = format!("configuration {version} in force, {engines} engines listed");
-            effects.push(Effect::Note { grave: false, text });
+            effects.push(Effect::Log { is_error: false, text });
         }
     }
 
@@ -498,7 +498,7 @@
             },
             RelayCall::Health => RelayResponse::Health(Box::new(self.health(now))),
         };
-        effects.push(Effect::Return { call, value });
+        effects.push(Effect::Respond { call, value });
     }
 
     /// Starts a drain: from now on admits only what ends in time. A drain already in progress
@@ -544,7 +544,7 @@
 
 impl Machine for RelayMachine {
     type Call = RelayCall;
-    type Return = RelayResponse;
+    type Response = RelayResponse;
     type Task = RelayTask;
 
     fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Outputs {
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -258,7 +258,7 @@
                 if let RelayResponse::Refused(error) = &refused {
                     self.record_refusal(error.code);
                 }
-                return effects.push(Effect::Return { call, value: refused });
+                return effects.push(Effect::Respond { call, value: refused });
             }
         };
         let (pool, id) = (passed.pool.clone(), arrival.id);
@@ -368,7 +368,7 @@
                     entry.terms.chosen = chosen;
                     let value = RelayResponse::Admitted(Box::new(entry.terms.clone()));
                     self.admitted += 1;
-                    effects.push(Effect::Return { call, value });
+                    effects.push(Effect::Respond { call, value });
                 }
                 None => {
                     self.drop_request(id, now);
@@ -540,7 +540,7 @@
     fn refuse_request(&mut self, call: CallId, code: Code, effects: &mut Outputs) {
         self.record_refusal(code);
         let value = RelayResponse::Refused(ApiError::not_run(code));
-        effects.push(Effect::Return { call, value });
+        effects.push(Effect::Respond { call, value });
     }
 
     pub(super) fn requests_tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
@@ -564,7 +564,7 @@
         let late_from = draining.deregistered_at();
         let left = self.requests.entries.values().filter(|entry| entry.arrived_at >= late_from);
         let left = left.count();
-        invariants::check(left == 0, Invariant::TakenWithTimeLeft, || format!("left={left}"));
+        invariants::check(left == 0, Invariant::AdmittedWithTimeLeft, || format!("left={left}"));
     }
 
     /// Refuses, at once and for good, the requests that have waited too long.
--- a/programs/topazyard-relay/src/prompt/state_machine.rs
+++ b/programs/topazyard-relay/src/prompt/state_machine.rs
@@ -150,7 +150,7 @@
 
     fn change(&mut self, from: &[State], to: State) {
         let is_valid = from.contains(&self.state);
-        invariants::check(is_valid, Invariant::RequestFollowsItsChart, || {
+        invariants::check(is_valid, Invariant::RequestFollowsStateMachine, || {
             format!("from={:?} to={to:?}", self.state)
         });
         debug_assert!(is_valid, "{:?} -> {to:?}", self.state);
--- a/programs/topazyard-relay/tests/admission.rs
+++ b/programs/topazyard-relay/tests/admission.rs
@@ -63,10 +63,10 @@
                 } => {
                     self.feed_nonce = nonce;
                 }
-                Effect::Return { call, value } => self.responses.push((call, value)),
-                Effect::Start(RelayTask::CheckHealth(_))
+                Effect::Respond { call, value } => self.responses.push((call, value)),
+                Effect::StartTask(RelayTask::CheckHealth(_))
                 | Effect::Send { .. }
-                | Effect::Note { .. } => {}
+                | Effect::Log { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/programs/topazyard-relay/tests/requests.rs
+++ b/programs/topazyard-relay/tests/requests.rs
@@ -144,9 +144,9 @@
                     self.feed_nonce = Some(nonce);
                     self.health.push(health);
                 }
-                Effect::Return { call, value } => drop(self.responses.insert(call, value)),
-                Effect::Note { text, .. } => self.log_lines.push(text),
-                Effect::Start(RelayTask::ProbeConnection(target)) => {
+                Effect::Respond { call, value } => drop(self.responses.insert(call, value)),
+                Effect::Log { text, .. } => self.log_lines.push(text),
+                Effect::StartTask(RelayTask::ProbeConnection(target)) => {
                     self.probed_engines.push(target.engine)
                 }
                 _ => {}
@@ -564,10 +564,10 @@
     let stuck = relay.arrive("/x", 1, 7_000, &[]);
     assert!(relay.admitted(stuck).is_some());
     relay.tick(7_000);
-    assert_eq!(violations(Invariant::TakenWithTimeLeft), 0, "it may still be about to end");
+    assert_eq!(violations(Invariant::AdmittedWithTimeLeft), 0, "it may still be about to end");
     relay.tick(250);
     relay.tick(250);
-    assert_eq!(violations(Invariant::TakenWithTimeLeft), 1);
+    assert_eq!(violations(Invariant::AdmittedWithTimeLeft), 1);
 }
 
 // Guards against sending requests to an engine that is about to shut down.
