--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -1,109 +1,114 @@
-//! How a relay ends in order after SIGTERM: a state machine without input or output.
+//! Graceful shutdown of a relay after SIGTERM, as a state machine without I/O.
 //!
-//! A relay that ends goes through the stages of its listeners. First clients are told to leave, while
-//! some are still sent here. Then idle connections are closed, and a request is taken only if its
-//! deadline comes before the moment up to which the relay serves: whatever is taken has the time that
-//! it may need. Once nothing is under way, or at that moment, nothing is taken any more, and what is
-//! still without a response gets its final answer at once. A part of the grace is left to send it.
+//! A draining relay leads its listeners through stages. First clients are told to disconnect, while
+//! new ones may still be routed here. Then idle connections are closed, and a request is admitted
+//! only if its deadline lies before the end of serving, so that it has all the time it may need.
+//! Once no work is under way, or when serving ends, nothing more is admitted, and every request
+//! without a response gets its final response at once. The last part of the grace period is left
+//! for sending these.
 
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::http::inbound::Stage;
 
-/// So long runs of routed items may go on. After it another relay is to go on with them.
-const RUNS_SIXTEENTHS: u64 = 12;
-/// Within so long calls on batches are answered, and what is left is for the answer's own way.
-const CALLS_SIXTEENTHS: u64 = 13;
-/// A relay serves for so many sixteenths of its grace.
-const SERVES_SIXTEENTHS: u64 = 14;
-/// It has ended by itself after so many sixteenths, before it is killed.
-const ENDS_SIXTEENTHS: u64 = 15;
+/// Sixteenths of the grace period after which runs of routed items are aborted, so that another
+/// relay resumes them.
+const ITEM_RUNS_SIXTEENTHS: u64 = 12;
+/// Sixteenths of the grace period within which batch calls are answered; the rest is left for
+/// delivering the responses.
+const BATCH_CALLS_SIXTEENTHS: u64 = 13;
+/// Sixteenths of the grace period during which the relay serves requests.
+const SERVING_SIXTEENTHS: u64 = 14;
+/// Sixteenths of the grace period after which the process exits by itself, before it is killed.
+const EXIT_SIXTEENTHS: u64 = 15;
 
-/// The times of a drain, counted from SIGTERM.
+/// The phases of a drain, as offsets from SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// For how long clients may still be sent here.
+    /// How long clients may still be routed to this relay.
     pub deregistration_delay: DurationMs,
-    /// For how long runs of routed items go on.
+    /// How long runs of routed items may continue.
     pub item_runs: DurationMs,
-    /// Within how long calls on batches are answered.
+    /// Within which time batch calls are answered.
     pub batch_calls: DurationMs,
-    /// For how long the relay serves.
+    /// How long the relay serves requests.
     pub serving: DurationMs,
-    /// When the process ends, whatever is under way.
+    /// When the process exits, whatever is under way.
     pub exit: DurationMs,
 }
 
 impl DrainTimes {
-    /// The times of a relay that is killed after `grace`, and to which clients may still be sent for
-    /// `deregistration_delay`.
+    /// The phases for a relay that is killed after `grace` and to which clients may still be routed
+    /// for `deregistration_delay`.
     ///
     /// ```
     /// use topazyard_relay::drain::DrainTimes;
     /// use topazyard_types::DurationMs;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// assert_eq!((times.deregistration_delay.0, times.serving.0, times.exit.0), (2_500, 7_000, 7_500));
-    /// // With little time it doesn't wait for half of it.
-    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).deregistration_delay.0, 700);
+    /// let phases = (times.deregistration_delay.0, times.serving.0, times.exit.0);
+    /// assert_eq!(phases, (2_500, 7_000, 7_500));
+    /// // With a short grace period the delay is limited to half of the serving time.
+    /// let times = DrainTimes::within(DurationMs(1_600), DurationMs(2_500));
+    /// assert_eq!(times.deregistration_delay.0, 700);
     /// ```
     pub fn within(grace: DurationMs, deregistration_delay: DurationMs) -> Self {
         let sixteenths = |count: u64| DurationMs(grace.0 * count / 16);
-        let serving = sixteenths(SERVES_SIXTEENTHS);
+        let serving = sixteenths(SERVING_SIXTEENTHS);
         Self {
             deregistration_delay: DurationMs(deregistration_delay.0.min(serving.0 / 2)),
-            item_runs: sixteenths(RUNS_SIXTEENTHS),
-            batch_calls: sixteenths(CALLS_SIXTEENTHS),
+            item_runs: sixteenths(ITEM_RUNS_SIXTEENTHS),
+            batch_calls: sixteenths(BATCH_CALLS_SIXTEENTHS),
             serving,
-            exit: sixteenths(ENDS_SIXTEENTHS),
+            exit: sixteenths(EXIT_SIXTEENTHS),
         }
     }
 }
 
-/// When a relay that drains does what.
+/// A drain in progress: its start and its phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draining {
-    begun: MonotonicMs,
+    started_at: MonotonicMs,
     times: DrainTimes,
 }
 
 impl Draining {
-    /// A drain that begins now.
+    /// Starts a drain now.
     pub fn start(times: DrainTimes, now: MonotonicMs) -> Self {
-        Self { begun: now, times }
+        Self { started_at: now, times }
     }
 
-    /// How long it has lasted.
+    /// The time since the drain started.
     pub fn elapsed(&self, now: MonotonicMs) -> DurationMs {
-        now.since(self.begun)
+        now.since(self.started_at)
     }
 
-    /// When runs of routed items that are left are broken off, so that their shards hear in time how
-    /// far they came.
+    /// When the remaining runs of routed items are aborted, so that their shards learn their
+    /// progress in time.
     pub fn abort_runs_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.item_runs)
+        self.started_at.plus(self.times.item_runs)
     }
 
-    /// Until when calls on batches are answered.
+    /// The time by which batch calls are answered.
     pub fn batch_call_deadline(&self) -> MonotonicMs {
-        self.begun.plus(self.times.batch_calls)
+        self.started_at.plus(self.times.batch_calls)
     }
 
-    /// Up to when the relay serves.
+    /// The end of serving requests.
     pub fn serving_deadline(&self) -> MonotonicMs {
-        self.begun.plus(self.times.serving)
+        self.started_at.plus(self.times.serving)
     }
 
-    /// When the process ends, whatever is under way.
+    /// When the process exits, whatever is under way.
     pub fn exit_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.exit)
+        self.started_at.plus(self.times.exit)
     }
 
-    /// Up to when clients are still sent here.
+    /// Until when clients may still be routed to this relay.
     pub fn deregistered_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.deregistration_delay)
+        self.started_at.plus(self.times.deregistration_delay)
     }
 
-    /// For how long nothing needs to be looked at: until the next moment at which the stage may change
-    /// by itself, and no longer than `longest`. None where the process should have ended.
+    /// The delay until the next check: until the stage may next change by time alone, at most
+    /// `longest`. Zero where the process should have exited.
     ///
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
@@ -114,18 +119,18 @@
     /// assert_eq!((next(100), next(760), next(800), next(850)), (100, 40, 50, 0));
     /// ```
     pub fn next_check_delay(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
-        let moments = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
-        let next = moments.into_iter().filter(|moment| *moment > now).min();
-        next.map_or(DurationMs(0), |moment| moment.since(now).min(longest))
+        let transitions = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
+        let next = transitions.into_iter().filter(|at| *at > now).min();
+        next.map_or(DurationMs(0), |at| at.since(now).min(longest))
     }
 
-    /// Whether a request with this deadline may be taken: while clients are still sent here each is,
-    /// later only one that is surely over before the relay is.
+    /// Whether a request with this deadline may be admitted: any request while clients are still
+    /// routed here, later only one that ends before the relay stops serving.
     pub fn may_admit(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
         now < self.deregistered_at() || deadline <= self.serving_deadline()
     }
 
-    /// The stage to be in, where so much is under way.
+    /// The stage at this time, given whether any work is under way.
     ///
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -1,12 +1,12 @@
-//! The relay's machine: what it knows of the fleet, its holds, its queue, its engines and the
-//! batch items it runs.
+//! The relay's state machine: its snapshot of the fleet, budget holds, queues, engine selection and
+//! the batch items that it runs.
 
 mod admission;
 pub mod batches;
-mod choice;
-mod counting;
+mod counter;
 mod engine_failures;
 mod engine_index;
+mod engine_selection;
 mod engines;
 pub mod items;
 pub mod requests;
@@ -25,281 +25,284 @@
 use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Input, Machine};
 
-/// How old the last confirmation of the feed may be. Below the 2 s that operators are promised.
+/// Maximum age of the feed's last confirmation. Below the 2 s within which operators are promised
+/// that a change applies.
 pub const MAX_FEED_AGE: DurationMs = DurationMs(1_800);
 
-/// A block of budget stands for so many times the time in which trouble is over.
-const BLOCK_EXPIRY_OF_CONTACT: u64 = 4;
+/// A budget block expires after this multiple of `Bounds::contact`, the time within which faults
+/// are expected to be over.
+const BLOCK_EXPIRY_MULTIPLE: u64 = 4;
 
-/// Names a prompt within this process.
+/// Identifies a request within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PromptId(pub u64);
 
 static LAST_PROMPT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
 impl PromptId {
-    /// The next name in this process.
+    /// The next unused id in this process.
     pub fn next() -> Self {
         Self(1 + LAST_PROMPT.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
     }
 }
 
-/// What admission must know of a prompt.
+/// What admission needs to know of a request on a model route.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// Names it.
+    /// The id.
     pub id: PromptId,
-    /// The model it wants.
+    /// The requested model.
     pub model: ModelName,
-    /// Its estimated cost.
+    /// The estimated cost.
     pub cost: Tokens,
-    /// Until when its client waits.
+    /// Until when the client waits.
     pub deadline: MonotonicMs,
-    /// The shared prefix parts it is built from, in order.
+    /// The shared prefix parts that the prompt is built from, in order.
     pub prefix: Vec<String>,
 }
 
-/// An engine to send to.
+/// An engine to send a request to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// The engine's name.
     pub engine: EngineName,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: std::net::SocketAddr,
 }
 
-/// What an engine says of its load with a response.
+/// The load that an engine reports with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the engine.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can process concurrently.
     pub slots: u32,
 }
 
-/// How a prompt's use of an engine ended.
+/// How the use of an engine for a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineOutcome {
-    /// The engine's whole return came, after so long.
+    /// The complete response was received; with the time until its head, or on a model route until
+    /// its end.
     Completed(DurationMs),
     /// The engine failed.
     Failed,
-    /// The relay or the client broke off, or the engine was never used.
+    /// The relay or the client aborted the request, or the engine was never used.
     Aborted,
-    /// It took no connection.
+    /// The engine accepted no connection.
     Unreachable,
-    /// It said that it didn't run it.
+    /// The engine reported that it did not run the request.
     TurnedAway,
-    /// The time to send it went by before it was sent.
+    /// The time in which it could be sent passed before it was sent.
     NotSent,
 }
 
-/// What may be asked of the relay's machine.
+/// Calls to the relay's state machine.
 #[derive(Debug)]
 pub enum RelayCall {
-    /// Let this prompt in, now or after a brief wait.
+    /// Admits a prompt, at once or after a short wait.
     AdmitPrompt(Prompt),
-    /// May it be sent to that engine now?
+    /// Checks whether the prompt may be sent to that engine now.
     DispatchPrompt(PromptId, EngineName),
-    /// That engine failed it: name another.
+    /// Requests another engine for a prompt that this one failed.
     RetryPrompt(PromptId, EngineName),
-    /// The prompt has ended, whichever way.
+    /// The prompt ended, whatever the outcome.
     PromptEnded(PromptId, EngineOutcome),
-    /// Find the route of this request and let it in, now or after a brief wait.
+    /// Finds the route of a request and admits it, at once or after a short wait.
     AdmitRequest(requests::Arrival),
-    /// That request needs another engine, for this reason.
+    /// Requests another engine for a request, with the outcome at the last one.
     RetryRequest(PromptId, EngineOutcome),
-    /// That engine has said nothing for longer than it should.
+    /// The engine has not responded for longer than expected.
     SuspectEngine(EngineName),
     /// A request failed at that engine.
     EngineFailed(EngineName, Failure),
-    /// An engine said how loaded it is.
+    /// An engine reported its load.
     EngineLoad(EngineName, EngineLoad),
-    /// The request has ended, whichever way.
+    /// The request ended, whatever the outcome.
     RequestEnded(PromptId, EngineOutcome),
-    /// Whether an engine that was left alone took a connection.
+    /// Whether a paused engine accepted a connection.
     ConnectionProbed(EngineName, bool),
-    /// A call on batches, within a limit.
+    /// A batch call with its timeout.
     Batch(BatchCall, DurationMs),
-    /// Hand in a batch.
+    /// Submits a batch.
     SubmitBatch(BatchId, Vec<Item>),
-    /// Hand in a batch of routed items, within a limit.
+    /// Submits a batch of routed items, with the call's timeout.
     SubmitRoutedBatch(BatchId, RouteName, Vec<Item>, DurationMs),
-    /// May this item's run be sent to that engine now?
+    /// Checks whether this item's run may be sent to that engine now.
     DispatchItem(Run, EngineName),
-    /// An item's run ended.
+    /// The run of an item ended.
     ItemEnded(Run, RunEnd),
-    /// A routed item's run ended, and so did its use of the engine.
+    /// The run of a routed item ended, with the outcome at the engine.
     RoutedItemEnded(Run, RunEnd, EngineOutcome),
-    /// What a look at an engine's health gave.
+    /// The result of an engine's health check.
     HealthChecked(EngineName, bool),
-    /// Take from now on only what is over in time, and finish what is under way.
+    /// Starts a drain: from now on admits only what ends in time, and finishes what is under way.
     Drain(crate::drain::DrainTimes),
-    /// Is the relay ready?
+    /// Requests the relay's readiness.
     Ready,
-    /// How does it fare?
+    /// Requests the relay's health.
     Health,
 }
 
-/// What the relay's machine returns.
+/// Responses of the relay's state machine.
 #[derive(Debug)]
 pub enum RelayResponse {
-    /// The prompt holds its cost: send it there.
+    /// The prompt holds its cost: send it to this engine.
     SendTo(Target),
-    /// The request was let in.
+    /// The request was admitted.
     Admitted(Box<requests::Admitted>),
     /// Another engine for the request.
     Chosen(Box<requests::Chosen>),
     /// The request is for this batch route.
     OnBatchRoute(topazyard_types::RouteName),
-    /// It may be sent if it is sent before that moment.
+    /// It may be sent before this time.
     SendBefore(MonotonicMs),
-    /// What came of a call on batches.
+    /// The result of a batch call.
     Batch(BatchResponse),
-    /// It drains, at these times.
+    /// The drain, with its phases.
     Draining(crate::drain::Draining),
-    /// Nothing to say.
+    /// Done; there is no value to return.
     Done,
     /// Refused.
     Refused(ApiError),
-    /// How the relay fares.
+    /// The relay's health.
     Health(Box<RelayHealth>),
 }
 
-/// What the relay's machine begins outside.
+/// Tasks that the driver runs for the relay's state machine.
 #[derive(Debug)]
 pub enum RelayTask {
-    /// Run an item and report its end.
+    /// Runs an item and reports its end.
     RunItem {
         /// The run.
         run: Run,
-        /// Where.
+        /// The engine.
         target: Target,
         /// The body, byte for byte.
         body: bytes::Bytes,
     },
-    /// Run a routed item and report its end.
+    /// Runs a routed item and reports its end.
     RunRoutedItem(Box<routed_items::RoutedRun>),
-    /// Break off the runs of routed items, and report how far each came.
+    /// Aborts the runs of routed items and reports the progress of each.
     AbortRoutedRuns,
-    /// Look at an engine's health and report it.
+    /// Checks an engine's health and reports the result.
     CheckHealth(Target),
-    /// Make a connection to an engine, keep it, and report it.
+    /// Opens a connection to an engine, keeps it and reports the result.
     ProbeConnection(Target),
 }
 
-/// How the relay fares.
+/// The health of a relay.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct RelayHealth {
-    /// Its id in this life.
+    /// The node's id, drawn when the process starts.
     pub node: NodeId,
     /// Whether it is ready.
     pub ready: bool,
-    /// The spec in force here.
+    /// The configuration in force here.
     #[serde(rename = "spec")]
     pub configuration: Option<ConfigurationVersion>,
-    /// The place read in the feed.
+    /// The position reached in the feed.
     #[serde(rename = "place")]
     pub position: String,
-    /// How old the last confirmation of the feed is.
+    /// Age of the feed's last confirmation.
     pub feed_age_ms: Option<DurationMs>,
-    /// Prompts that wait.
+    /// Requests that wait.
     pub waiting: usize,
-    /// Prompts that hold their cost.
+    /// Requests that hold their cost.
     pub holding: usize,
     /// Batch items leased or running here.
     pub items: usize,
-    /// Clients' calls on batches under way.
+    /// Clients' batch calls under way.
     pub batch_calls: usize,
-    /// Ends of items' runs that their shards have not noted yet.
+    /// Ends of item runs that their shards have not acknowledged.
     #[serde(rename = "ends_to_tell")]
     pub unacknowledged_run_ends: usize,
-    /// Askings for items whose answers have not come: some may be leased to this relay.
+    /// Lease requests without a response; items may already be leased to this relay.
     #[serde(rename = "leases_asked")]
     pub pending_lease_requests: usize,
-    /// How long it has taken nothing new, if it drains.
+    /// Time since the drain started, while draining.
     pub drained_for_ms: Option<DurationMs>,
-    /// Engines that may be used.
+    /// Usable engines.
     pub engines: usize,
-    /// Prompts let in since the start.
+    /// Requests admitted since the start.
     #[serde(rename = "allowed")]
     pub admitted: u64,
-    /// Prompts refused since the start, by code.
+    /// Requests refused since the start, by code.
     pub refused: std::collections::BTreeMap<String, u64>,
 }
 
 impl RelayHealth {
-    /// Whether anything is under way that a relay should finish before it ends.
+    /// Whether any work is under way that a relay should finish before it exits.
     pub fn under_way(&self) -> bool {
-        let of_items = self.items + self.pending_lease_requests + self.unacknowledged_run_ends;
-        self.waiting + self.holding + self.batch_calls + of_items > 0
+        let item_work = self.items + self.pending_lease_requests + self.unacknowledged_run_ends;
+        self.waiting + self.holding + self.batch_calls + item_work > 0
     }
 }
 
-/// From what a relay starts.
+/// What a relay needs to start.
 #[derive(Debug)]
 pub struct Start {
-    /// Its id in this life.
+    /// The node's id, drawn when the process starts.
     pub node: NodeId,
-    /// The agent beside it.
+    /// The local agent's address.
     pub agent: std::net::SocketAddr,
-    /// The bounds of the place that the fleet runs at.
+    /// The time bounds configured for the fleet.
     pub bounds: topazyard_spec::Bounds,
 }
 
-pub(crate) type Out = Vec<Effect<RelayResponse, RelayTask>>;
+pub(crate) type Outputs = Vec<Effect<RelayResponse, RelayTask>>;
 
-/// One relay.
+/// The state machine of one relay.
 pub struct RelayMachine {
     pub(crate) node: NodeId,
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
     follower: FeedFollower,
-    pub(crate) view: FleetSnapshot,
-    pub(crate) counting: counting::Counting,
+    pub(crate) fleet: FleetSnapshot,
+    pub(crate) counter: counter::CounterClient,
     pub(crate) admission: admission::Admission,
     pub(crate) requests: requests::Requests,
-    /// How old the last confirmation of the feed may be for requests on routes.
-    routes_fresh_for: DurationMs,
-    /// After how long without a renewal the counter takes blocks back.
+    /// Maximum age of the feed's last confirmation for requests on routes.
+    max_routes_feed_age: DurationMs,
+    /// Time without a renewal after which the counter takes blocks back.
     pub(crate) block_expiry: DurationMs,
     pub(crate) engines: engines::Engines,
     pub(crate) items: items::Items,
     pub(crate) batches: batches::BatchCalls,
     admitted: u64,
     refused: std::collections::BTreeMap<Code, u64>,
-    refused_for_room: u32,
+    refused_for_capacity: u32,
     engine_failures: engine_failures::EngineFailures,
-    /// How it ends, once it was asked to.
+    /// The drain, once requested.
     pub(crate) draining: Option<crate::drain::Draining>,
 }
 
 impl RelayMachine {
-    /// A relay as it starts: it knows nothing and refuses everything.
+    /// A relay at its start: it knows nothing and refuses everything.
     pub fn new(start: &Start) -> Self {
-        // A relay's id is new in each life.
+        // A relay draws a new id at each start, so the id serves as the boot id.
         let boot_id = BootId(start.node.0);
         Self {
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
             follower: FeedFollower::new(vec![start.agent], boot_id),
-            view: FleetSnapshot::default(),
-            counting: counting::Counting::new(boot_id),
+            fleet: FleetSnapshot::default(),
+            counter: counter::CounterClient::new(boot_id),
             admission: admission::Admission::default(),
             requests: requests::Requests::default(),
-            routes_fresh_for: DurationMs(
+            max_routes_feed_age: DurationMs(
                 (start.bounds.config_apply.0 + start.bounds.config_stretch.0).saturating_sub(200),
             ),
-            block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_OF_CONTACT),
+            block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_MULTIPLE),
             engines: engines::Engines::default(),
             items: items::Items::default(),
             batches: batches::BatchCalls::new(boot_id),
             admitted: 0,
             refused: std::collections::BTreeMap::new(),
-            refused_for_room: 0,
+            refused_for_capacity: 0,
             engine_failures: engine_failures::EngineFailures::default(),
             draining: None,
         }
@@ -310,61 +313,61 @@
         self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(MAX_FEED_AGE))
     }
 
-    /// Which of the others this relay must hear and doesn't.
-    pub(crate) fn cut_off(&self, now: MonotonicMs) -> Option<Code> {
-        if now >= self.fresh_until() || self.view.configuration.is_none() {
+    /// The dependency that was not heard from in time: the feed or the counter.
+    pub(crate) fn lost_dependency(&self, now: MonotonicMs) -> Option<Code> {
+        if now >= self.fresh_until() || self.fleet.configuration.is_none() {
             Some(Code::StaleFeed)
-        } else if now >= self.counting.leased_until() {
+        } else if now >= self.counter.lease_end() {
             Some(Code::NoCounter)
         } else {
             None
         }
     }
 
-    /// Why neither lanes nor routes could be served now, if so.
-    fn cut_off_from_all(&self, now: MonotonicMs) -> Option<Code> {
-        let has_routes = self.view.routes.iter().next().is_some();
-        if has_routes && now < self.routes_until() && !self.requests.unanswered(now) {
+    /// Why requests on neither model routes nor routes could be served now, if so.
+    fn unavailable_for_all(&self, now: MonotonicMs) -> Option<Code> {
+        let has_routes = self.fleet.routes.iter().next().is_some();
+        if has_routes && now < self.routes_fresh_until() && !self.requests.counter_timed_out(now) {
             return None;
         }
-        self.cut_off(now)
+        self.lost_dependency(now)
     }
 
-    /// Why the relay takes nothing new now, if it doesn't.
-    pub(crate) fn unready(&self, now: MonotonicMs) -> Option<Code> {
+    /// Why the relay accepts no new work now, if it does not.
+    pub(crate) fn not_ready_reason(&self, now: MonotonicMs) -> Option<Code> {
         if self.draining.is_some() {
             Some(Code::Draining)
-        } else if let Some(code) = self.cut_off_from_all(now) {
+        } else if let Some(code) = self.unavailable_for_all(now) {
             Some(code)
-        } else if self.view.engines.values().all(|engine| !self.engines.is_usable(engine)) {
+        } else if self.fleet.engines.values().all(|engine| !self.engines.is_usable(engine)) {
             Some(Code::NoEngine)
         } else {
             None
         }
     }
 
-    pub(crate) fn count_refusal(&mut self, code: Code) {
+    pub(crate) fn record_refusal(&mut self, code: Code) {
         *self.refused.entry(code).or_default() += 1;
         if matches!(code, Code::Budget | Code::QueueFull | Code::Deadline) {
-            self.refused_for_room += 1;
+            self.refused_for_capacity += 1;
         }
     }
 
     fn health(&self, now: MonotonicMs) -> RelayHealth {
         RelayHealth {
             node: self.node,
-            ready: self.unready(now).is_none(),
-            configuration: self.view.configuration.as_ref().map(|(version, _)| *version),
+            ready: self.not_ready_reason(now).is_none(),
+            configuration: self.fleet.configuration.as_ref().map(|(version, _)| *version),
             position: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
             items: self.items.len(),
-            batch_calls: self.batches.of_clients(),
-            unacknowledged_run_ends: self.batches.ends_to_tell(),
-            pending_lease_requests: self.batches.leases_asked(),
+            batch_calls: self.batches.client_calls(),
+            unacknowledged_run_ends: self.batches.unreported_ends(),
+            pending_lease_requests: self.batches.pending_leases(),
             drained_for_ms: self.draining.map(|draining| draining.elapsed(now)),
-            engines: self.view.engines.values().filter(|e| self.engines.is_usable(e)).count(),
+            engines: self.fleet.engines.values().filter(|e| self.engines.is_usable(e)).count(),
             admitted: self.admitted,
             refused: self
                 .refused
@@ -378,147 +381,164 @@
         }
     }
 
-    /// Asks the feed, if it is time to.
-    fn ask_feed(&mut self, now: MonotonicMs, out: &mut Out) {
+    /// Polls the feed when it is due.
+    fn poll_feed(&mut self, now: MonotonicMs, effects: &mut Outputs) {
         let health = Health::Edge {
-            ready: self.unready(now).is_none(),
-            waiting: (self.admission.waiting() + self.requests.wanting()) as u32,
-            refused: self.refused_for_room,
+            ready: self.not_ready_reason(now).is_none(),
+            waiting: (self.admission.waiting() + self.requests.waiting_for_budget()) as u32,
+            refused: self.refused_for_capacity,
         };
         if let Some((to, message)) = self.follower.tick(now, || health) {
-            self.refused_for_room = 0;
-            out.push(Effect::Send { to, message: Message::Feed(message) });
+            self.refused_for_capacity = 0;
+            effects.push(Effect::Send { to, message: Message::Feed(message) });
         }
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.ask_feed(now, out);
-        self.counting_tick(now, out);
-        self.admission_tick(now, out);
-        self.requests_tick(now, out);
-        self.engines_tick(now, out);
-        self.engine_failures_tick(now, out);
-        self.items_tick(now, out);
-        self.batches_tick(now, out);
+    fn tick(&mut self, now: MonotonicMs, effects: &mut Outputs) {
+        self.poll_feed(now, effects);
+        self.counter_tick(now, effects);
+        self.admission_tick(now, effects);
+        self.requests_tick(now, effects);
+        self.engines_tick(now, effects);
+        self.engine_failures_tick(now, effects);
+        self.items_tick(now, effects);
+        self.batches_tick(now, effects);
     }
 
-    fn take_news(&mut self, from: std::net::SocketAddr, message: FeedMessage, out: &mut Out) {
+    fn apply_feed_update(
+        &mut self,
+        from: std::net::SocketAddr,
+        message: FeedMessage,
+        effects: &mut Outputs,
+    ) {
         if self.follower.receive(from, message) != FollowOutcome::Changed {
             return;
         }
-        let before = self.view.configuration.as_ref().map(|(version, _)| *version);
-        let engines = std::mem::take(&mut self.view.engines);
-        self.view = FleetSnapshot::read(self.follower.copy().rows());
-        if self.view.engines != engines {
-            self.engines.index = engine_index::EngineIndex::of(self.view.engines.values());
+        let previous = self.fleet.configuration.as_ref().map(|(version, _)| *version);
+        let engines = std::mem::take(&mut self.fleet.engines);
+        self.fleet = FleetSnapshot::read(self.follower.copy().rows());
+        if self.fleet.engines != engines {
+            self.engines.index = engine_index::EngineIndex::of(self.fleet.engines.values());
         }
-        let version = self.view.configuration.as_ref().map(|(version, _)| *version);
-        if let Some(version) = version.filter(|version| before != Some(*version)) {
-            let engines = self.view.engines.len();
-            let text = format!("spec {version} in force, {engines} engines listed");
-            out.push(Effect::Log { is_error: false, text });
+        let version = self.fleet.configuration.as_ref().map(|(version, _)| *version);
+        if let Some(version) = version.filter(|version| previous != Some(*version)) {
+            let engines = self.fleet.engines.len();
+            let text = format!("configuration {version} in force, {engines} engines listed");
+            effects.push(Effect::Log { is_error: false, text });
         }
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         call: topazyard_types::CallId,
         request: RelayCall,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) {
         let value = match request {
-            RelayCall::AdmitPrompt(prompt) => return self.allow(call, prompt, now, out),
-            RelayCall::Batch(request, limit) => {
-                return self.call_batch(call, request, limit, now, out);
+            RelayCall::AdmitPrompt(prompt) => return self.admit_prompt(call, prompt, now, effects),
+            RelayCall::Batch(request, timeout) => {
+                return self.call_batch(call, request, timeout, now, effects);
             }
             RelayCall::SubmitBatch(batch, items) => {
-                return self.submit_batch(call, batch, items, now, out);
+                return self.submit_batch(call, batch, items, now, effects);
+            }
+            RelayCall::SubmitRoutedBatch(batch, route, items, timeout) => {
+                return self.submit_routed(call, (batch, &route), items, timeout, now, effects);
             }
-            RelayCall::SubmitRoutedBatch(batch, route, items, limit) => {
-                return self.submit_routed(call, (batch, &route), items, limit, now, out);
+            RelayCall::AdmitRequest(arrival) => {
+                return self.admit_request(call, arrival, now, effects);
+            }
+            RelayCall::RetryRequest(id, engine_outcome) => {
+                self.retry_request(id, engine_outcome, now)
             }
-            RelayCall::AdmitRequest(arrival) => return self.arrive(call, arrival, now, out),
-            RelayCall::RetryRequest(id, engine_outcome) => self.retry(id, engine_outcome, now),
             RelayCall::SuspectEngine(engine) => {
-                self.engines.doubt(&engine, now);
+                self.engines.suspect(&engine, now);
                 RelayResponse::Done
             }
             RelayCall::EngineFailed(engine, failure) => {
-                self.count_failure(engine, failure);
+                self.record_engine_failure(engine, failure);
                 RelayResponse::Done
             }
             RelayCall::EngineLoad(engine, load) => {
-                self.engines.told_load(&engine, load, now);
+                self.engines.record_load(&engine, load, now);
                 RelayResponse::Done
             }
             RelayCall::RequestEnded(id, engine_outcome) => {
-                self.end_request(id, engine_outcome, now, out);
+                self.end_request(id, engine_outcome, now, effects);
                 RelayResponse::Done
             }
-            RelayCall::ConnectionProbed(engine, reached) => {
-                self.engines.reached(&engine, reached, now);
+            RelayCall::ConnectionProbed(engine, is_connected) => {
+                self.engines.connection_probed(&engine, is_connected, now);
                 RelayResponse::Done
             }
-            RelayCall::DispatchPrompt(id, engine) => self.dispatch(id, &engine, now),
-            RelayCall::RetryPrompt(id, failed) => self.another(id, &failed, now),
+            RelayCall::DispatchPrompt(id, engine) => self.dispatch_prompt(id, &engine, now),
+            RelayCall::RetryPrompt(id, failed) => self.retry_prompt(id, &failed, now),
             RelayCall::PromptEnded(id, engine_outcome) => {
-                self.end_prompt(id, engine_outcome, now, out);
+                self.end_prompt(id, engine_outcome, now, effects);
                 RelayResponse::Done
             }
             RelayCall::DispatchItem(run, engine) => self.dispatch_item(run, &engine, now),
             RelayCall::RoutedItemEnded(run, end, engine_outcome) => {
-                self.routed_ended(run, end, engine_outcome, now, out);
+                self.routed_ended(run, end, engine_outcome, now, effects);
                 RelayResponse::Done
             }
             RelayCall::ItemEnded(run, end) => {
-                self.item_ended(run, end, now, out);
+                self.item_ended(run, end, now, effects);
                 RelayResponse::Done
             }
-            RelayCall::HealthChecked(engine, is_well) => {
-                self.engines.looked(engine, is_well, now);
+            RelayCall::HealthChecked(engine, is_healthy) => {
+                self.engines.health_checked(engine, is_healthy, now);
                 RelayResponse::Done
             }
-            RelayCall::Drain(times) => RelayResponse::Draining(self.drain(times, now, out)),
-            RelayCall::Ready => match self.unready(now) {
+            RelayCall::Drain(times) => RelayResponse::Draining(self.drain(times, now, effects)),
+            RelayCall::Ready => match self.not_ready_reason(now) {
                 None => RelayResponse::Done,
                 Some(code) => RelayResponse::Refused(ApiError::not_run(code)),
             },
             RelayCall::Health => RelayResponse::Health(Box::new(self.health(now))),
         };
-        out.push(Effect::Respond { call, value });
+        effects.push(Effect::Respond { call, value });
     }
 
-    /// Takes from now on only what is over in time. A drain that was begun goes on as it is.
+    /// Starts a drain: from now on admits only what ends in time. A drain already in progress
+    /// continues unchanged.
     fn drain(
         &mut self,
         times: crate::drain::DrainTimes,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Outputs,
     ) -> crate::drain::Draining {
-        let begun = crate::drain::Draining::start(times, now);
-        let draining = *self.draining.get_or_insert(begun);
-        self.batches.end_calls_by(draining.batch_call_deadline());
-        self.drain_items(draining.abort_runs_at(), now, out);
+        let started = crate::drain::Draining::start(times, now);
+        let draining = *self.draining.get_or_insert(started);
+        self.batches.limit_client_deadlines(draining.batch_call_deadline());
+        self.drain_items(draining.abort_runs_at(), now, effects);
         draining
     }
 
-    /// Passes a shard's record on to its holders, where one of them spoke under a lower epoch: it
-    /// may be cut off from control while this relay isn't.
-    pub(crate) fn tell_record(&self, shard: ShardId, told: topazyard_types::Epoch, out: &mut Out) {
-        let Some(record) = self.view.shards.get(&shard).filter(|r| r.epoch > told) else { return };
+    /// Forwards a shard's record to the nodes that hold the shard when one of them used a lower
+    /// epoch: it may be cut off from control while this relay is not.
+    pub(crate) fn forward_record(
+        &self,
+        shard: ShardId,
+        sender_epoch: topazyard_types::Epoch,
+        effects: &mut Outputs,
+    ) {
+        let Some(record) = self.fleet.shards.get(&shard).filter(|r| r.epoch > sender_epoch) else {
+            return;
+        };
         for holder in record.holders() {
             let message = Message::ShardRecord(shard, record.clone());
-            out.push(Effect::Send { to: holder.address, message });
+            effects.push(Effect::Send { to: holder.address, message });
         }
     }
 
-    /// The shard's primary and epoch, as the feed last said.
-    pub(crate) fn leads(
+    /// The shard's primary and epoch, as last received from the feed.
+    pub(crate) fn primary_of(
         &self,
         shard: ShardId,
     ) -> Option<(std::net::SocketAddr, topazyard_types::Epoch)> {
-        self.view.shards.get(&shard).map(|record| (record.primary.address, record.epoch))
+        self.fleet.shards.get(&shard).map(|record| (record.primary.address, record.epoch))
     }
 }
 
@@ -527,25 +547,25 @@
     type Response = RelayResponse;
     type Task = RelayTask;
 
-    fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Outputs {
+        let mut effects = Vec::new();
         match input {
-            Input::Tick => self.tick(now, &mut out),
-            Input::Call { call, request } => self.take_call(call, request, now, &mut out),
+            Input::Tick => self.tick(now, &mut effects),
+            Input::Call { call, request } => self.handle_call(call, request, now, &mut effects),
             Input::Frame { from, message, .. } => match message {
-                // Only its own agent may tell it what is in force.
+                // Only the local agent is trusted to report what is in force.
                 Message::Feed(message) if from == self.agent => {
-                    self.take_news(from, message, &mut out);
+                    self.apply_feed_update(from, message, &mut effects);
                     if self.follower.is_fetching() {
-                        self.ask_feed(now, &mut out);
+                        self.poll_feed(now, &mut effects);
                     }
                 }
-                Message::Counter(message) => self.receive_counter(&message, now, &mut out),
-                Message::Batch(message) => self.receive_batch(message, now, &mut out),
+                Message::Counter(message) => self.receive_counter(&message, now, &mut effects),
+                Message::Batch(message) => self.receive_batch(message, now, &mut effects),
                 _ => {}
             },
             Input::Written(_) | Input::Disk(_) => {}
         }
-        out
+        effects
     }
 }
