--- a/programs/topazyard-control/src/external.rs
+++ b/programs/topazyard-control/src/external.rs
@@ -48,6 +48,6 @@
     }
 
     async fn fetch_loads(engines: Vec<topazyard_spec::Engine>) -> Vec<EngineLoad> {
-        crate::engine_load::ask(&engines).await
+        crate::engine_load::fetch(&engines).await
     }
 }
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -6,7 +6,7 @@
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 
 /// The largest declaration taken, in bytes.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -37,9 +37,9 @@
 ) -> hyper::Response<Body> {
     let (head, body) = request.into_parts();
     if head.method == hyper::Method::GET && head.uri.path() == "/health" {
-        return returned(handle.call(crate::ControlCall::Health).await);
+        return outcome_response(handle.call(crate::ControlCall::Health).await);
     }
-    let operate = match topazyard_wire::http::inward::read_body(body, MOST_BYTES).await {
+    let operate = match topazyard_wire::http::inward::read_body(body, MAX_BODY_BYTES).await {
         Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
@@ -47,10 +47,10 @@
         Ok(operate) => handle.call(crate::ControlCall::Operate(operate)).await,
         Err(error) => return topazyard_wire::http::error(&error),
     };
-    returned(outcome)
+    outcome_response(outcome)
 }
 
-fn returned(
+fn outcome_response(
     outcome: Result<OperateOutcome, topazyard_wire::driver::CallError>,
 ) -> hyper::Response<Body> {
     match outcome {
@@ -63,7 +63,7 @@
 /// What a request asks, or why it can't be understood.
 ///
 /// ```
-/// use topazyard_control::http::understand;
+/// use topazyard_control::http::parse_request;
 /// use topazyard_wire::message::operate::{Operate, Query};
 /// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
 /// assert_eq!(asked, Ok(Operate::Query(Query::ReadSpec(None))));
--- a/programs/topazyard-control/src/machine/genesis.rs
+++ b/programs/topazyard-control/src/machine/bootstrap_record.rs
@@ -6,9 +6,9 @@
 use topazyard_wire::message::control::{CoreNode, EpochRecord};
 
 /// The epoch before the first: its record names the seeds as those who decide the first.
-pub(super) const GENESIS: Epoch = Epoch(0);
+pub(super) const BOOTSTRAP_EPOCH: Epoch = Epoch(0);
 /// The first epoch of a fleet.
-pub(super) const FIRST: Epoch = Epoch(1);
+pub(super) const FIRST_EPOCH: Epoch = Epoch(1);
 
 /// The voter that a seed is while its id is not known.
 fn seed_voter(address: std::net::SocketAddr) -> CoreNode {
@@ -17,22 +17,22 @@
 }
 
 /// The record that the first one follows, the same at all nodes whose settings name these seeds.
-pub(super) fn genesis(seeds: &[std::net::SocketAddr]) -> Option<EpochRecord> {
+pub(super) fn bootstrap_record(seeds: &[std::net::SocketAddr]) -> Option<EpochRecord> {
     let seeds: std::collections::BTreeSet<std::net::SocketAddr> = seeds.iter().copied().collect();
     let witnesses: Vec<CoreNode> = seeds.into_iter().map(seed_voter).collect();
     let primary = *witnesses.first()?;
-    Some(EpochRecord { epoch: GENESIS, primary, backups: Vec::new(), witnesses })
+    Some(EpochRecord { epoch: BOOTSTRAP_EPOCH, primary, backups: Vec::new(), witnesses })
 }
 
 /// By which id a witness of that record is known that speaks from there.
-pub(super) fn voter(
+pub(super) fn voter_id(
     record: &EpochRecord,
     id: NodeId,
     address: std::net::SocketAddr,
 ) -> Option<NodeId> {
-    if record.epoch != GENESIS {
+    if record.epoch != BOOTSTRAP_EPOCH {
         return record.is_witness(id).then_some(id);
     }
-    let of_address = record.witnesses.iter().find(|seed| seed.address == address);
-    of_address.map(|seed| seed.id)
+    let voter = record.witnesses.iter().find(|seed| seed.address == address);
+    voter.map(|seed| seed.id)
 }
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -1,7 +1,7 @@
 //! What each command changes, judged against the committed state.
 
 use super::ControlMachine;
-use super::orders::{Known, unclear};
+use super::orders::{OrderStatus, outcome_unknown};
 use topazyard_types::{Digest, MonotonicMs, NodeId, SpecVersion};
 use topazyard_wire::RowChange;
 use topazyard_wire::api::{ApiError, Code};
@@ -12,8 +12,8 @@
 };
 
 /// The changes and what is returned once they are committed.
-type Judged = Result<Done, ApiError>;
-type Done = (Vec<RowChange>, serde_json::Value);
+type CommandResult = Result<Accepted, ApiError>;
+type Accepted = (Vec<RowChange>, serde_json::Value);
 
 /// The digest that tells a submitted bundle from another.
 fn digest_of_submission(text: &str) -> Digest {
@@ -36,14 +36,17 @@
 }
 
 /// A bundle's text with a partial change made.
-fn patched(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
+fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
     let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::of_read)?;
     let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
     bundle.patched(&patch).map_err(ApiError::of_read)
 }
 
 /// The source that is read back, with a partial change made.
-fn patched_source(before: Option<&[u8]>, change: &SourcePatch) -> Result<bytes::Bytes, ApiError> {
+fn apply_source_patch(
+    before: Option<&[u8]>,
+    change: &SourcePatch,
+) -> Result<bytes::Bytes, ApiError> {
     let invalid = || ApiError::not_run(Code::InvalidSpec).at("source");
     let before: serde_json::Value =
         before.and_then(|text| serde_json::from_slice(text).ok()).ok_or_else(invalid)?;
@@ -59,7 +62,7 @@
 }
 
 impl ControlMachine {
-    pub(super) fn judge(&self, command: &Command, now: MonotonicMs) -> Judged {
+    pub(super) fn evaluate(&self, command: &Command, now: MonotonicMs) -> CommandResult {
         match command {
             Command::SubmitSpec { base, text } => self.submit_spec(*base, text),
             Command::SignOff { version, by } => self.sign_off(*version, by),
@@ -71,7 +74,7 @@
             Command::PatchSpec { base, version, patch, source } => {
                 self.patch_spec(*base, *version, patch, source)
             }
-            Command::ListEngines(engines) => Ok(self.list_engines(engines)),
+            Command::ListEngines(engines) => Ok(self.replace_engines(engines)),
             Command::PutEngines { text } => self.put_engines(text),
             Command::EmptyStorage(id) => self.empty_storage(*id, now),
             Command::RetireNamed(name) => self.retire_named(name, now),
@@ -90,9 +93,9 @@
     }
 
     /// The text of a version. Where it was dropped nothing is known of how far it came.
-    fn spec(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
-        let missing = || match self.may_be_taken(version) {
-            true => unclear(),
+    fn stored_configuration(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
+        let missing = || match self.may_be_accepted(version) {
+            true => outcome_unknown(),
             false => ApiError::not_run(Code::NotFound).at("version"),
         };
         self.replica.copy().get(&spec_key(version)).ok_or_else(missing)
@@ -104,42 +107,42 @@
         match base.cmp(&newest) {
             std::cmp::Ordering::Equal => Ok(()),
             std::cmp::Ordering::Less => Err(ApiError::not_run(Code::StaleBase).at("base")),
-            std::cmp::Ordering::Greater => Err(unclear()),
+            std::cmp::Ordering::Greater => Err(outcome_unknown()),
         }
     }
 
-    fn submit_spec(&self, base: SpecVersion, text: &str) -> Judged {
+    fn submit_spec(&self, base: SpecVersion, text: &str) -> CommandResult {
         let version = SpecVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
         Self::check_base(base, self.newest_version())?;
-        Ok((self.submitted(base, text, digest), done))
+        Ok((self.submission_changes(base, text, digest), done))
     }
 
     /// The whole bundle that a change makes of the newest version, submitted as its successor.
-    fn submit_patch(&self, base: SpecVersion, patch: &str) -> Judged {
+    fn submit_patch(&self, base: SpecVersion, patch: &str) -> CommandResult {
         let version = SpecVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submitted_patch(patch);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.newest_version())?;
-        let bundle = patched(&self.patchable(base)?.text, patch)?;
+        let bundle = apply_patch(&self.patch_base(base)?.text, patch)?;
         let text = serde_json::to_string(&bundle).unwrap_or_default();
-        Ok((self.submitted(base, &text, digest), done))
+        Ok((self.submission_changes(base, &text, digest), done))
     }
 
     /// The changes that submit a bundle as the successor of its base.
-    fn submitted(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
+    fn submission_changes(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
         let version = SpecVersion(base.0.saturating_add(1));
         let row = SpecRow {
             version,
@@ -164,17 +167,17 @@
         version: SpecVersion,
         text: &str,
         source: &bytes::Bytes,
-    ) -> Judged {
+    ) -> CommandResult {
         let done = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_source(source);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
         Self::check_base(base, self.version_in_force())?;
-        self.check_rises(version)?;
+        self.check_version_increases(version)?;
         let row = SpecRow {
             version,
             base,
@@ -183,7 +186,7 @@
             text: text.to_owned(),
             source: Some(source.clone()),
         };
-        Ok((self.taken(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, bundle, digest), done))
     }
 
     /// Makes a partial change of the spec in force, and of the source that is read back, in one
@@ -194,19 +197,19 @@
         version: SpecVersion,
         patch: &str,
         source: &SourcePatch,
-    ) -> Judged {
+    ) -> CommandResult {
         let done = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_patch(&source.order);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.version_in_force())?;
-        let before = self.patchable(base)?;
-        let bundle = patched(&before.text, patch)?;
-        let source = patched_source(before.source.as_deref(), source)?;
-        self.check_rises(version)?;
+        let before = self.patch_base(base)?;
+        let bundle = apply_patch(&before.text, patch)?;
+        let source = apply_source_patch(before.source.as_deref(), source)?;
+        self.check_version_increases(version)?;
         let row = SpecRow {
             version,
             base,
@@ -215,19 +218,19 @@
             text: serde_json::to_string(&bundle).unwrap_or_default(),
             source: Some(source),
         };
-        Ok((self.taken(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, bundle, digest), done))
     }
 
     /// The version that a partial change builds on.
-    fn patchable(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
+    fn patch_base(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
         match base {
             SpecVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
-            _ => self.spec(base),
+            _ => self.stored_configuration(base),
         }
     }
 
     /// Checks that an order's own version is above all before it.
-    fn check_rises(&self, version: SpecVersion) -> Result<(), ApiError> {
+    fn check_version_increases(&self, version: SpecVersion) -> Result<(), ApiError> {
         if version > self.version_in_force() && version > self.newest_version() {
             return Ok(());
         }
@@ -241,7 +244,7 @@
     }
 
     /// The changes that take a version and put it in force in one step.
-    fn taken(
+    fn acceptance_changes(
         &self,
         row: &SpecRow,
         bundle: topazyard_spec::Bundle,
@@ -251,31 +254,35 @@
         let mut changes = self.drop_old_texts(&change, row.version);
         changes.push(change);
         changes.extend(self.remember_order(row.version, digest));
-        changes.extend(self.in_force(row.version, bundle));
+        changes.extend(self.activation_changes(row.version, bundle));
         changes
     }
 
     /// The rows that put a bundle in force: each route in a row of its own, so that followers are
     /// told only what changed.
-    fn in_force(&self, version: SpecVersion, mut bundle: topazyard_spec::Bundle) -> Vec<RowChange> {
+    fn activation_changes(
+        &self,
+        version: SpecVersion,
+        mut bundle: topazyard_spec::Bundle,
+    ) -> Vec<RowChange> {
         let routes = std::mem::take(&mut bundle.routes);
         let text = serde_json::to_string(&bundle).unwrap_or_default();
         let mut changes = vec![RowChange::put(IN_FORCE, &InForceRow { version, text })];
-        let mut gone: std::collections::BTreeSet<String> =
+        let mut removed: std::collections::BTreeSet<String> =
             self.replica.copy().with_prefix(ROUTES).map(|(key, _)| key.to_owned()).collect();
         for route in &routes {
             let change = RowChange::put(route_key(&route.name), route);
-            gone.remove(&change.key);
+            removed.remove(&change.key);
             if self.replica.copy().rows().get(&change.key) != change.value.as_ref() {
                 changes.push(change);
             }
         }
-        changes.extend(gone.into_iter().map(RowChange::gone));
+        changes.extend(removed.into_iter().map(RowChange::gone));
         changes
     }
 
-    fn sign_off(&self, version: SpecVersion, by: &str) -> Judged {
-        let row = self.spec(version)?;
+    fn sign_off(&self, version: SpecVersion, by: &str) -> CommandResult {
+        let row = self.stored_configuration(version)?;
         let done = serde_json::json!({ "version": version, "signed_by": by });
         match row.stage {
             SpecStage::Submitted => {
@@ -293,23 +300,23 @@
         }
     }
 
-    fn roll_out(&self, version: SpecVersion) -> Judged {
-        let row = self.spec(version)?;
-        let now_in_force = self.version_in_force();
+    fn roll_out(&self, version: SpecVersion) -> CommandResult {
+        let row = self.stored_configuration(version)?;
+        let in_force_version = self.version_in_force();
         match row.stage {
             // Said again, as after a lost return, maybe once another is in force.
             SpecStage::RolledOut => {
-                let is_in_force = version == now_in_force;
+                let is_in_force = version == in_force_version;
                 let done = serde_json::json!({ "version": version, "in_force": is_in_force });
                 Ok((Vec::new(), done))
             }
-            SpecStage::Signed if version > now_in_force => {
+            SpecStage::Signed if version > in_force_version => {
                 let bundle = topazyard_spec::Bundle::read(&row.text).map_err(ApiError::of_read)?;
                 let rolled = SpecRow { stage: SpecStage::RolledOut, ..row };
                 let change = RowChange::put(spec_key(version), &rolled);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
-                changes.extend(self.in_force(version, bundle));
+                changes.extend(self.activation_changes(version, bundle));
                 let done = serde_json::json!({ "version": version, "in_force": true });
                 Ok((changes, done))
             }
@@ -318,17 +325,17 @@
         }
     }
 
-    fn put_engines(&self, text: &str) -> Judged {
+    fn put_engines(&self, text: &str) -> CommandResult {
         let list = topazyard_spec::EngineList::read(text).map_err(ApiError::of_read)?;
-        Ok(self.list_engines(&list.engines))
+        Ok(self.replace_engines(&list.engines))
     }
 
-    fn list_engines(&self, engines: &[topazyard_spec::Engine]) -> Done {
+    fn replace_engines(&self, engines: &[topazyard_spec::Engine]) -> Accepted {
         let mut changes = Vec::new();
-        let keep: std::collections::BTreeSet<String> =
+        let kept_keys: std::collections::BTreeSet<String> =
             engines.iter().map(|engine| engine_key(&engine.name)).collect();
         for (key, _) in self.replica.copy().with_prefix(ENGINES) {
-            if !keep.contains(key) {
+            if !kept_keys.contains(key) {
                 changes.push(RowChange::gone(key));
             }
         }
@@ -344,7 +351,7 @@
 
     /// Whether a list says anything that the committed one doesn't.
     pub(super) fn changes_engines(&self, engines: &[topazyard_spec::Engine]) -> bool {
-        !self.list_engines(engines).0.is_empty()
+        !self.replace_engines(engines).0.is_empty()
     }
 
     fn storage(&self, id: NodeId) -> Result<StorageRow, ApiError> {
@@ -352,11 +359,11 @@
         self.replica.copy().get(&storage_key(id)).ok_or_else(missing)
     }
 
-    fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> Judged {
+    fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> CommandResult {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
-        let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
-        if !crate::planner::has_room_without(&view, &standings, id, self.backups() + 1) {
+        let fleet = FleetView::read(self.replica.copy().rows());
+        let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
+        if !crate::planner::has_capacity_without(&fleet, &status, id, self.backups() + 1) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Emptying, ..row };
@@ -365,10 +372,10 @@
     }
 
     /// Has the storage node of that name emptied and then retired by itself.
-    fn retire_named(&self, name: &str, now: MonotonicMs) -> Judged {
-        let view = FleetView::read(self.replica.copy().rows());
+    fn retire_named(&self, name: &str, now: MonotonicMs) -> CommandResult {
+        let fleet = FleetView::read(self.replica.copy().rows());
         let missing = || ApiError::not_run(Code::NotFound).at("node");
-        let id = self.named(&view, name, now).ok_or_else(missing)?;
+        let id = self.storage_by_name(&fleet, name, now).ok_or_else(missing)?;
         let row = self.storage(id)?;
         let done = serde_json::json!({ "node": id, "stage": StorageStage::Retiring });
         match row.stage {
@@ -376,9 +383,9 @@
             StorageStage::Retiring => return Err(ApiError::not_run(Code::WrongState).at("node")),
             StorageStage::Active | StorageStage::Emptying => {}
         }
-        let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
+        let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
         let left = self.backups() + 1;
-        if !crate::planner::has_room_without(&view, &standings, id, left) {
+        if !crate::planner::has_capacity_without(&fleet, &status, id, left) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Retiring, ..row };
@@ -386,14 +393,21 @@
     }
 
     /// The storage node of that name; of several lives of it the one that is heard.
-    pub(super) fn named(&self, view: &FleetView, name: &str, now: MonotonicMs) -> Option<NodeId> {
-        let named = view.storage.iter().filter(|(_, row)| row.member.name.as_deref() == Some(name));
-        let silence = |id: &NodeId| self.seen.nodes.get(id).map(|seen| now.since(seen.at));
-        let unheard = topazyard_types::DurationMs(u64::MAX);
-        named.min_by_key(|(id, _)| silence(id).unwrap_or(unheard)).map(|(id, _)| *id)
+    pub(super) fn storage_by_name(
+        &self,
+        fleet: &FleetView,
+        name: &str,
+        now: MonotonicMs,
+    ) -> Option<NodeId> {
+        let named =
+            fleet.storage.iter().filter(|(_, row)| row.member.name.as_deref() == Some(name));
+        let silence =
+            |id: &NodeId| self.reports.by_node.get(id).map(|report| now.since(report.received_at));
+        let never = topazyard_types::DurationMs(u64::MAX);
+        named.min_by_key(|(id, _)| silence(id).unwrap_or(never)).map(|(id, _)| *id)
     }
 
-    fn add_storage(&self, id: NodeId) -> Judged {
+    fn add_storage(&self, id: NodeId) -> CommandResult {
         let row = match self.storage(id) {
             Ok(row) => row,
             Err(missing) => {
@@ -406,10 +420,10 @@
         Ok((vec![RowChange::put(storage_key(id), &row)], done))
     }
 
-    fn retire_storage(&self, id: NodeId) -> Judged {
+    fn retire_storage(&self, id: NodeId) -> CommandResult {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
-        if crate::planner::hosted(&view, id) > 0 {
+        let fleet = FleetView::read(self.replica.copy().rows());
+        if crate::planner::hosted_copies(&fleet, id) > 0 {
             return Err(ApiError::not_run(Code::HoldsCopies).at("node"));
         }
         // Its row stays as long as it runs: without one it would be taken for a new node.
@@ -423,7 +437,7 @@
         epoch: topazyard_types::Epoch,
         pool: &topazyard_types::PoolName,
         live_percent: u8,
-    ) -> Judged {
+    ) -> CommandResult {
         if epoch < self.replica.epoch() {
             return Err(ApiError::not_run(Code::StaleBase).at("epoch"));
         }
--- /dev/null
+++ b/programs/topazyard-control/src/machine/engine_list.rs
@@ -0,0 +1,55 @@
+//! The duty of reading the platform's list of engines: the primary's. A list that can't be read
+//! whole changes nothing.
+
+use super::{ControlMachine, ControlTask, Effects};
+use topazyard_types::{DurationMs, MonotonicMs};
+use topazyard_wire::Effect;
+use topazyard_wire::message::operate::{Command, Operate};
+
+/// After how long without a report a reading counts as lost.
+const READ_TIMEOUT: DurationMs = DurationMs(3_000);
+
+/// The duty as this node keeps it.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct EngineListReader {
+    /// How often the list is read; never where the platform hands it in.
+    interval: Option<DurationMs>,
+    started_at: Option<MonotonicMs>,
+    in_progress: bool,
+}
+
+impl ControlMachine {
+    /// Reads the platform's list so often from now on, while this node is the primary.
+    pub fn set_engine_list_interval(&mut self, interval: DurationMs) {
+        self.engine_list.interval = Some(interval);
+    }
+
+    pub(super) fn engine_list_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        let Some(interval) = self.engine_list.interval.filter(|_| self.replica.is_serving()) else {
+            return;
+        };
+        let elapsed = self.engine_list.started_at.map(|started_at| now.since(started_at));
+        let wait = if self.engine_list.in_progress { interval.max(READ_TIMEOUT) } else { interval };
+        if elapsed.is_some_and(|elapsed| elapsed < wait) {
+            return;
+        }
+        self.engine_list.started_at = Some(now);
+        self.engine_list.in_progress = true;
+        effects.push(Effect::Start(ControlTask::ListEngines));
+    }
+
+    /// Puts a list in place of the one before, if it says anything new.
+    pub(super) fn receive_engine_list(
+        &mut self,
+        list: Option<Vec<topazyard_spec::Engine>>,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
+        self.engine_list.in_progress = false;
+        let Some(engines) = list.filter(|_| self.replica.is_serving()) else { return };
+        if self.changes_engines(&engines) {
+            let command = Operate::Command(Command::ListEngines(engines));
+            self.handle_operate(super::operations::Origin::EngineList, command, now, effects);
+        }
+    }
+}
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -4,7 +4,7 @@
 //! as it asks for them. The snapshot is encoded once and serves all followers until more was changed
 //! since than one answer holds.
 
-use super::{ControlMachine, Out, Waiting};
+use super::{ControlMachine, Effects, Waiting};
 use topazyard_replication::Snapshot;
 use topazyard_replication::snapshot::{PART_BYTES, Row};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId, Place};
@@ -14,19 +14,19 @@
 use topazyard_wire::{Effect, RowChange};
 
 /// After how long without a return a follower that still asks counts as one that hears nothing.
-const DEAF_AFTER: DurationMs = DurationMs(1_000);
+const RESPONSE_TIMEOUT: DurationMs = DurationMs(1_000);
 /// How many snapshots are kept: followers that fetch the one before the newest may end with it.
-const SNAPSHOTS: usize = 2;
+const MAX_SNAPSHOTS: usize = 2;
 
 /// The snapshots that followers fetch, the newest last.
 pub(crate) type Snapshots = std::collections::VecDeque<Snapshot>;
 
-fn weight_of_changes(changes: &[RowChange]) -> usize {
+fn size_of_changes(changes: &[RowChange]) -> usize {
     let value = |change: &RowChange| change.value.as_ref().map_or(0, |value| value.len());
     changes.iter().map(|change| change.key.len() + value(change)).sum()
 }
 
-fn weight_of_rows(rows: &[Row]) -> usize {
+fn size_of_rows(rows: &[Row]) -> usize {
     rows.iter().map(|(key, value)| key.len() + value.len()).sum()
 }
 
@@ -37,13 +37,13 @@
         from: std::net::SocketAddr,
         message: FeedMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let FeedMessage::Ask { nonce, after, part, heard, health } = message else { return };
         if self.replica.is_serving() {
             // Who speaks but hears nothing counts as silent: it can do no duty.
-            if heard.is_some_and(|age| age < DEAF_AFTER) {
-                self.seen.take(sender, health, now);
+            if heard.is_some_and(|age| age < RESPONSE_TIMEOUT) {
+                self.reports.receive(sender, health, now);
             }
             self.submit(Vec::new(), Waiting::Follower { to: from, nonce, after, part });
             return;
@@ -55,74 +55,74 @@
             epoch: record.map(|record| record.epoch).unwrap_or_default(),
             primary: primary.map(|primary| primary.address),
         };
-        out.push(Effect::Send { to: from, message: Message::Feed(message) });
+        effects.push(Effect::Send { to: from, message: Message::Feed(message) });
     }
 
-    pub(super) fn send_news(
+    pub(super) fn send_update(
         &mut self,
         to: std::net::SocketAddr,
         nonce: u64,
         after: Place,
         part: Option<PartWanted>,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
-        let (place, matter) = self.news(after, part);
+        let (place, matter) = self.update_after(after, part);
         let message = FeedMessage::News { nonce, place, matter };
-        out.push(Effect::Send { to, message: Message::Feed(message) });
+        effects.push(Effect::Send { to, message: Message::Feed(message) });
     }
 
     /// What a follower is answered, and the place that it reaches by it.
-    fn news(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
+    fn update_after(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
         if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
             return (place, matter);
         }
         let place = self.replica.copy().place();
-        if let Some(changes) = self.few_changes_after(after) {
+        if let Some(changes) = self.bounded_changes_after(after) {
             return (place, Matter::Changes(changes));
         }
-        let rows = self.fed_rows();
-        if weight_of_rows(&rows) <= PART_BYTES {
+        let rows = self.feed_rows();
+        if size_of_rows(&rows) <= PART_BYTES {
             return (place, Matter::View(rows));
         }
         let first = |snapshot: &Snapshot| Some((snapshot.place(), Matter::Part(snapshot.part(0)?)));
-        let found = self.fitting_snapshot(after).and_then(first);
+        let found = self.usable_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
             let snapshot = Snapshot::of(place, &rows);
-            let answer = first(&snapshot);
+            let response = first(&snapshot);
             self.keep_snapshot(snapshot);
-            answer.unwrap_or((place, Matter::View(rows)))
+            response.unwrap_or((place, Matter::View(rows)))
         })
     }
 
     /// The part that a follower lacks next of a snapshot that is still kept.
-    fn next_part(&self, after: Place, wanted: PartWanted) -> Option<(Place, Matter)> {
-        let is_meant = |snapshot: &&Snapshot| snapshot.place() == wanted.place;
-        let snapshot = self.snapshots.iter().find(is_meant)?;
-        let part = snapshot.part(wanted.part)?;
-        (wanted.place > after).then_some((wanted.place, Matter::Part(part)))
+    fn next_part(&self, after: Place, request: PartWanted) -> Option<(Place, Matter)> {
+        let is_requested = |snapshot: &&Snapshot| snapshot.place() == request.place;
+        let snapshot = self.snapshots.iter().find(is_requested)?;
+        let part = snapshot.part(request.part)?;
+        (request.place > after).then_some((request.place, Matter::Part(part)))
     }
 
     /// The changes after a place, if they are all remembered and fit in one answer.
-    fn few_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
+    fn bounded_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
         changes.retain(|change| is_fed(&change.key));
-        (weight_of_changes(&changes) <= PART_BYTES).then_some(changes)
+        (size_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
     /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
-    fn fitting_snapshot(&self, after: Place) -> Option<&Snapshot> {
+    fn usable_snapshot(&self, after: Place) -> Option<&Snapshot> {
         let newest = self.snapshots.back().filter(|snapshot| snapshot.place() > after)?;
-        self.few_changes_after(newest.place()).map(|_| newest)
+        self.bounded_changes_after(newest.place()).map(|_| newest)
     }
 
     fn keep_snapshot(&mut self, snapshot: Snapshot) {
         self.snapshots.push_back(snapshot);
-        if self.snapshots.len() > SNAPSHOTS {
+        if self.snapshots.len() > MAX_SNAPSHOTS {
             self.snapshots.pop_front();
         }
     }
 
-    fn fed_rows(&self) -> Vec<Row> {
+    fn feed_rows(&self) -> Vec<Row> {
         let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_fed(key));
         rows.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -1,7 +1,7 @@
 //! How the nodes that follow the feed fare, as they say it with each asking.
 
 use super::{ControlMachine, Waiting};
-use crate::planner::Standings;
+use crate::planner::StorageStatus;
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::disk::DiskState;
@@ -11,95 +11,96 @@
 use topazyard_wire::state::FleetView;
 
 /// After how long without a word a node is probed out of turn.
-const DOUBT_AFTER: DurationMs = DurationMs(500);
+const SUSPECT_TIMEOUT: DurationMs = DurationMs(500);
 /// A write that takes longer marks a disk as slow.
 const SLOW_WRITE_MS: u64 = 1_000;
 /// For how long a slow disk stays marked.
-const SLOW_FOR: DurationMs = DurationMs(15_000);
+const SLOW_DISK_TTL: DurationMs = DurationMs(15_000);
 
 #[derive(Debug, Clone)]
-pub(crate) struct SeenNode {
+pub(crate) struct NodeReport {
     pub(crate) health: Health,
-    pub(crate) at: MonotonicMs,
+    pub(crate) received_at: MonotonicMs,
     slow_until: MonotonicMs,
 }
 
 /// What was last heard of each follower.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Seen {
-    pub(crate) nodes: std::collections::BTreeMap<NodeId, SeenNode>,
+pub(crate) struct NodeReports {
+    pub(crate) by_node: std::collections::BTreeMap<NodeId, NodeReport>,
 }
 
-impl Seen {
+impl NodeReports {
     /// How a storage node's disk fares, as it said last.
     pub(super) fn disk(&self, id: NodeId) -> Option<DiskState> {
-        match &self.nodes.get(&id)?.health {
+        match &self.by_node.get(&id)?.health {
             Health::Storage { disk, .. } => Some(*disk),
             Health::Edge { .. } => None,
         }
     }
 
-    pub(super) fn take(&mut self, sender: NodeId, health: Health, now: MonotonicMs) {
+    pub(super) fn receive(&mut self, sender: NodeId, health: Health, now: MonotonicMs) {
         let slow = matches!(&health, Health::Storage { write_wait_ms, .. } if *write_wait_ms >= SLOW_WRITE_MS);
-        let before = self.nodes.get(&sender).map_or(MonotonicMs(0), |seen| seen.slow_until);
-        let slow_until = if slow { now.plus(SLOW_FOR) } else { before };
-        self.nodes.insert(sender, SeenNode { health, at: now, slow_until });
-        self.nodes.retain(|_, seen| now.since(seen.at) < DurationMs(60_000));
+        let before = self.by_node.get(&sender).map_or(MonotonicMs(0), |report| report.slow_until);
+        let slow_until = if slow { now.plus(SLOW_DISK_TTL) } else { before };
+        self.by_node.insert(sender, NodeReport { health, received_at: now, slow_until });
+        self.by_node.retain(|_, report| now.since(report.received_at) < DurationMs(60_000));
     }
 }
 
 impl ControlMachine {
     /// How each storage node stands, for the planner.
-    pub(super) fn storage_standings(
+    pub(super) fn storage_status(
         &self,
-        known: &FleetView,
+        fleet: &FleetView,
         serving_since: MonotonicMs,
         now: MonotonicMs,
-    ) -> Standings {
+    ) -> StorageStatus {
         let copies = u16::try_from(self.backups() + 1).unwrap_or(u16::MAX);
-        let mut standings = Standings { copies, ..Default::default() };
-        for (id, seen) in &self.seen.nodes {
-            if let Health::Storage { member, .. } = &seen.health
-                && now.since(seen.at) < self.timeouts.down
+        let mut status = StorageStatus { copies, ..Default::default() };
+        for (id, report) in &self.reports.by_node {
+            if let Health::Storage { member, .. } = &report.health
+                && now.since(report.received_at) < self.timeouts.suspected_down
             {
-                standings.heard.insert(*id, member.clone());
-                if now.since(seen.at) >= DOUBT_AFTER {
-                    standings.silent.insert(*id);
+                status.reachable.insert(*id, member.clone());
+                if now.since(report.received_at) >= SUSPECT_TIMEOUT {
+                    status.suspected.insert(*id);
                 }
             }
         }
-        for id in known.storage.keys() {
-            let heard = self.seen.nodes.get(id).map_or(serving_since, |seen| seen.at);
+        for id in fleet.storage.keys() {
+            let heard =
+                self.reports.by_node.get(id).map_or(serving_since, |report| report.received_at);
             // Who comes back after all were silent does so one by one: the first is no better a
             // primary than the others, which were never down.
-            let alone = self.last_alone.unwrap_or(serving_since);
-            let silence = now.since(heard.max(serving_since).max(alone));
-            let doubted = self.membership.standing(*id) != Some(Standing::Alive);
-            let is_silent =
-                silence >= self.timeouts.surely_down || (silence >= self.timeouts.down && doubted);
-            if is_silent || self.is_displaced(known, *id) {
-                standings.down.insert(*id);
+            let isolated_at = self.last_isolated.unwrap_or(serving_since);
+            let silence = now.since(heard.max(serving_since).max(isolated_at));
+            let suspected = self.membership.standing(*id) != Some(Standing::Alive);
+            let is_down = silence >= self.timeouts.silent_down
+                || (silence >= self.timeouts.suspected_down && suspected);
+            if is_down || self.is_replaced(fleet, *id) {
+                status.down.insert(*id);
             }
-            if self.seen.nodes.get(id).is_some_and(|seen| now < seen.slow_until) {
-                standings.slow.insert(*id);
+            if self.reports.by_node.get(id).is_some_and(|report| now < report.slow_until) {
+                status.slow.insert(*id);
             }
-            if self.seen.disk(*id) == Some(DiskState::Full) {
-                standings.full.insert(*id);
+            if self.reports.disk(*id) == Some(DiskState::Full) {
+                status.full.insert(*id);
             }
         }
-        standings.settled = now.since(serving_since) >= self.timeouts.settle;
-        standings
+        status.settled = now.since(serving_since) >= self.timeouts.settle;
+        status
     }
 
     /// Whether another node was heard at a storage node's address after it: its disk is gone, and
     /// its id with it.
-    fn is_displaced(&self, known: &FleetView, id: NodeId) -> bool {
-        let Some(row) = known.storage.get(&id) else { return false };
-        let heard = self.seen.nodes.get(&id).map(|seen| seen.at);
-        self.seen.nodes.iter().any(|(other, seen)| match &seen.health {
+    fn is_replaced(&self, fleet: &FleetView, id: NodeId) -> bool {
+        let Some(row) = fleet.storage.get(&id) else { return false };
+        let heard = self.reports.by_node.get(&id).map(|report| report.received_at);
+        self.reports.by_node.iter().any(|(other, report)| match &report.health {
             Health::Storage { member, .. } => {
-                let is_at_its_address = *other != id && member.address == row.member.address;
-                is_at_its_address && Some(seen.at) > heard
+                let has_same_address = *other != id && member.address == row.member.address;
+                has_same_address && Some(report.received_at) > heard
             }
             Health::Edge { .. } => false,
         })
@@ -107,9 +108,10 @@
 
     /// Probes storage nodes that have gone silent on the feed, so that a doubt which is right is
     /// confirmed soon and one which is wrong does no harm.
-    pub(super) fn probe_the_silent(&mut self, now: MonotonicMs) {
-        let silent = self.seen.nodes.iter().filter(|(_, seen)| {
-            matches!(seen.health, Health::Storage { .. }) && now.since(seen.at) >= DOUBT_AFTER
+    pub(super) fn probe_suspected(&mut self, now: MonotonicMs) {
+        let silent = self.reports.by_node.iter().filter(|(_, report)| {
+            matches!(report.health, Health::Storage { .. })
+                && now.since(report.received_at) >= SUSPECT_TIMEOUT
         });
         for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.membership.probe_next(id);
@@ -117,33 +119,33 @@
     }
 
     /// Keeps a shard primary's wish until nothing else is under way.
-    pub(super) fn take_wish(&mut self, sender: NodeId, wish: ShardWish) {
+    pub(super) fn receive_change_request(&mut self, sender: NodeId, wish: ShardWish) {
         let is_shard = topazyard_types::ShardId::all().any(|shard| shard == wish.shard);
         if self.replica.is_serving() && is_shard {
-            self.wishes.insert(wish.shard, (sender, wish));
+            self.change_requests.insert(wish.shard, (sender, wish));
         }
     }
 
     /// Fulfils the wishes that came, all in one batch: each is about a shard of its own, and a fleet that
     /// starts together has one for each.
-    pub(super) fn fulfil_wishes(&mut self, now: MonotonicMs) {
-        if self.wishes.is_empty() || self.replica.has_changes_pending() {
+    pub(super) fn apply_change_requests(&mut self, now: MonotonicMs) {
+        if self.change_requests.is_empty() || self.replica.has_changes_pending() {
             return;
         }
-        let wishes = std::mem::take(&mut self.wishes);
+        let requests = std::mem::take(&mut self.change_requests);
         if !self.replica.is_serving() {
             return;
         }
-        let view = FleetView::read(self.replica.copy().rows());
-        let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
+        let fleet = FleetView::read(self.replica.copy().rows());
+        let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
         let mut changes = Vec::new();
-        for (shard, (sender, wish)) in wishes {
-            let record = view.shards.get(&shard);
+        for (shard, (sender, wish)) in requests {
+            let record = fleet.shards.get(&shard);
             // Only one made in the shard's present epoch.
-            let is_present =
+            let is_current =
                 |record: &&ShardRecord| record.epoch == wish.epoch && record.primary.id == sender;
-            let Some(record) = record.filter(is_present) else { continue };
-            if let Some(next) = wished(&view, &standings, record, &wish.wish) {
+            let Some(record) = record.filter(is_current) else { continue };
+            if let Some(next) = changed_record(&fleet, &status, record, &wish.wish) {
                 let key = topazyard_wire::state::shard_key(shard);
                 changes.push(RowChange::put(key, &next));
             }
@@ -155,7 +157,7 @@
 
     /// The member that a follower said it is.
     pub(super) fn storage_member(&self, id: NodeId) -> Option<&Member> {
-        match &self.seen.nodes.get(&id)?.health {
+        match &self.reports.by_node.get(&id)?.health {
             Health::Storage { member, .. } => Some(member),
             Health::Edge { .. } => None,
         }
@@ -163,17 +165,15 @@
 }
 
 /// The record that a wish makes of a shard's.
-fn wished(
-    view: &FleetView,
-    standings: &Standings,
+fn changed_record(
+    fleet: &FleetView,
+    status: &StorageStatus,
     record: &ShardRecord,
     wish: &Wish,
 ) -> Option<ShardRecord> {
     match wish {
-        Wish::DropBackups(silent) => {
-            crate::planner::without_backups(view, standings, record, silent)
-        }
-        Wish::PromoteLearners => crate::planner::promoted_learners(view, standings, record),
-        Wish::HandOver => crate::planner::handed_over(view, standings, record),
+        Wish::DropBackups(silent) => crate::planner::replace_backups(fleet, status, record, silent),
+        Wish::PromoteLearners => crate::planner::promote_learners(fleet, status, record),
+        Wish::HandOver => crate::planner::hand_over_primary(fleet, status, record),
     }
 }
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -1,7 +1,7 @@
 //! Leaving in order: a node that is about to end has itself replaced before it goes, so that the next
 //! loss meets as many copies and witnesses as before.
 
-use super::{ControlMachine, Out};
+use super::{ControlMachine, Effects};
 use topazyard_types::{CallId, DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
@@ -9,63 +9,68 @@
 use topazyard_wire::message::operate::OperateOutcome;
 
 /// How often it is said again.
-const SAY_EVERY: DurationMs = DurationMs(100);
+const SEND_INTERVAL: DurationMs = DurationMs(100);
 
 /// A process's wish to end, while it waits for a record that does without this node.
 #[derive(Debug, Clone)]
 pub(crate) struct Leaving {
     call: CallId,
-    since: MonotonicMs,
-    said: MonotonicMs,
+    started_at: MonotonicMs,
+    last_sent: MonotonicMs,
 }
 
 impl ControlMachine {
     /// The process is about to end.
-    pub(super) fn begin_leaving(&mut self, call: CallId, now: MonotonicMs, out: &mut Out) {
-        self.leaving = Some(Leaving { call, since: now, said: now });
-        self.say_leaving(now, out);
-        self.leaving_tick(now, out);
+    pub(super) fn begin_shutdown(&mut self, call: CallId, now: MonotonicMs, effects: &mut Effects) {
+        self.leaving = Some(Leaving { call, started_at: now, last_sent: now });
+        self.send_leaving(now, effects);
+        self.leaving_tick(now, effects);
     }
 
     /// Says so again, or lets the process end once it is replaced, or can't be.
-    pub(super) fn leaving_tick(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn leaving_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(leaving) = &mut self.leaving else { return };
-        let (call, waited) = (leaving.call, now.since(leaving.since));
-        let is_due = now.since(leaving.said) >= SAY_EVERY;
+        let (call, waited) = (leaving.call, now.since(leaving.started_at));
+        let is_due = now.since(leaving.last_sent) >= SEND_INTERVAL;
         if is_due {
-            leaving.said = now;
+            leaving.last_sent = now;
         }
-        if waited >= self.timeouts.leaving || !self.is_needed() || !self.can_be_replaced(now) {
+        if waited >= self.timeouts.leaving || !self.is_in_record() || !self.can_be_replaced(now) {
             self.leaving = None;
             let value = OperateOutcome::Done(String::new());
-            out.push(Effect::Return { call, value });
+            effects.push(Effect::Return { call, value });
         } else if is_due {
-            self.say_leaving(now, out);
+            self.send_leaving(now, effects);
         }
     }
 
-    pub(super) fn say_leaving(&self, now: MonotonicMs, out: &mut Out) {
-        for node in self.others_heard(now) {
+    pub(super) fn send_leaving(&self, now: MonotonicMs, effects: &mut Effects) {
+        for node in self.reachable_others(now) {
             let message = Message::Core(CoreMessage::Leaving);
-            out.push(Effect::Send { to: node.address, message });
+            effects.push(Effect::Send { to: node.address, message });
         }
     }
 
     /// Whether the present record names this node.
-    fn is_needed(&self) -> bool {
+    fn is_in_record(&self) -> bool {
         let record = self.witness.record();
         record.is_some_and(|r| r.is_member(self.me.id) || r.is_witness(self.me.id))
     }
 
     /// Whether enough others are heard to name as many witnesses without this node.
     fn can_be_replaced(&self, now: MonotonicMs) -> bool {
-        self.others_heard(now).count() > 2 * self.backups()
+        self.reachable_others(now).count() > 2 * self.backups()
     }
 
     /// Another node ends: it counts as gone at once, rather than after its silence. Whoever leads
     /// next, the witnesses decide, so that a word that comes late does no harm.
-    pub(super) fn hear_leaving(&mut self, sender: NodeId, now: MonotonicMs, out: &mut Out) {
-        self.core.take_leaving(sender, now);
-        self.claim_tick(now, out);
+    pub(super) fn receive_leaving(
+        &mut self,
+        sender: NodeId,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
+        self.peers.note_leaving(sender, now);
+        self.epoch_change_tick(now, effects);
     }
 }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -1,19 +1,19 @@
 //! The control node's machine.
 
-mod claim;
+mod bootstrap;
+mod bootstrap_record;
 mod commands;
 pub mod configurations;
-mod confirm;
-mod core;
+mod engine_list;
+mod epoch_change;
 mod feed;
-mod founding;
-mod genesis;
 mod health;
 mod leaving;
-mod listing;
-mod operate;
+mod operations;
 mod orders;
+mod peers;
 mod queries;
+mod quorum_reads;
 mod timeouts;
 mod tuning;
 
@@ -79,44 +79,44 @@
 }
 
 /// The effects of a control node.
-pub(crate) type Out = Vec<Effect<OperateOutcome, ControlTask>>;
+pub(crate) type Effects = Vec<Effect<OperateOutcome, ControlTask>>;
 
 /// One control node.
 #[derive(Debug, Clone)]
 pub struct ControlMachine {
     pub(crate) me: CoreNode,
-    pub(crate) life: topazyard_types::Life,
+    pub(crate) boot_id: topazyard_types::Life,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
     pub(crate) bounds: topazyard_spec::Bounds,
     pub(crate) timeouts: timeouts::Timeouts,
     pub(crate) membership: Membership,
     pub(crate) witness: Witness,
     pub(crate) replica: Replica,
-    pub(crate) core: core::CoreView,
-    pub(crate) claim: Option<claim::Claim>,
+    pub(crate) peers: peers::Peers,
+    pub(crate) epoch_change: Option<epoch_change::EpochChange>,
     /// The epoch this node asked for, after which it answers nothing in the one before.
-    pub(crate) claimed: topazyard_types::Epoch,
+    pub(crate) requested_epoch: topazyard_types::Epoch,
     pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
     pub(crate) last_ticket: Ticket,
-    pub(crate) operate: operate::OperateQueue,
+    pub(crate) operations: operations::OperationQueue,
     order_bounds: orders::OrderBounds,
     configurations: configurations::Configurations,
     snapshots: feed::Snapshots,
-    pub(crate) seen: health::Seen,
-    confirming: confirm::Confirming,
+    pub(crate) reports: health::NodeReports,
+    quorum_reads: quorum_reads::QuorumReads,
     /// The last wish for each shard, with who made it, until it can be looked at.
-    wishes: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
+    change_requests: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
     tuning: tuning::Tuning,
-    listing: listing::Listing,
+    engine_list: engine_list::EngineListReader,
     /// The proposal of a new fleet's first record, while this node asks for it.
-    pub(crate) founding: Option<topazyard_replication::Proposal>,
+    pub(crate) bootstrap: Option<topazyard_replication::Proposal>,
     leaving: Option<leaving::Leaving>,
     pub(crate) serving_since: Option<MonotonicMs>,
     after_write: std::collections::BTreeMap<u64, Vec<AfterWrite>>,
     last_write: u64,
     last_plan: MonotonicMs,
     /// When no storage node was heard at all: then it is this node that is cut off.
-    last_alone: Option<MonotonicMs>,
+    last_isolated: Option<MonotonicMs>,
     remembered: topazyard_wire::driver::disked::Remembered,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
@@ -125,9 +125,9 @@
 #[derive(Debug, Clone)]
 pub(crate) enum AfterWrite {
     /// Say this.
-    Say(std::net::SocketAddr, CoreMessage),
+    Send(std::net::SocketAddr, CoreMessage),
     /// Go on with the claim.
-    BeginClaim,
+    FillLearners,
 }
 
 /// Who waits for a ticket.
@@ -142,20 +142,20 @@
     },
     /// A command whose outcome is known once it is committed.
     Command {
-        origin: operate::Origin,
+        origin: operations::Origin,
         outcome: OperateOutcome,
         /// Whether it puts a configuration in force.
         is_configuration: bool,
     },
     /// A query, answered from the committed state.
-    Query(operate::Origin, topazyard_wire::message::operate::Query),
+    Query(operations::Origin, topazyard_wire::message::operate::Query),
     /// The planner; nobody waits.
     Planner,
 }
 
 impl ControlMachine {
     /// A control node as it starts.
-    pub fn new(mut start: DiskStart, now: MonotonicMs) -> (Self, Out) {
+    pub fn new(mut start: DiskStart, now: MonotonicMs) -> (Self, Effects) {
         let me = CoreNode { id: start.member.id, address: start.member.address };
         // A disk that holds anything of a fleet is no beginning.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
@@ -164,48 +164,48 @@
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
         let remembered = start.remembered();
         let ask = start.known_control();
-        let life = topazyard_types::Life(start.chance);
+        let boot_id = topazyard_types::Life(start.chance);
         let mut machine = Self {
             me,
-            life,
+            boot_id,
             membership: Membership::new(start.member, ask, start.chance),
             seeds: start.seeds,
-            timeouts: timeouts::Timeouts::within(&start.bounds),
+            timeouts: timeouts::Timeouts::from_bounds(&start.bounds),
             bounds: start.bounds,
             witness: Witness::loaded(&witness_rows),
-            replica: Replica::new(Group::Control, true, copy, life),
-            core: core::CoreView::default(),
-            claim: None,
-            claimed: witness_rows
-                .get(claim::CLAIMED_KEY)
+            replica: Replica::new(Group::Control, true, copy, boot_id),
+            peers: peers::Peers::default(),
+            epoch_change: None,
+            requested_epoch: witness_rows
+                .get(epoch_change::REQUESTED_EPOCH_KEY)
                 .and_then(|value| topazyard_wire::rows::decode(value))
                 .unwrap_or_default(),
             waiting: std::collections::BTreeMap::new(),
             last_ticket: 0,
-            operate: operate::OperateQueue::new(life),
-            order_bounds: orders::OrderBounds::within(&start.resources),
+            operations: operations::OperationQueue::new(boot_id),
+            order_bounds: orders::OrderBounds::from_resources(&start.resources),
             configurations: configurations::Configurations::default(),
             snapshots: feed::Snapshots::new(),
-            seen: health::Seen::default(),
-            confirming: confirm::Confirming::new(life),
-            wishes: std::collections::BTreeMap::new(),
+            reports: health::NodeReports::default(),
+            quorum_reads: quorum_reads::QuorumReads::new(boot_id),
+            change_requests: std::collections::BTreeMap::new(),
             tuning: tuning::Tuning::default(),
-            listing: listing::Listing::default(),
-            founding: None,
+            engine_list: engine_list::EngineListReader::default(),
+            bootstrap: None,
             leaving: None,
             serving_since: None,
             after_write: std::collections::BTreeMap::new(),
             last_write: 0,
             last_plan: MonotonicMs(0),
-            last_alone: None,
+            last_isolated: None,
             remembered,
             disk: topazyard_wire::disk::DiskWatch::default(),
         };
-        let mut out = Vec::new();
-        machine.keep_right_to_found(is_new, &mut out);
-        machine.settle_role(now, &mut out);
-        machine.watch_writes(&out, now);
-        (machine, out)
+        let mut effects = Vec::new();
+        machine.persist_bootstrap_eligibility(is_new, &mut effects);
+        machine.assume_role(now, &mut effects);
+        machine.track_writes(&effects, now);
+        (machine, effects)
     }
 
     /// How many machines may be lost at once: as many backups confirm each commit.
@@ -242,23 +242,23 @@
     }
 
     /// Writes rows of this node's own and does something once they are synced.
-    pub(crate) fn write_own(
+    pub(crate) fn write_own_rows(
         &mut self,
         group: Group,
         changes: Vec<RowChange>,
         then: Vec<AfterWrite>,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         self.last_write += 1;
         let token = WriteToken { group, number: self.last_write };
         if !then.is_empty() {
             self.after_write.insert(self.last_write, then);
         }
-        out.push(Effect::Write { token, changes });
+        effects.push(Effect::Write { token, changes });
     }
 
     /// Checks, before anything is acknowledged, that all members of the epoch have synced it.
-    fn check_acknowledges(&self) {
+    fn check_acknowledged(&self) {
         let epoch = self.replica.epoch();
         let Some(record) = self.witness.record().filter(|record| record.epoch == epoch) else {
             return;
@@ -271,30 +271,32 @@
     }
 
     /// Deals with what the replica put out.
-    pub(crate) fn take_replica(
+    pub(crate) fn handle_replica_outputs(
         &mut self,
         outputs: Vec<ReplicaOutput>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         for output in outputs {
             match output {
                 ReplicaOutput::Send(to, message) => {
-                    out.push(Effect::Send { to, message: Message::Replica(message) });
+                    effects.push(Effect::Send { to, message: Message::Replica(message) });
+                }
+                ReplicaOutput::Write(token, changes) => {
+                    effects.push(Effect::Write { token, changes })
                 }
-                ReplicaOutput::Write(token, changes) => out.push(Effect::Write { token, changes }),
                 ReplicaOutput::Committed(tickets) => {
-                    self.check_acknowledges();
+                    self.check_acknowledged();
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
-                            self.settle(waiting, now, out);
+                            self.complete(waiting, now, effects);
                         }
                     }
                 }
                 ReplicaOutput::Lost(tickets) => {
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
-                            self.lose(&waiting, now, out);
+                            self.fail(&waiting, now, effects);
                         }
                     }
                 }
@@ -304,45 +306,45 @@
                         self.serving_since = Some(now);
                         let text =
                             format!("control primary serves in epoch {}", self.replica.epoch());
-                        out.push(Effect::Note { grave: false, text });
+                        effects.push(Effect::Note { grave: false, text });
                     }
                 }
-                ReplicaOutput::LearnersReady => self.propose(now, out),
+                ReplicaOutput::LearnersReady => self.propose(now, effects),
             }
         }
     }
 
     /// Answers one whose ticket is committed.
-    fn settle(&mut self, waiting: Waiting, now: MonotonicMs, out: &mut Out) {
+    fn complete(&mut self, waiting: Waiting, now: MonotonicMs, effects: &mut Effects) {
         match waiting {
             Waiting::Follower { to, nonce, after, part } => {
-                self.send_news(to, nonce, after, part, out);
+                self.send_update(to, nonce, after, part, effects);
             }
             Waiting::Command { origin, outcome, is_configuration } => {
                 if is_configuration {
                     self.configurations.answered(&outcome, self.version_in_force());
                 }
-                self.answer(origin, outcome, now, out);
+                self.respond(origin, outcome, now, effects);
             }
             Waiting::Query(origin, query) => {
                 let outcome = self.query(&query, now);
-                self.answer(origin, outcome, now, out);
+                self.respond(origin, outcome, now, effects);
             }
             Waiting::Planner => {}
         }
     }
 
     /// Tells one whose ticket was lost that nothing is known.
-    fn lose(&mut self, waiting: &Waiting, now: MonotonicMs, out: &mut Out) {
+    fn fail(&mut self, waiting: &Waiting, now: MonotonicMs, effects: &mut Effects) {
         use topazyard_wire::api::{ApiError, Code};
         match waiting {
             Waiting::Command { origin, .. } => {
                 let unknown = ApiError::may_have_run(Code::OutcomeUnknown);
-                self.answer(*origin, OperateOutcome::Refused(unknown), now, out);
+                self.respond(*origin, OperateOutcome::Refused(unknown), now, effects);
             }
             Waiting::Query(origin, _) => {
                 let refused = ApiError::not_run(Code::NoPrimary);
-                self.answer(*origin, OperateOutcome::Refused(refused), now, out);
+                self.respond(*origin, OperateOutcome::Refused(refused), now, effects);
             }
             // A follower asks again.
             Waiting::Follower { .. } | Waiting::Planner => {}
@@ -363,7 +365,7 @@
         from: std::net::SocketAddr,
         message: ReplicaMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         if message.group != Group::Control {
             return;
@@ -374,15 +376,15 @@
             // that asks for the same epoch could still copy over what was answered on its word.
             return;
         }
-        self.follow_claim_if_due(sender, &message, now, out);
+        self.follow_epoch_change_if_due(sender, &message, now, effects);
         let from = topazyard_replication::replica::From { id: sender, address: from };
         let outputs = self.replica.receive(from, message, now);
-        self.take_replica(outputs, now, out);
+        self.handle_replica_outputs(outputs, now, effects);
     }
 
     /// Counts the writes that are handed to the disk.
-    fn watch_writes(&mut self, out: &Out, now: MonotonicMs) {
-        for effect in out {
+    fn track_writes(&mut self, effects: &Effects, now: MonotonicMs) {
+        for effect in effects {
             if let Effect::Write { token, .. } = effect {
                 self.disk.begun(*token, now);
             }
@@ -390,9 +392,9 @@
     }
 
     /// Says in the log when the disk is full, stalls or is well again.
-    fn note_disk(&mut self, now: MonotonicMs, out: &mut Out) {
+    fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if let Some(state) = self.disk.news(now) {
-            out.push(Effect::Note { grave: false, text: state.to_string() });
+            effects.push(Effect::Note { grave: false, text: state.to_string() });
         }
     }
 
@@ -408,42 +410,42 @@
             write_wait_ms: self.disk.oldest_write(now),
             configurations_acknowledged: self.configurations.acknowledged,
             configurations_refused: self.configurations.refused,
-            orders_waiting: self.operate.waiting(),
+            orders_waiting: self.operations.waiting(),
         };
         OperateOutcome::Done(serde_json::json!(health).to_string())
     }
 
     /// Remembers where others are, so that stale seeds don't strand this node.
-    fn remember_addresses(&mut self, out: &mut Out) {
+    fn remember_addresses(&mut self, effects: &mut Effects) {
         if !self.disk.takes_more() {
             return;
         }
         if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
-            self.write_own(Group::Node, vec![row], Vec::new(), out);
+            self.write_own_rows(Group::Node, vec![row], Vec::new(), effects);
         }
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.note_disk(now, out);
+    fn tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.log_disk_state(now, effects);
         let outgoing = self.membership.tick(now);
-        out.extend(topazyard_membership::effects(outgoing));
-        self.remember_addresses(out);
-        self.core_tick(now, out);
-        self.claim_tick(now, out);
-        self.leaving_tick(now, out);
-        self.confirm_tick(now, out);
+        effects.extend(topazyard_membership::effects(outgoing));
+        self.remember_addresses(effects);
+        self.heartbeat_tick(now, effects);
+        self.epoch_change_tick(now, effects);
+        self.leaving_tick(now, effects);
+        self.quorum_read_tick(now, effects);
         let outputs = self.replica.tick(now);
-        self.take_replica(outputs, now, out);
-        self.operate_tick(now, out);
-        self.tuning_tick(now, out);
-        self.listing_tick(now, out);
+        self.handle_replica_outputs(outputs, now, effects);
+        self.operate_tick(now, effects);
+        self.tuning_tick(now, effects);
+        self.engine_list_tick(now, effects);
         if !self.replica.is_serving() {
             self.serving_since = None;
             self.snapshots.clear();
         }
-        if now.since(self.last_plan) >= crate::planner::EVERY {
+        if now.since(self.last_plan) >= crate::planner::PLAN_INTERVAL {
             self.last_plan = now;
-            self.probe_the_silent(now);
+            self.probe_suspected(now);
             self.plan(now);
         }
     }
@@ -454,14 +456,14 @@
         if self.replica.has_changes_pending() {
             return;
         }
-        let view = topazyard_wire::state::FleetView::read(self.replica.copy().rows());
-        let standings = self.storage_standings(&view, serving_since, now);
-        let speaks =
-            |id: &NodeId| standings.heard.contains_key(id) && !standings.silent.contains(id);
-        if !view.storage.is_empty() && !view.storage.keys().any(speaks) {
-            self.last_alone = Some(now);
+        let fleet = topazyard_wire::state::FleetView::read(self.replica.copy().rows());
+        let status = self.storage_status(&fleet, serving_since, now);
+        let is_responsive =
+            |id: &NodeId| status.reachable.contains_key(id) && !status.suspected.contains(id);
+        if !fleet.storage.is_empty() && !fleet.storage.keys().any(is_responsive) {
+            self.last_isolated = Some(now);
         }
-        let changes = crate::planner::plan(&view, &standings);
+        let changes = crate::planner::plan(&fleet, &status);
         if !changes.is_empty() {
             self.submit(changes, Waiting::Planner);
         }
@@ -473,40 +475,42 @@
     type Return = OperateOutcome;
     type Task = ControlTask;
 
-    fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Effects {
+        let mut effects = Vec::new();
         if let Input::Written(token) = &input {
             self.disk.synced(*token);
         }
         match input {
-            Input::Tick => self.tick(now, &mut out),
+            Input::Tick => self.tick(now, &mut effects),
             Input::Disk(state) => self.disk.take_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
                 let outputs = self.replica.written(token.number);
-                self.take_replica(outputs, now, &mut out);
+                self.handle_replica_outputs(outputs, now, &mut effects);
             }
             Input::Written(token) => {
                 for then in self.after_write.remove(&token.number).unwrap_or_default() {
                     match then {
-                        AfterWrite::Say(to, message) => {
-                            out.push(Effect::Send { to, message: Message::Core(message) });
+                        AfterWrite::Send(to, message) => {
+                            effects.push(Effect::Send { to, message: Message::Core(message) });
                         }
-                        AfterWrite::BeginClaim => self.copy_to_learners(now, &mut out),
+                        AfterWrite::FillLearners => self.fill_learners(now, &mut effects),
                     }
                 }
             }
             Input::Call { call, request: ControlCall::Operate(request) } => {
-                self.take_operate(operate::Origin::Local(call), request, now, &mut out);
+                self.handle_operate(operations::Origin::Local(call), request, now, &mut effects);
+            }
+            Input::Call { request: ControlCall::Loads(loads), .. } => {
+                self.receive_loads(loads, now)
             }
-            Input::Call { request: ControlCall::Loads(loads), .. } => self.take_loads(loads, now),
             Input::Call { request: ControlCall::Engines(list), .. } => {
-                self.take_list(list, now, &mut out);
+                self.receive_engine_list(list, now, &mut effects);
             }
             Input::Call { call, request: ControlCall::Leave } => {
-                self.begin_leaving(call, now, &mut out);
+                self.begin_shutdown(call, now, &mut effects);
             }
             Input::Call { call, request: ControlCall::Health } => {
-                out.push(Effect::Return { call, value: self.health(now) });
+                effects.push(Effect::Return { call, value: self.health(now) });
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
@@ -515,28 +519,32 @@
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
                     let outgoing = self.membership.receive(from, message, now);
-                    out.extend(topazyard_membership::effects(outgoing));
+                    effects.extend(topazyard_membership::effects(outgoing));
+                }
+                Message::Core(message) => {
+                    self.receive_core(sender, from, message, now, &mut effects)
                 }
-                Message::Core(message) => self.receive_core(sender, from, message, now, &mut out),
                 Message::Replica(message) => {
-                    self.receive_replica(sender, from, message, now, &mut out)
+                    self.receive_replica(sender, from, message, now, &mut effects)
+                }
+                Message::Feed(message) => {
+                    self.receive_feed(sender, from, message, now, &mut effects)
                 }
-                Message::Feed(message) => self.receive_feed(sender, from, message, now, &mut out),
-                Message::Wish(wish) => self.take_wish(sender, wish),
+                Message::Wish(wish) => self.receive_change_request(sender, wish),
                 Message::Operate(message) => {
-                    self.receive_operate(sender, from, message, now, &mut out);
+                    self.receive_operate(sender, from, message, now, &mut effects);
                 }
                 Message::Confirm(message) => {
-                    self.receive_confirm(sender, from, message, now, &mut out);
+                    self.receive_confirm(sender, from, message, now, &mut effects);
                 }
                 Message::Counter(_) | Message::Batch(_) | Message::Told(..) => {}
             },
         }
-        self.fulfil_wishes(now);
-        self.run_commands(now, &mut out);
+        self.apply_change_requests(now);
+        self.run_commands(now, &mut effects);
         let outputs = self.replica.proceed(now);
-        self.take_replica(outputs, now, &mut out);
-        self.watch_writes(&out, now);
-        out
+        self.handle_replica_outputs(outputs, now, &mut effects);
+        self.track_writes(&effects, now);
+        effects
     }
 }
--- a/programs/topazyard-control/src/machine/operate.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -6,7 +6,7 @@
 //! that passed it on, which says so of one copy alone, and the word counts for a short time from
 //! when it was asked for. No clocks are compared.
 
-use super::{ControlMachine, Out, Waiting};
+use super::{ControlMachine, Effects, Waiting};
 use topazyard_types::{CallId, DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
@@ -14,16 +14,16 @@
 use topazyard_wire::message::operate::{Command, Operate, OperateMessage, OperateOutcome};
 
 /// Commands that may wait.
-const QUEUE_LIMIT: usize = 256;
+const MAX_QUEUED_COMMANDS: usize = 256;
 /// How long a call that was passed on may take.
-const PASSED_ON_LIMIT: DurationMs = DurationMs(4_000);
+const FORWARD_TIMEOUT: DurationMs = DurationMs(4_000);
 /// How long a command whose refusal holds for good may wait at the primary.
-const QUEUED_LIMIT: DurationMs = DurationMs(4_000);
+const QUEUE_TIMEOUT: DurationMs = DurationMs(4_000);
 /// How long after it came a node says of a command that its caller still waits.
-const CONFIRMS_WITHIN: DurationMs = DurationMs(700);
+const CALLER_CONFIRM_TIMEOUT: DurationMs = DurationMs(700);
 /// How long after it asked for it that word counts at the primary. Together they are less than the
 /// 900 ms after which an operator is told that nothing is known.
-const CONFIRMED_FOR: DurationMs = DurationMs(150);
+const CONFIRMATION_TTL: DurationMs = DurationMs(150);
 
 /// Who asked.
 #[derive(Debug, Clone, Copy)]
@@ -31,30 +31,31 @@
     /// A caller of this process.
     Local(CallId),
     /// Another control node.
-    Passed(NodeId, std::net::SocketAddr, u64),
+    Forwarded(NodeId, std::net::SocketAddr, u64),
     /// This node's own duty of tuning weights.
     Tuner,
     /// This node's own duty of reading the list of engines.
-    Listing,
+    EngineList,
 }
 
 #[derive(Debug, Clone)]
-struct PassedOn {
+struct Forwarded {
     origin: Origin,
     /// Who was asked; nobody else's answer counts.
     to: NodeId,
     is_command: bool,
-    since: MonotonicMs,
+    sent_at: MonotonicMs,
     /// Whether it runs only once that was confirmed, and which copy of it was.
     must_be_fresh: bool,
     confirmed: Option<u64>,
 }
 
-impl PassedOn {
+impl Forwarded {
     /// Why no answer came.
-    fn lost(&self) -> ApiError {
-        let surely_not_run = !self.is_command || (self.must_be_fresh && self.confirmed.is_none());
-        match surely_not_run {
+    fn no_response_error(&self) -> ApiError {
+        let certainly_not_run =
+            !self.is_command || (self.must_be_fresh && self.confirmed.is_none());
+        match certainly_not_run {
             true => ApiError::not_run(Code::NoPrimary),
             false => ApiError::may_have_run(Code::OutcomeUnknown),
         }
@@ -67,18 +68,18 @@
     origin: Origin,
     command: Command,
     /// It is worked on before then, or not at all.
-    until: MonotonicMs,
+    deadline: MonotonicMs,
 }
 
 /// A command that waits for the word that its caller still does.
 #[derive(Debug, Clone)]
-struct Offered {
+struct Unconfirmed {
     from: NodeId,
     queued: Queued,
 }
 
 /// The log's line for an operator's order that was not taken.
-fn not_taken(
+fn refusal_note(
     command: &Command,
     error: &ApiError,
 ) -> Option<Effect<OperateOutcome, super::ControlTask>> {
@@ -91,106 +92,112 @@
         Command::RetireNamed(name) => format!("retirement of {name}"),
         _ => return None,
     };
-    let text = format!("{order} not taken: {}", error.code);
+    let text = format!("{order} refused: {}", error.code);
     Some(Effect::Note { grave: false, text })
 }
 
 /// Calls that wait.
 #[derive(Debug, Clone)]
-pub(crate) struct OperateQueue {
+pub(crate) struct OperationQueue {
     commands: std::collections::VecDeque<Queued>,
-    offered: std::collections::BTreeMap<u64, Offered>,
-    passed_on: std::collections::BTreeMap<u64, PassedOn>,
+    unconfirmed: std::collections::BTreeMap<u64, Unconfirmed>,
+    forwarded: std::collections::BTreeMap<u64, Forwarded>,
     last_id: u64,
 }
 
-impl OperateQueue {
-    pub(super) fn new(life: topazyard_types::Life) -> Self {
+impl OperationQueue {
+    pub(super) fn new(boot_id: topazyard_types::Life) -> Self {
         Self {
             commands: std::collections::VecDeque::new(),
-            offered: std::collections::BTreeMap::new(),
-            passed_on: std::collections::BTreeMap::new(),
-            last_id: life.first_number(),
+            unconfirmed: std::collections::BTreeMap::new(),
+            forwarded: std::collections::BTreeMap::new(),
+            last_id: boot_id.first_number(),
         }
     }
 }
 
-impl OperateQueue {
+impl OperationQueue {
     fn queued(&self) -> usize {
-        self.commands.len() + self.offered.len()
+        self.commands.len() + self.unconfirmed.len()
     }
 
     /// Calls that wait here, or for the node that they were passed on to.
     pub(super) fn waiting(&self) -> usize {
-        self.queued() + self.passed_on.len()
+        self.queued() + self.forwarded.len()
     }
 }
 
 impl ControlMachine {
-    pub(super) fn take_operate(
+    pub(super) fn handle_operate(
         &mut self,
         origin: Origin,
         request: Operate,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         if self.replica.is_serving() {
             match request {
                 Operate::Query(query) => {
                     self.submit(Vec::new(), Waiting::Query(origin, query));
                 }
-                Operate::Command(command) if self.operate.queued() < QUEUE_LIMIT => {
-                    self.queue(origin, command, now, out);
+                Operate::Command(command) if self.operations.queued() < MAX_QUEUED_COMMANDS => {
+                    self.enqueue_command(origin, command, now, effects);
                 }
-                Operate::Command(_) => self.refuse(origin, Code::NoPrimary, now, out),
+                Operate::Command(_) => self.refuse(origin, Code::NoPrimary, now, effects),
             }
             return;
         }
         let primary = self.witness.record().map(|record| record.primary);
         match (origin, primary) {
             (Origin::Local(_) | Origin::Tuner, Some(primary)) if primary.id != self.me.id => {
-                self.operate.last_id += 1;
-                let id = self.operate.last_id;
+                self.operations.last_id += 1;
+                let id = self.operations.last_id;
                 let must_be_fresh =
                     matches!(&request, Operate::Command(command) if command.must_be_fresh());
-                let passed = PassedOn {
+                let call = Forwarded {
                     origin,
                     to: primary.id,
                     is_command: matches!(request, Operate::Command(_)),
-                    since: now,
+                    sent_at: now,
                     must_be_fresh,
                     confirmed: None,
                 };
-                self.operate.passed_on.insert(id, passed);
+                self.operations.forwarded.insert(id, call);
                 let message = Message::Operate(OperateMessage::Ask { id, request });
-                out.push(Effect::Send { to: primary.address, message });
+                effects.push(Effect::Send { to: primary.address, message });
             }
-            _ => self.refuse(origin, Code::NoPrimary, now, out),
+            _ => self.refuse(origin, Code::NoPrimary, now, effects),
         }
     }
 
     /// Has a command wait its turn, or first for the word that its caller still waits.
-    fn queue(&mut self, origin: Origin, command: Command, now: MonotonicMs, out: &mut Out) {
+    fn enqueue_command(
+        &mut self,
+        origin: Origin,
+        command: Command,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
         let must_be_fresh = command.must_be_fresh();
-        let limit = match origin {
-            _ if !must_be_fresh => QUEUED_LIMIT,
-            Origin::Passed(..) => CONFIRMED_FOR,
-            Origin::Local(_) | Origin::Tuner | Origin::Listing => CONFIRMS_WITHIN,
+        let timeout = match origin {
+            _ if !must_be_fresh => QUEUE_TIMEOUT,
+            Origin::Forwarded(..) => CONFIRMATION_TTL,
+            Origin::Local(_) | Origin::Tuner | Origin::EngineList => CALLER_CONFIRM_TIMEOUT,
         };
-        let queued = Queued { origin, command, until: now.plus(limit) };
-        let Origin::Passed(from, to, id) = origin else {
-            self.operate.commands.push_back(queued);
+        let queued = Queued { origin, command, deadline: now.plus(timeout) };
+        let Origin::Forwarded(from, to, id) = origin else {
+            self.operations.commands.push_back(queued);
             return;
         };
         if !must_be_fresh {
-            self.operate.commands.push_back(queued);
+            self.operations.commands.push_back(queued);
             return;
         }
-        self.operate.last_id += 1;
-        let offer = self.operate.last_id;
-        self.operate.offered.insert(offer, Offered { from, queued });
+        self.operations.last_id += 1;
+        let offer = self.operations.last_id;
+        self.operations.unconfirmed.insert(offer, Unconfirmed { from, queued });
         let message = Message::Operate(OperateMessage::ConfirmWaiting { id, offer });
-        out.push(Effect::Send { to, message });
+        effects.push(Effect::Send { to, message });
     }
 
     pub(super) fn receive_operate(
@@ -199,68 +206,69 @@
         from: std::net::SocketAddr,
         message: OperateMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         match message {
             OperateMessage::Ask { id, request } => {
-                self.take_operate(Origin::Passed(sender, from, id), request, now, out);
+                self.handle_operate(Origin::Forwarded(sender, from, id), request, now, effects);
             }
             OperateMessage::Answer { id, outcome } => {
-                let passed = self.operate.passed_on.get(&id);
-                if passed.is_none_or(|passed| passed.to != sender) {
+                let call = self.operations.forwarded.get(&id);
+                if call.is_none_or(|call| call.to != sender) {
                     return;
                 }
-                if let Some(passed) = self.operate.passed_on.remove(&id) {
-                    self.answer(passed.origin, outcome, now, out);
+                if let Some(call) = self.operations.forwarded.remove(&id) {
+                    self.respond(call.origin, outcome, now, effects);
                 }
             }
             OperateMessage::ConfirmWaiting { id, offer } => {
-                if self.confirms(sender, id, offer, now) {
+                if self.confirm_waiting(sender, id, offer, now) {
                     let message = Message::Operate(OperateMessage::StillWaiting { offer });
-                    out.push(Effect::Send { to: from, message });
+                    effects.push(Effect::Send { to: from, message });
                 }
             }
-            OperateMessage::StillWaiting { offer } => self.take_confirmation(sender, offer, now),
+            OperateMessage::StillWaiting { offer } => self.receive_confirmation(sender, offer, now),
         }
     }
 
     /// Whether the caller of an asking still waits, and no other copy of it was confirmed.
-    fn confirms(&mut self, asked: NodeId, id: u64, offer: u64, now: MonotonicMs) -> bool {
-        let Some(passed) = self.operate.passed_on.get_mut(&id) else { return false };
-        let waits = passed.to == asked && now.since(passed.since) < CONFIRMS_WITHIN;
-        waits && *passed.confirmed.get_or_insert(offer) == offer
+    fn confirm_waiting(&mut self, sender: NodeId, id: u64, offer: u64, now: MonotonicMs) -> bool {
+        let Some(call) = self.operations.forwarded.get_mut(&id) else { return false };
+        let is_waiting = call.to == sender && now.since(call.sent_at) < CALLER_CONFIRM_TIMEOUT;
+        is_waiting && *call.confirmed.get_or_insert(offer) == offer
     }
 
     /// The caller of a command waits: it is worked on next, unless the word took too long.
-    fn take_confirmation(&mut self, sender: NodeId, offer: u64, now: MonotonicMs) {
-        let offered = self.operate.offered.get(&offer);
-        if offered.is_none_or(|offered| offered.from != sender) {
+    fn receive_confirmation(&mut self, sender: NodeId, offer: u64, now: MonotonicMs) {
+        let unconfirmed = self.operations.unconfirmed.get(&offer);
+        if unconfirmed.is_none_or(|unconfirmed| unconfirmed.from != sender) {
             return;
         }
-        if let Some(offered) = self.operate.offered.remove(&offer)
-            && now < offered.queued.until
+        if let Some(unconfirmed) = self.operations.unconfirmed.remove(&offer)
+            && now < unconfirmed.queued.deadline
         {
-            self.operate.commands.push_back(offered.queued);
+            self.operations.commands.push_back(unconfirmed.queued);
         }
     }
 
     /// Works on the next command, unless changes are under way on which it could depend.
-    pub(super) fn run_commands(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn run_commands(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if !self.replica.is_serving() || self.replica.has_changes_pending() {
             return;
         }
-        let Some(Queued { origin, command, until }) = self.operate.commands.pop_front() else {
+        let Some(Queued { origin, command, deadline }) = self.operations.commands.pop_front()
+        else {
             return;
         };
-        if now >= until {
-            self.refuse(origin, Code::NoPrimary, now, out);
+        if now >= deadline {
+            self.refuse(origin, Code::NoPrimary, now, effects);
             return;
         }
         // A refusal is committed like a read: what it was judged by is then confirmed state.
-        let (changes, outcome) = match self.judge(&command, now) {
+        let (changes, outcome) = match self.evaluate(&command, now) {
             Ok((changes, done)) => (changes, OperateOutcome::Done(done.to_string())),
             Err(error) => {
-                out.extend(not_taken(&command, &error));
+                effects.extend(refusal_note(&command, &error));
                 (Vec::new(), OperateOutcome::Refused(error))
             }
         };
@@ -268,58 +276,58 @@
         self.submit(changes, Waiting::Command { origin, outcome, is_configuration });
     }
 
-    pub(super) fn answer(
+    pub(super) fn respond(
         &mut self,
         origin: Origin,
         outcome: OperateOutcome,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
-        out.push(match origin {
-            Origin::Tuner => return self.tuner_told(&outcome, now, out),
+        effects.push(match origin {
+            Origin::Tuner => return self.apply_tuning(&outcome, now, effects),
             // The next list says it again.
-            Origin::Listing => return,
+            Origin::EngineList => return,
             Origin::Local(call) => Effect::Return { call, value: outcome },
-            Origin::Passed(_, to, id) => Effect::Send {
+            Origin::Forwarded(_, to, id) => Effect::Send {
                 to,
                 message: Message::Operate(OperateMessage::Answer { id, outcome }),
             },
         });
     }
 
-    fn refuse(&mut self, origin: Origin, code: Code, now: MonotonicMs, out: &mut Out) {
-        self.answer(origin, OperateOutcome::Refused(ApiError::not_run(code)), now, out);
+    fn refuse(&mut self, origin: Origin, code: Code, now: MonotonicMs, effects: &mut Effects) {
+        self.respond(origin, OperateOutcome::Refused(ApiError::not_run(code)), now, effects);
     }
 
     /// Refuses commands that were never worked on.
-    pub(super) fn refuse_all_queued(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.operate.offered.clear();
-        for queued in std::mem::take(&mut self.operate.commands) {
-            self.refuse(queued.origin, Code::NoPrimary, now, out);
+    pub(super) fn refuse_all_queued(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.operations.unconfirmed.clear();
+        for queued in std::mem::take(&mut self.operations.commands) {
+            self.refuse(queued.origin, Code::NoPrimary, now, effects);
         }
     }
 
-    pub(super) fn operate_tick(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn operate_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         // Whoever passed one of these on may have confirmed another copy: nothing is said of it.
-        self.operate.offered.retain(|_, offered| now < offered.queued.until);
-        let commands = std::mem::take(&mut self.operate.commands);
-        let (waiting, late): (std::collections::VecDeque<_>, std::collections::VecDeque<_>) =
-            commands.into_iter().partition(|queued| now < queued.until);
-        self.operate.commands = waiting;
-        for queued in late {
-            self.refuse(queued.origin, Code::NoPrimary, now, out);
+        self.operations.unconfirmed.retain(|_, unconfirmed| now < unconfirmed.queued.deadline);
+        let commands = std::mem::take(&mut self.operations.commands);
+        let (waiting, expired): (std::collections::VecDeque<_>, std::collections::VecDeque<_>) =
+            commands.into_iter().partition(|queued| now < queued.deadline);
+        self.operations.commands = waiting;
+        for queued in expired {
+            self.refuse(queued.origin, Code::NoPrimary, now, effects);
         }
-        let late: Vec<u64> = self
-            .operate
-            .passed_on
+        let expired: Vec<u64> = self
+            .operations
+            .forwarded
             .iter()
-            .filter(|(_, passed)| now.since(passed.since) >= PASSED_ON_LIMIT)
+            .filter(|(_, call)| now.since(call.sent_at) >= FORWARD_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
-            if let Some(passed) = self.operate.passed_on.remove(&id) {
-                let outcome = OperateOutcome::Refused(passed.lost());
-                self.answer(passed.origin, outcome, now, out);
+        for id in expired {
+            if let Some(call) = self.operations.forwarded.remove(&id) {
+                let outcome = OperateOutcome::Refused(call.no_response_error());
+                self.respond(call.origin, outcome, now, effects);
             }
         }
     }
--- a/programs/topazyard-control/src/machine/orders.rs
+++ b/programs/topazyard-control/src/machine/orders.rs
@@ -15,14 +15,14 @@
 };
 
 /// How many whole texts are kept; older ones can't be read or signed.
-const TEXTS_KEPT: usize = 64;
+const MAX_TEXTS: usize = 64;
 /// What digests may weigh where nothing limits the process, and which part of its memory and of its
 /// disk. One takes 23 bytes at most.
-const MOST_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
-const DIGEST_PART: u64 = 64;
+const MAX_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
+const DIGEST_DIVISOR: u64 = 64;
 /// The same for whole texts. On disk a file of pages takes a byte 2.2 times.
-const MOST_TEXT_BYTES: u64 = 64 * 1024 * 1024;
-const TEXT_PART: u64 = 8;
+const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
+const TEXT_DIVISOR: u64 = 8;
 
 /// How many bytes of rows may remember orders.
 #[derive(Debug, Clone, Copy)]
@@ -33,52 +33,52 @@
 
 impl OrderBounds {
     /// The bounds of a process with such resources.
-    pub(super) fn within(resources: &topazyard_spec::Resources) -> Self {
+    pub(super) fn from_resources(resources: &topazyard_spec::Resources) -> Self {
         let limits = [resources.memory_bytes, resources.disk_bytes];
-        let bound = |most: u64, part: u64| {
-            let limited = limits.iter().filter(|limit| **limit > 0).map(|limit| limit / part);
-            limited.min().map_or(most, |limit| limit.min(most))
+        let bound = |max: u64, divisor: u64| {
+            let limited = limits.iter().filter(|limit| **limit > 0).map(|limit| limit / divisor);
+            limited.min().map_or(max, |limit| limit.min(max))
         };
         Self {
-            digest_bytes: bound(MOST_DIGEST_BYTES, DIGEST_PART),
-            text_bytes: bound(MOST_TEXT_BYTES, TEXT_PART),
+            digest_bytes: bound(MAX_DIGEST_BYTES, DIGEST_DIVISOR),
+            text_bytes: bound(MAX_TEXT_BYTES, TEXT_DIVISOR),
         }
     }
 }
 
 /// What is known of an order that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Known {
+pub(super) enum OrderStatus {
     /// It was taken.
-    Taken,
+    Accepted,
     /// It was not taken.
-    NotTaken,
+    NotAccepted,
     /// It is as old as orders that were forgotten.
     Forgotten,
 }
 
 /// The error for an order of which nothing can be said.
-pub(super) fn unclear() -> ApiError {
+pub(super) fn outcome_unknown() -> ApiError {
     ApiError::may_have_run(Code::OutcomeUnknown)
 }
 
-fn weight(key: &str, value: &[u8]) -> u64 {
+fn row_bytes(key: &str, value: &[u8]) -> u64 {
     (key.len() + value.len()) as u64
 }
 
 impl ControlMachine {
     /// What is known of an order that would make, or made, a version.
-    pub(super) fn known_order(&self, version: SpecVersion, digest: Digest) -> Known {
+    pub(super) fn order_status(&self, version: SpecVersion, digest: Digest) -> OrderStatus {
         match self.remembered_digest(version) {
-            Some(taken) if taken == digest => Known::Taken,
-            Some(_) => Known::NotTaken,
-            None if version <= self.forgotten_up_to() => Known::Forgotten,
-            None => Known::NotTaken,
+            Some(accepted) if accepted == digest => OrderStatus::Accepted,
+            Some(_) => OrderStatus::NotAccepted,
+            None if version <= self.forgotten_up_to() => OrderStatus::Forgotten,
+            None => OrderStatus::NotAccepted,
         }
     }
 
     /// Whether any order made that version, as far as can be told.
-    pub(super) fn may_be_taken(&self, version: SpecVersion) -> bool {
+    pub(super) fn may_be_accepted(&self, version: SpecVersion) -> bool {
         version <= self.forgotten_up_to() || self.remembered_digest(version).is_some()
     }
 
@@ -125,15 +125,15 @@
             let rows = self.replica.copy().with_prefix(ORDERS);
             rows.filter(|(key, _)| *key != written.key)
         };
-        let mut bytes = weight(&written.key, value)
-            + others().map(|(key, value)| weight(key, value)).sum::<u64>();
+        let mut bytes = row_bytes(&written.key, value)
+            + others().map(|(key, value)| row_bytes(key, value)).sum::<u64>();
         let mut changes = Vec::new();
         let mut forgotten = None;
         for (key, value) in others() {
             if bytes <= self.order_bounds.digest_bytes {
                 break;
             }
-            bytes -= weight(key, value);
+            bytes -= row_bytes(key, value);
             changes.push(RowChange::gone(key));
             let row = topazyard_wire::rows::decode::<OrdersRow>(value).unwrap_or_default();
             forgotten = row.orders.last().map(|order| order.version).or(forgotten);
@@ -156,12 +156,12 @@
             rows.filter(|(key, _)| *key != written.key)
         };
         let mut count = 1 + others().count();
-        let mut bytes = weight(&written.key, value)
-            + others().map(|(key, value)| weight(key, value)).sum::<u64>();
+        let mut bytes = row_bytes(&written.key, value)
+            + others().map(|(key, value)| row_bytes(key, value)).sum::<u64>();
         let newest = others().last().map(|(key, _)| key);
         let mut changes = Vec::new();
         for (key, value) in others() {
-            if count <= TEXTS_KEPT && bytes <= self.order_bounds.text_bytes {
+            if count <= MAX_TEXTS && bytes <= self.order_bounds.text_bytes {
                 break;
             }
             // Versions are counted on from the newest text.
@@ -170,7 +170,7 @@
                 continue;
             }
             count -= 1;
-            bytes -= weight(key, value);
+            bytes -= row_bytes(key, value);
             changes.push(RowChange::gone(key));
         }
         changes
--- a/programs/topazyard-control/src/machine/core.rs
+++ b/programs/topazyard-control/src/machine/peers.rs
@@ -1,39 +1,39 @@
 //! Heartbeats between core nodes, by which records spread.
 
-use super::{AfterWrite, ControlMachine, Out, genesis};
+use super::{AfterWrite, ControlMachine, Effects, bootstrap_record};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
 use topazyard_wire::message::membership::Duty;
 use topazyard_wire::{Effect, Group};
 
-const HEARTBEAT_EVERY: DurationMs = DurationMs(250);
+const HEARTBEAT_INTERVAL: DurationMs = DurationMs(250);
 /// Within which time a core node counts as heard.
-pub(super) const HEARD_WITHIN: DurationMs = DurationMs(1_000);
+pub(super) const REACHABLE_TIMEOUT: DurationMs = DurationMs(1_000);
 /// After how long it is forgotten that a node said that it ends: by then its silence says so.
-const FORGET_AFTER: DurationMs = DurationMs(60_000);
+const LEAVING_TTL: DurationMs = DurationMs(60_000);
 
 /// A core node as it was last heard.
 #[derive(Debug, Clone)]
-pub(crate) struct Heard {
+pub(crate) struct Peer {
     pub(crate) node: CoreNode,
-    pub(crate) at: MonotonicMs,
+    pub(crate) last_heard: MonotonicMs,
     /// When it last said that its disk takes writes.
-    wrote: MonotonicMs,
+    last_writable: MonotonicMs,
     /// Whether it takes writes now.
     pub(super) takes_writes: bool,
     /// Whether it knows no record at all.
-    pub(super) empty: bool,
+    pub(super) has_no_record: bool,
     /// Whether it hears this node.
-    pub(super) hears_us: bool,
+    pub(super) receives_from_us: bool,
     /// Its zone.
     pub(super) zone: topazyard_types::ZoneName,
 }
 
 /// What is known of the other core nodes.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct CoreView {
-    pub(crate) heard: std::collections::BTreeMap<NodeId, Heard>,
+pub(crate) struct Peers {
+    pub(crate) known: std::collections::BTreeMap<NodeId, Peer>,
     last_heartbeat: MonotonicMs,
     /// Nodes that said that they end, with when they last said so.
     leaving: std::collections::BTreeMap<NodeId, MonotonicMs>,
@@ -41,16 +41,19 @@
     pub(crate) watching_since: Option<MonotonicMs>,
 }
 
-impl CoreView {
+impl Peers {
     /// Whether a node was heard lately.
-    pub(crate) fn is_heard(&self, id: NodeId, now: MonotonicMs) -> bool {
+    pub(crate) fn is_reachable(&self, id: NodeId, now: MonotonicMs) -> bool {
         !self.leaving.contains_key(&id)
-            && self.heard.get(&id).is_some_and(|heard| now.since(heard.at) < HEARD_WITHIN)
+            && self
+                .known
+                .get(&id)
+                .is_some_and(|peer| now.since(peer.last_heard) < REACHABLE_TIMEOUT)
     }
 
     /// Takes a node's word that it ends. It counts as gone at once.
-    pub(crate) fn take_leaving(&mut self, id: NodeId, now: MonotonicMs) {
-        self.leaving.retain(|_, said| now.since(*said) < FORGET_AFTER);
+    pub(crate) fn note_leaving(&mut self, id: NodeId, now: MonotonicMs) {
+        self.leaving.retain(|_, last_received| now.since(*last_received) < LEAVING_TTL);
         self.leaving.insert(id, now);
     }
 
@@ -60,34 +63,36 @@
     }
 
     /// The other nodes that were heard lately.
-    pub(crate) fn heard_lately(&self, now: MonotonicMs) -> impl Iterator<Item = &Heard> {
-        self.heard.values().filter(move |heard| self.is_heard(heard.node.id, now))
+    pub(crate) fn reachable(&self, now: MonotonicMs) -> impl Iterator<Item = &Peer> {
+        self.known.values().filter(move |peer| self.is_reachable(peer.node.id, now))
     }
 
     /// Whether a node hears this one, as it said last.
-    pub(crate) fn is_heard_by(&self, id: NodeId) -> bool {
-        self.heard.get(&id).is_some_and(|heard| heard.hears_us)
+    pub(crate) fn receives_from_us(&self, id: NodeId) -> bool {
+        self.known.get(&id).is_some_and(|peer| peer.receives_from_us)
     }
 
     /// For how long this process has watched.
-    pub(crate) fn watched(&self, now: MonotonicMs) -> DurationMs {
+    pub(crate) fn observed_for(&self, now: MonotonicMs) -> DurationMs {
         self.watching_since.map_or(DurationMs(0), |since| now.since(since))
     }
 
     /// A node is heard: if it said that it ends, and no longer says so, it has come back.
-    fn returned(&mut self, id: NodeId, now: MonotonicMs) {
-        self.leaving.retain(|other, said| *other != id || now.since(*said) < HEARD_WITHIN);
+    fn note_returned(&mut self, id: NodeId, now: MonotonicMs) {
+        self.leaving.retain(|other, last_received| {
+            *other != id || now.since(*last_received) < REACHABLE_TIMEOUT
+        });
     }
 
     /// Whether a node was heard lately and may be given a duty that writes.
     pub(crate) fn takes_writes(&self, id: NodeId, now: MonotonicMs) -> bool {
-        self.is_heard(id, now) && self.heard.get(&id).is_some_and(|heard| heard.takes_writes)
+        self.is_reachable(id, now) && self.known.get(&id).is_some_and(|peer| peer.takes_writes)
     }
 
     /// The nodes that said last that their disk is full.
     pub(crate) fn full_nodes(&self) -> Vec<std::net::SocketAddr> {
-        let full = self.heard.values().filter(|heard| !heard.takes_writes);
-        full.map(|heard| heard.node.address).collect()
+        let full = self.known.values().filter(|peer| !peer.takes_writes);
+        full.map(|peer| peer.node.address).collect()
     }
 
     /// For how long a node has not been heard, or has said that its disk takes no writes.
@@ -95,25 +100,25 @@
         if self.is_leaving(id) {
             return DurationMs(u64::MAX);
         }
-        let since = self.heard.get(&id).map(|heard| heard.wrote).or(self.watching_since);
+        let since = self.known.get(&id).map(|peer| peer.last_writable).or(self.watching_since);
         since.map_or(DurationMs(0), |since| now.since(since))
     }
 }
 
 impl ControlMachine {
-    pub(super) fn core_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.core.watching_since.get_or_insert(now);
-        if now.since(self.core.last_heartbeat) < HEARTBEAT_EVERY {
+    pub(super) fn heartbeat_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.peers.watching_since.get_or_insert(now);
+        if now.since(self.peers.last_heartbeat) < HEARTBEAT_INTERVAL {
             return;
         }
-        self.announce(now, out);
-        self.founding_tick(now, out);
+        self.send_heartbeats(now, effects);
+        self.bootstrap_tick(now, effects);
     }
 
     /// Tells the other core nodes which record this node knows.
-    fn announce(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.core.last_heartbeat = now;
-        let heard: Vec<CoreNode> = self.core.heard_lately(now).map(|heard| heard.node).collect();
+    fn send_heartbeats(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.peers.last_heartbeat = now;
+        let heard: Vec<CoreNode> = self.peers.reachable(now).map(|peer| peer.node).collect();
         let record = self.witness.record().cloned();
         let mut to: std::collections::BTreeSet<std::net::SocketAddr> =
             self.seeds.iter().copied().collect();
@@ -122,20 +127,25 @@
         to.extend(record.iter().flat_map(|r| r.witnesses.iter().map(|node| node.address)));
         to.remove(&self.me.address);
         for to in to {
-            let tick = CoreMessage::Heartbeat {
+            let heartbeat = CoreMessage::Heartbeat {
                 record: record.clone(),
                 heard: heard.clone(),
                 zone: self.membership.own_zone().clone(),
                 takes_writes: !self.disk.is_full(),
             };
-            out.push(Effect::Send { to, message: Message::Core(tick) });
+            effects.push(Effect::Send { to, message: Message::Core(heartbeat) });
         }
     }
 
     /// Takes a decided record: the one place where this node's epoch changes.
-    pub(super) fn learn_record(&mut self, record: &EpochRecord, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn learn_record(
+        &mut self,
+        record: &EpochRecord,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
         let Some(changes) = self.witness.learn(record) else { return };
-        self.write_own(Group::Witness, changes, Vec::new(), out);
+        self.write_own_rows(Group::Witness, changes, Vec::new(), effects);
         let backups: Vec<String> =
             record.backups.iter().map(|node| node.address.to_string()).collect();
         let text = format!(
@@ -144,18 +154,18 @@
             record.primary.address,
             backups.join(" ")
         );
-        out.push(Effect::Note { grave: false, text });
-        self.claim = None;
-        self.founding = None;
+        effects.push(Effect::Note { grave: false, text });
+        self.epoch_change = None;
+        self.bootstrap = None;
         // Told before anything is asked in its epoch: a backup confirms nothing before it knows.
-        self.announce(now, out);
-        self.settle_role(now, out);
+        self.send_heartbeats(now, effects);
+        self.assume_role(now, effects);
     }
 
     /// Takes the role that the record gives this node.
-    pub(super) fn settle_role(&mut self, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn assume_role(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(record) = self.witness.record().cloned() else { return };
-        let stopped = self.claimed > record.epoch;
+        let stopped = self.requested_epoch > record.epoch;
         let outputs = if stopped {
             // It asked for a later epoch before it restarted: nothing more in this one.
             self.replica.become_idle(record.epoch)
@@ -171,9 +181,9 @@
         } else {
             self.replica.become_idle(record.epoch)
         };
-        self.take_replica(outputs, now, out);
+        self.handle_replica_outputs(outputs, now, effects);
         if !self.replica.is_primary() {
-            self.refuse_all_queued(now, out);
+            self.refuse_all_queued(now, effects);
         }
     }
 
@@ -183,47 +193,47 @@
         from: std::net::SocketAddr,
         message: CoreMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         match message {
             CoreMessage::Heartbeat { record, heard, zone, takes_writes } => {
-                let known = self.core.heard.get(&sender).map(|known| known.wrote);
-                let wrote = if takes_writes { now } else { known.unwrap_or(now) };
-                self.core.heard.retain(|id, other| *id == sender || other.node.address != from);
-                let seen = Heard {
+                let known = self.peers.known.get(&sender).map(|known| known.last_writable);
+                let last_writable = if takes_writes { now } else { known.unwrap_or(now) };
+                self.peers.known.retain(|id, other| *id == sender || other.node.address != from);
+                let peer = Peer {
                     node: CoreNode { id: sender, address: from },
-                    at: now,
-                    wrote,
+                    last_heard: now,
+                    last_writable,
                     takes_writes,
-                    empty: record.is_none(),
-                    hears_us: heard.iter().any(|node| node.id == self.me.id),
+                    has_no_record: record.is_none(),
+                    receives_from_us: heard.iter().any(|node| node.id == self.me.id),
                     zone,
                 };
-                self.core.heard.insert(sender, seen);
-                self.core.returned(sender, now);
+                self.peers.known.insert(sender, peer);
+                self.peers.note_returned(sender, now);
                 if let Some(record) = record {
-                    self.learn_record(&record, now, out);
+                    self.learn_record(&record, now, effects);
                 }
             }
             CoreMessage::Prepare { base, ballot } => {
-                self.learn_base(&base, now, out);
-                self.vote(from, |witness| witness.prepare(&base, ballot), out);
+                self.learn_base_record(&base, now, effects);
+                self.vote(from, |witness| witness.prepare(&base, ballot), effects);
             }
             CoreMessage::Accept { base, ballot, record } => {
-                self.learn_base(&base, now, out);
-                self.vote(from, |witness| witness.accept(&base, ballot, record), out);
+                self.learn_base_record(&base, now, effects);
+                self.vote(from, |witness| witness.accept(&base, ballot, record), effects);
             }
-            CoreMessage::Leaving => self.hear_leaving(sender, now, out),
+            CoreMessage::Leaving => self.receive_leaving(sender, now, effects),
             CoreMessage::Promise { .. }
             | CoreMessage::Accepted { .. }
-            | CoreMessage::Outbid { .. } => self.hear_witness(sender, from, &message, now, out),
+            | CoreMessage::Outbid { .. } => self.receive_vote(sender, from, &message, now, effects),
         }
     }
 
     /// Learns the record that a proposal follows. What the first record follows is none.
-    fn learn_base(&mut self, base: &EpochRecord, now: MonotonicMs, out: &mut Out) {
-        if base.epoch != genesis::GENESIS {
-            self.learn_record(base, now, out);
+    fn learn_base_record(&mut self, base: &EpochRecord, now: MonotonicMs, effects: &mut Effects) {
+        if base.epoch != bootstrap_record::BOOTSTRAP_EPOCH {
+            self.learn_record(base, now, effects);
         }
     }
 
@@ -231,22 +241,27 @@
     fn vote(
         &mut self,
         to: std::net::SocketAddr,
-        ask: impl FnOnce(
+        cast_vote: impl FnOnce(
             &mut topazyard_replication::Witness,
         ) -> Option<(Vec<topazyard_wire::RowChange>, CoreMessage)>,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let record = self.witness.record().or(self.witness.genesis());
         let (id, address) = (self.me.id, self.me.address);
-        if record.and_then(|record| genesis::voter(record, id, address)).is_none() {
+        if record.and_then(|record| bootstrap_record::voter_id(record, id, address)).is_none() {
             return;
         }
         // A vote counts once it is synced: who votes anew in the meantime is asked again.
         if !self.disk.takes_more() {
             return;
         }
-        if let Some((changes, say)) = ask(&mut self.witness) {
-            self.write_own(Group::Witness, changes, vec![AfterWrite::Say(to, say)], out);
+        if let Some((changes, reply)) = cast_vote(&mut self.witness) {
+            self.write_own_rows(
+                Group::Witness,
+                changes,
+                vec![AfterWrite::Send(to, reply)],
+                effects,
+            );
         }
     }
 }
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -16,8 +16,8 @@
             Query::ReadSource => return self.read_source(),
             Query::ListSpecs => Some(self.list_specs()),
             Query::ListEngines => {
-                let view = FleetView::read(self.replica.copy().rows());
-                Some(serde_json::json!({ "engines": view.engines.values().collect::<Vec<_>>() }))
+                let fleet = FleetView::read(self.replica.copy().rows());
+                Some(serde_json::json!({ "engines": fleet.engines.values().collect::<Vec<_>>() }))
             }
             Query::ListStorage => Some(self.list_storage(now)),
             Query::Retirement(name) => return self.retirement(name, now),
@@ -32,8 +32,8 @@
 
     /// How far a retirement has come: `active` or `completed`.
     fn retirement(&self, name: &str, now: MonotonicMs) -> OperateOutcome {
-        let view = FleetView::read(self.replica.copy().rows());
-        let row = self.named(&view, name, now).and_then(|id| view.storage.get(&id));
+        let fleet = FleetView::read(self.replica.copy().rows());
+        let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
         match row.map(|row| row.stage) {
             None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
             Some(StorageStage::Retired) => OperateOutcome::Done(r#"{"state":"completed"}"#.into()),
@@ -87,13 +87,13 @@
     }
 
     fn list_storage(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetView::read(self.replica.copy().rows());
-        let nodes: Vec<_> = view
+        let fleet = FleetView::read(self.replica.copy().rows());
+        let nodes: Vec<_> = fleet
             .storage
             .iter()
             .map(|(id, row)| {
-                let seen = self.seen.nodes.get(id);
-                let write_wait_ms = seen.and_then(|seen| match &seen.health {
+                let report = self.reports.by_node.get(id);
+                let write_wait_ms = report.and_then(|report| match &report.health {
                     Health::Storage { write_wait_ms, .. } => Some(*write_wait_ms),
                     Health::Edge { .. } => None,
                 });
@@ -103,14 +103,14 @@
                     "address": row.member.address,
                     "zone": row.member.zone,
                     "stage": row.stage,
-                    "shards": crate::planner::hosted(&view, *id),
-                    "heard_ms_ago": seen.map(|seen| now.since(seen.at)),
-                    "disk": self.seen.disk(*id),
+                    "shards": crate::planner::hosted_copies(&fleet, *id),
+                    "heard_ms_ago": report.map(|report| now.since(report.received_at)),
+                    "disk": self.reports.disk(*id),
                     "write_wait_ms": write_wait_ms,
                 })
             })
             .collect();
-        let shards: Vec<_> = view
+        let shards: Vec<_> = fleet
             .shards
             .iter()
             .map(|(shard, record)| {
@@ -134,7 +134,7 @@
     }
 
     fn fleet_state(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetView::read(self.replica.copy().rows());
         let members: Vec<_> = self
             .membership
             .remembered()
@@ -152,13 +152,13 @@
             })
             .collect();
         let relays: Vec<_> = self
-            .seen
-            .nodes
+            .reports
+            .by_node
             .iter()
-            .filter_map(|(id, seen)| match &seen.health {
+            .filter_map(|(id, report)| match &report.health {
                 Health::Edge { ready, waiting, refused } => Some(serde_json::json!({
                     "node": id, "ready": ready, "waiting": waiting, "refused": refused,
-                    "heard_ms_ago": now.since(seen.at),
+                    "heard_ms_ago": now.since(report.received_at),
                 })),
                 Health::Storage { .. } => None,
             })
@@ -169,15 +169,15 @@
                 "epoch": record.epoch,
                 "primary": record.primary.address,
                 "backups": record.backups.iter().map(|b| b.address).collect::<Vec<_>>(),
-                "full": self.core.full_nodes(),
+                "full": self.peers.full_nodes(),
                 "witnesses": record.witnesses.iter().map(|w| w.address).collect::<Vec<_>>(),
             })),
             "place": self.replica.copy().place(),
-            "spec": view.spec.as_ref().map(|(version, _)| version),
+            "spec": fleet.spec.as_ref().map(|(version, _)| version),
             "members": members,
             "relays": relays,
-            "engines": view.engines.values().collect::<Vec<_>>(),
-            "weights": view.weights.iter().map(|(pool, weight)| serde_json::json!({
+            "engines": fleet.engines.values().collect::<Vec<_>>(),
+            "weights": fleet.weights.iter().map(|(pool, weight)| serde_json::json!({
                 "pool": pool, "live_percent": weight.live_percent })).collect::<Vec<_>>(),
             "storage": self.list_storage(now),
         })
--- a/programs/topazyard-control/src/machine/confirm.rs
+++ b/programs/topazyard-control/src/machine/quorum_reads.rs
@@ -5,7 +5,7 @@
 //! the question came, that they accepted none, the backup's copy lacked nothing when it was asked. It
 //! may hold a batch more than was committed; whoever is named by a later record only there waits.
 
-use super::{ControlMachine, Out};
+use super::{ControlMachine, Effects};
 use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
@@ -13,41 +13,41 @@
 use topazyard_wire::message::control::EpochRecord;
 
 /// After how long without a majority the witnesses are asked anew.
-const ASK_AGAIN: DurationMs = DurationMs(100);
+const ROUND_RETRY_INTERVAL: DurationMs = DurationMs(100);
 /// Storage nodes whose questions may wait; they ask again.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 
 /// Who asked, with the question's mark.
-type Asked = (std::net::SocketAddr, u64);
+type Requester = (std::net::SocketAddr, u64);
 
 /// A round of questions to the witnesses.
 #[derive(Debug, Clone)]
 struct Round {
     nonce: u64,
     epoch: Epoch,
-    begun: MonotonicMs,
+    started_at: MonotonicMs,
     confirmed_by: std::collections::BTreeSet<NodeId>,
     /// The questions that came before it began, and so are answered by it.
-    asked: Vec<Asked>,
+    requesters: Vec<Requester>,
 }
 
 /// The questions of storage nodes that wait for a quorum read.
 #[derive(Debug, Clone)]
-pub(super) struct Confirming {
-    waiting: Vec<Asked>,
+pub(super) struct QuorumReads {
+    waiting: Vec<Requester>,
     round: Option<Round>,
     last_nonce: u64,
 }
 
-impl Confirming {
-    pub(super) fn new(life: Life) -> Self {
-        Self { waiting: Vec::new(), round: None, last_nonce: life.first_number() }
+impl QuorumReads {
+    pub(super) fn new(boot_id: Life) -> Self {
+        Self { waiting: Vec::new(), round: None, last_nonce: boot_id.first_number() }
     }
 
     /// Keeps the newest question of each node.
-    fn take(&mut self, from: std::net::SocketAddr, nonce: u64) {
-        self.waiting.retain(|(asker, _)| *asker != from);
-        if self.waiting.len() < MOST_WAITING {
+    fn enqueue(&mut self, from: std::net::SocketAddr, nonce: u64) {
+        self.waiting.retain(|(requester, _)| *requester != from);
+        if self.waiting.len() < MAX_WAITING {
             self.waiting.push((from, nonce));
         }
     }
@@ -60,23 +60,23 @@
         from: std::net::SocketAddr,
         message: ConfirmMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         match message {
             ConfirmMessage::AskRecords { nonce } => {
-                if self.confirmable().is_some() {
-                    self.confirming.take(from, nonce);
-                    self.confirm_tick(now, out);
+                if self.confirmable_record().is_some() {
+                    self.quorum_reads.enqueue(from, nonce);
+                    self.quorum_read_tick(now, effects);
                 }
             }
             ConfirmMessage::AskEpoch { nonce, epoch } => {
                 if self.witness.confirms(epoch) {
-                    let stands = ConfirmMessage::EpochStands { nonce, epoch };
-                    out.push(Effect::Send { to: from, message: Message::Confirm(stands) });
+                    let reply = ConfirmMessage::EpochStands { nonce, epoch };
+                    effects.push(Effect::Send { to: from, message: Message::Confirm(reply) });
                 }
             }
             ConfirmMessage::EpochStands { nonce, epoch } => {
-                self.count_witness(sender, nonce, epoch, now, out);
+                self.count_confirmation(sender, nonce, epoch, now, effects);
             }
             ConfirmMessage::Records { .. }
             | ConfirmMessage::AskSynced { .. }
@@ -85,66 +85,69 @@
     }
 
     /// The record in which this node is a backup that holds all that was committed, if it is one.
-    fn confirmable(&self) -> Option<&EpochRecord> {
+    fn confirmable_record(&self) -> Option<&EpochRecord> {
         let record = self.witness.record()?;
         let is_backup = record.turn(self.me.id).is_some_and(|turn| turn > 0);
-        (is_backup && self.holds_all(record)).then_some(record)
+        (is_backup && self.holds_all_acknowledged(record)).then_some(record)
     }
 
     /// Begins a round if questions wait and none is under way.
-    pub(super) fn confirm_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        let Some(record) = self.confirmable() else {
-            self.confirming.waiting.clear();
-            self.confirming.round = None;
+    pub(super) fn quorum_read_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        let Some(record) = self.confirmable_record() else {
+            self.quorum_reads.waiting.clear();
+            self.quorum_reads.round = None;
             return;
         };
         let (epoch, witnesses) = (record.epoch, record.witnesses.clone());
-        if let Some(round) =
-            self.confirming.round.take_if(|round| now.since(round.begun) >= ASK_AGAIN)
+        if let Some(round) = self
+            .quorum_reads
+            .round
+            .take_if(|round| now.since(round.started_at) >= ROUND_RETRY_INTERVAL)
         {
-            for (from, nonce) in round.asked {
-                let asks_anew = self.confirming.waiting.iter().any(|(asker, _)| *asker == from);
-                if !asks_anew {
-                    self.confirming.take(from, nonce);
+            for (from, nonce) in round.requesters {
+                let has_newer_request =
+                    self.quorum_reads.waiting.iter().any(|(requester, _)| *requester == from);
+                if !has_newer_request {
+                    self.quorum_reads.enqueue(from, nonce);
                 }
             }
         }
-        if self.confirming.round.is_some() || self.confirming.waiting.is_empty() {
+        if self.quorum_reads.round.is_some() || self.quorum_reads.waiting.is_empty() {
             return;
         }
-        self.confirming.last_nonce += 1;
-        let nonce = self.confirming.last_nonce;
-        self.confirming.round = Some(Round {
+        self.quorum_reads.last_nonce += 1;
+        let nonce = self.quorum_reads.last_nonce;
+        self.quorum_reads.round = Some(Round {
             nonce,
             epoch,
-            begun: now,
+            started_at: now,
             confirmed_by: std::collections::BTreeSet::new(),
-            asked: std::mem::take(&mut self.confirming.waiting),
+            requesters: std::mem::take(&mut self.quorum_reads.waiting),
         });
         for witness in witnesses.iter().filter(|witness| witness.id != self.me.id) {
-            let ask = ConfirmMessage::AskEpoch { nonce, epoch };
-            out.push(Effect::Send { to: witness.address, message: Message::Confirm(ask) });
+            let request = ConfirmMessage::AskEpoch { nonce, epoch };
+            effects.push(Effect::Send { to: witness.address, message: Message::Confirm(request) });
         }
-        self.count_witness(self.me.id, nonce, epoch, now, out);
+        self.count_confirmation(self.me.id, nonce, epoch, now, effects);
     }
 
     /// A witness confirms the epoch: with a majority the waiting questions are answered.
-    fn count_witness(
+    fn count_confirmation(
         &mut self,
         witness: NodeId,
         nonce: u64,
         epoch: Epoch,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
-        let Some(record) = self.confirmable() else { return };
-        let is_counted = record.is_witness(witness) && record.epoch == epoch;
+        let Some(record) = self.confirmable_record() else { return };
+        let is_current_witness = record.is_witness(witness) && record.epoch == epoch;
         let is_own = witness == self.me.id;
-        if !is_counted || (is_own && !self.witness.confirms(epoch)) {
+        if !is_current_witness || (is_own && !self.witness.confirms(epoch)) {
             return;
         }
         let majority = record.witnesses.len() / 2 + 1;
-        let Some(round) = &mut self.confirming.round else { return };
+        let Some(round) = &mut self.quorum_reads.round else { return };
         if round.nonce != nonce || round.epoch != epoch {
             return;
         }
@@ -152,14 +155,14 @@
         if round.confirmed_by.len() < majority {
             return;
         }
-        let asked = std::mem::take(&mut round.asked);
-        self.confirming.round = None;
+        let requesters = std::mem::take(&mut round.requesters);
+        self.quorum_reads.round = None;
         let epochs = self.shard_epochs();
-        for (to, nonce) in asked {
+        for (to, nonce) in requesters {
             let records = ConfirmMessage::Records { nonce, epochs: epochs.clone() };
-            out.push(Effect::Send { to, message: Message::Confirm(records) });
+            effects.push(Effect::Send { to, message: Message::Confirm(records) });
         }
-        self.confirm_tick(now, out);
+        self.quorum_read_tick(now, effects);
     }
 
     /// The epoch of each shard's record in this node's copy.
--- a/programs/topazyard-control/src/machine/timeouts.rs
+++ b/programs/topazyard-control/src/machine/timeouts.rs
@@ -14,7 +14,7 @@
     /// After how long without a word the backup asks to take over.
     pub(crate) primary: DurationMs,
     /// How much longer each further backup waits, so that one is ahead of the others.
-    pub(crate) turn: DurationMs,
+    pub(crate) per_rank: DurationMs,
     /// After how long a write that is not synced makes a primary ask for another replica.
     pub(crate) write: DurationMs,
     /// After how long a silent witness is exchanged for a spare core node: well before the next
@@ -23,9 +23,9 @@
     /// After how long without a learner in step another is tried.
     pub(crate) learner: DurationMs,
     /// After how long without a word a storage node that the membership doubts too counts as down.
-    pub(crate) down: DurationMs,
+    pub(crate) suspected_down: DurationMs,
     /// After how long without a word it counts as down whatever the membership says.
-    pub(crate) surely_down: DurationMs,
+    pub(crate) silent_down: DurationMs,
     /// How long a node that is about to end waits until others stand in its place.
     pub(crate) leaving: DurationMs,
     /// How long a primary listens before it places anything.
@@ -33,17 +33,17 @@
 }
 
 impl Timeouts {
-    pub(crate) fn within(bounds: &topazyard_spec::Bounds) -> Self {
+    pub(crate) fn from_bounds(bounds: &topazyard_spec::Bounds) -> Self {
         let contact = |percent: u64| DurationMs(bounds.contact.0 * percent / 100);
         Self {
             backup: contact(20),
             primary: contact(27),
-            turn: contact(10),
+            per_rank: contact(10),
             write: contact(35),
             witness: DurationMs(bounds.catch_up.0 / 2),
             learner: contact(50),
-            down: contact(40),
-            surely_down: contact(100),
+            suspected_down: contact(40),
+            silent_down: contact(100),
             leaving: contact(35),
             settle: contact(35),
         }
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -1,7 +1,7 @@
 //! The duty of tuning weights: done by the first live core node in the order in which the epoch
 //! record names its witnesses, under that record's epoch. The primary refuses a lower one.
 
-use super::{ControlMachine, ControlTask, Out};
+use super::{ControlMachine, ControlTask, Effects};
 use crate::tuner::{Demand, EngineLoad};
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
@@ -10,9 +10,9 @@
 use topazyard_wire::state::FleetView;
 
 /// How often weights are looked at.
-const EVERY: DurationMs = DurationMs(1_000);
+const TUNING_INTERVAL: DurationMs = DurationMs(1_000);
 /// How old what engines said may be.
-const LOADS_FRESH: DurationMs = DurationMs(3_000);
+const LOADS_TTL: DurationMs = DurationMs(3_000);
 
 /// What the primary tells whoever tunes.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -32,36 +32,36 @@
 /// What this node keeps while the duty is its own.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tuning {
-    last: MonotonicMs,
+    last_run: MonotonicMs,
     loads: Vec<EngineLoad>,
-    loads_at: Option<MonotonicMs>,
+    loads_received_at: Option<MonotonicMs>,
 }
 
 impl ControlMachine {
     /// Whether the duty is this node's: nobody before it in the agreed order is heard.
-    fn tunes(&self, now: MonotonicMs) -> bool {
+    fn is_tuner(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let live = |id| id == self.me.id || self.core.is_heard(id, now);
+        let live = |id| id == self.me.id || self.peers.is_reachable(id, now);
         let first = record.witnesses.iter().find(|witness| live(witness.id));
         first.is_some_and(|first| first.id == self.me.id)
     }
 
-    pub(super) fn tuning_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        if now.since(self.tuning.last) < EVERY || !self.tunes(now) {
+    pub(super) fn tuning_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        if now.since(self.tuning.last_run) < TUNING_INTERVAL || !self.is_tuner(now) {
             return;
         }
-        self.tuning.last = now;
+        self.tuning.last_run = now;
         let request = Operate::Query(Query::Load);
-        self.take_operate(super::operate::Origin::Tuner, request, now, out);
+        self.handle_operate(super::operations::Origin::Tuner, request, now, effects);
     }
 
     /// What the primary knows of demand.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
-        let view = FleetView::read(self.replica.copy().rows());
-        let (_, bundle) = view.spec.as_ref()?;
+        let fleet = FleetView::read(self.replica.copy().rows());
+        let (_, bundle) = fleet.spec.as_ref()?;
         let mut demand = Demand::default();
-        for seen in self.seen.nodes.values() {
-            match &seen.health {
+        for report in self.reports.by_node.values() {
+            match &report.health {
                 Health::Edge { waiting, refused, .. } => {
                     demand.live_waiting += u64::from(*waiting);
                     demand.live_refused += u64::from(*refused);
@@ -75,9 +75,9 @@
         // Waiting and refused prompts are not told apart by pool: a fleet has few pools, and
         // raising the live share of one too many only slows batches.
         let pools = bundle.pools.iter().filter_map(|pool| {
-            let weight = view.weights.get(&pool.name)?;
+            let weight = fleet.weights.get(&pool.name)?;
             let demand = Demand {
-                limit_tokens: view.limit(pool).0,
+                limit_tokens: fleet.limit(pool).0,
                 floor_percent: bundle.weights.live_floor_percent,
                 ceiling_percent: bundle.weights.live_ceiling_percent,
                 ..demand.clone()
@@ -87,28 +87,33 @@
         let load = Load {
             epoch: self.replica.epoch(),
             pools: pools.collect(),
-            engines: view.engines.values().cloned().collect(),
+            engines: fleet.engines.values().cloned().collect(),
         };
         serde_json::to_value(load).ok()
     }
 
     /// The primary's answer to the duty's question: work out each pool's share and ask for it.
-    pub(super) fn tuner_told(&mut self, outcome: &OperateOutcome, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn apply_tuning(
+        &mut self,
+        outcome: &OperateOutcome,
+        now: MonotonicMs,
+        effects: &mut Effects,
+    ) {
         let OperateOutcome::Done(text) = outcome else { return };
         // The return of a weight that was set is of another shape, and needs nothing more.
         let Ok(load) = serde_json::from_str::<Load>(text) else { return };
-        if !self.tunes(now) {
+        if !self.is_tuner(now) {
             return;
         }
-        let fresh = self.tuning.loads_at.is_some_and(|at| now.since(at) < LOADS_FRESH);
+        let fresh = self.tuning.loads_received_at.is_some_and(|at| now.since(at) < LOADS_TTL);
         for pool in &load.pools {
             let engines: Vec<&EngineLoad> = self
                 .tuning
                 .loads
                 .iter()
                 .filter(|_| fresh)
-                .filter(|known| {
-                    load.engines.iter().any(|e| e.name == known.engine && e.pool == pool.pool)
+                .filter(|load_report| {
+                    load.engines.iter().any(|e| e.name == load_report.engine && e.pool == pool.pool)
                 })
                 .collect();
             let share = crate::tuner::next_share(pool.live_percent, &pool.demand, &engines);
@@ -118,15 +123,15 @@
                     pool: pool.pool.clone(),
                     live_percent: share,
                 };
-                let origin = super::operate::Origin::Tuner;
-                self.take_operate(origin, Operate::Command(command), now, out);
+                let origin = super::operations::Origin::Tuner;
+                self.handle_operate(origin, Operate::Command(command), now, effects);
             }
         }
-        out.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
+        effects.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
     }
 
-    pub(super) fn take_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
+    pub(super) fn receive_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
         self.tuning.loads = loads;
-        self.tuning.loads_at = Some(now);
+        self.tuning.loads_received_at = Some(now);
     }
 }
--- a/programs/topazyard-control/src/tuner.rs
+++ b/programs/topazyard-control/src/tuner.rs
@@ -48,21 +48,21 @@
 /// let crowd = Demand { live_refused: 4, ..calm };
 /// assert_eq!(next_share(70, &crowd, &[]), 85); // a jump: take it back at once
 /// ```
-pub fn next_share(now_percent: u8, demand: &Demand, engines: &[&EngineLoad]) -> u8 {
-    let now = u64::from(now_percent);
+pub fn next_share(current_percent: u8, demand: &Demand, engines: &[&EngineLoad]) -> u8 {
+    let current = u64::from(current_percent);
     let queued = engines.iter().any(|engine| engine.queued > 0);
-    let wants = demand.live_waiting > 0 || demand.live_refused > 0;
+    let live_constrained = demand.live_waiting > 0 || demand.live_refused > 0;
     // What live prompts use, with room for a jump.
     let used = demand.live_tokens * 100 / demand.limit_tokens.max(1);
-    let kept = used * HEADROOM_PERCENT / 100;
-    let next = if wants || queued {
-        now + RISE_PERCENT
-    } else if kept > now {
-        kept.min(now + RISE_PERCENT)
+    let reserved = used * HEADROOM_PERCENT / 100;
+    let next = if live_constrained || queued {
+        current + RISE_PERCENT
+    } else if reserved > current {
+        reserved.min(current + RISE_PERCENT)
     } else if demand.batch_tokens > 0 {
-        now.saturating_sub(FALL_PERCENT).max(kept)
+        current.saturating_sub(FALL_PERCENT).max(reserved)
     } else {
-        now
+        current
     };
     let bounds = u64::from(demand.floor_percent)..=u64::from(demand.ceiling_percent);
     next.clamp(*bounds.start(), *bounds.end()) as u8
@@ -120,7 +120,7 @@
     #[test]
     fn any_demand_stays_within_bounds() {
         bolero::check!().with_type::<(u8, u64, u64, u64, u64)>().with_iterations(2_000).for_each(
-            |(now, live, waiting, refused, batches)| {
+            |(current, live, waiting, refused, batches)| {
                 let wild = Demand {
                     live_tokens: *live % 1_000_000_000,
                     live_waiting: *waiting,
@@ -128,7 +128,7 @@
                     batch_tokens: *batches,
                     ..demand()
                 };
-                assert!((40..=90).contains(&next_share(*now, &wild, &[])));
+                assert!((40..=90).contains(&next_share(*current, &wild, &[])));
             },
         );
     }
--- a/programs/topazyard-control/src/witnesses.rs
+++ b/programs/topazyard-control/src/witnesses.rs
@@ -16,11 +16,11 @@
 
 /// What a choice of witnesses must hold to.
 #[derive(Debug)]
-pub struct Terms {
+pub struct Requirements {
     /// How many there should be.
-    pub wanted: usize,
+    pub count: usize,
     /// After how long without a word a witness is replaced.
-    pub silent_for: DurationMs,
+    pub silence_timeout: DurationMs,
     /// How many zones may be lost at once.
     pub lost_zones: usize,
 }
@@ -34,20 +34,23 @@
 
 /// Takes the candidate whose zone holds fewest of the chosen ones.
 fn take_next(chosen: &[Candidate], candidates: &mut Vec<Candidate>) -> Option<Candidate> {
-    let crowd = |candidate: &Candidate| in_zone(chosen, &candidate.zone);
-    let (at, _) = candidates.iter().enumerate().min_by_key(|(_, one)| (crowd(one), one.node.id))?;
+    let in_same_zone = |candidate: &Candidate| in_zone(chosen, &candidate.zone);
+    let (at, _) = candidates
+        .iter()
+        .enumerate()
+        .min_by_key(|(_, candidate)| (in_same_zone(candidate), candidate.node.id))?;
     Some(candidates.remove(at))
 }
 
 /// Those that must be chosen, and of the candidates as many more as are wanted, over as many zones as
 /// can be.
 pub fn spread(
-    must: Vec<Candidate>,
+    required: Vec<Candidate>,
     mut candidates: Vec<Candidate>,
-    wanted: usize,
+    count: usize,
 ) -> Vec<CoreNode> {
-    let mut chosen = must;
-    while chosen.len() < wanted {
+    let mut chosen = required;
+    while chosen.len() < count {
         let Some(next) = take_next(&chosen, &mut candidates) else { break };
         chosen.push(next);
     }
@@ -55,13 +58,13 @@
 }
 
 /// Whether a majority is left after the loss of the zones that hold most of them.
-pub fn outlive_zones(witnesses: &[Candidate], lost_zones: usize) -> bool {
+pub fn survive_zone_loss(witnesses: &[Candidate], lost_zones: usize) -> bool {
     let mut zones = std::collections::BTreeMap::<&ZoneName, usize>::new();
     for zone in witnesses.iter().filter_map(|witness| witness.zone.as_ref()) {
         *zones.entry(zone).or_default() += 1;
     }
     let mut counts: Vec<usize> = zones.into_values().collect();
-    counts.sort_unstable_by(|one, other| other.cmp(one));
+    counts.sort_unstable_by(|candidate, other| other.cmp(candidate));
     let lost: usize = counts.iter().take(lost_zones).sum();
     witnesses.len() - lost > witnesses.len() / 2
 }
@@ -70,43 +73,48 @@
 /// too many stand in one zone, one of them gives way to a spare of another.
 pub fn next(
     present: Vec<Candidate>,
-    must_name: &[NodeId],
+    required: &[NodeId],
     spares: Vec<Candidate>,
-    terms: &Terms,
+    requirements: &Requirements,
 ) -> Vec<CoreNode> {
-    let (must, mut spares): (Vec<_>, Vec<_>) =
-        spares.into_iter().partition(|spare| must_name.contains(&spare.node.id));
+    let (required_spares, mut spares): (Vec<_>, Vec<_>) =
+        spares.into_iter().partition(|spare| required.contains(&spare.node.id));
     let mut witnesses = present;
-    let is_held = |witness: &Candidate| must_name.contains(&witness.node.id);
-    for named in must {
+    let is_required = |witness: &Candidate| required.contains(&witness.node.id);
+    for named in required_spares {
         if witnesses.iter().any(|witness| witness.node.id == named.node.id) {
             continue;
         }
-        let replaced = most_silent(&witnesses, is_held, DurationMs(0));
-        put(&mut witnesses, named, replaced, terms.wanted);
+        let replaced = most_silent(&witnesses, is_required, DurationMs(0));
+        add_or_replace(&mut witnesses, named, replaced, requirements.count);
     }
     spares.retain(|spare| witnesses.iter().all(|witness| witness.node.id != spare.node.id));
     loop {
-        let replaced = most_silent(&witnesses, is_held, terms.silent_for);
-        if replaced.is_none() && witnesses.len() >= terms.wanted {
+        let replaced = most_silent(&witnesses, is_required, requirements.silence_timeout);
+        if replaced.is_none() && witnesses.len() >= requirements.count {
             break;
         }
         let mut others = witnesses.clone();
         replaced.map(|at| others.remove(at));
         let Some(spare) = take_next(&others, &mut spares) else { break };
-        put(&mut witnesses, spare, replaced, terms.wanted);
+        add_or_replace(&mut witnesses, spare, replaced, requirements.count);
     }
-    while !outlive_zones(&witnesses, terms.lost_zones) {
-        let Some((at, spare)) = better_spread(&witnesses, is_held, &mut spares) else { break };
+    while !survive_zone_loss(&witnesses, requirements.lost_zones) {
+        let Some((at, spare)) = better_spread(&witnesses, is_required, &mut spares) else { break };
         witnesses[at] = spare;
     }
     witnesses.into_iter().map(|witness| witness.node).collect()
 }
 
 /// Adds a witness where there are too few, or else puts it in the place of one.
-fn put(witnesses: &mut Vec<Candidate>, next: Candidate, replaced: Option<usize>, wanted: usize) {
+fn add_or_replace(
+    witnesses: &mut Vec<Candidate>,
+    next: Candidate,
+    replaced: Option<usize>,
+    count: usize,
+) {
     match replaced {
-        _ if witnesses.len() < wanted => witnesses.push(next),
+        _ if witnesses.len() < count => witnesses.push(next),
         Some(at) => witnesses[at] = next,
         None => {}
     }
@@ -114,23 +122,25 @@
 
 fn most_silent(
     witnesses: &[Candidate],
-    is_held: impl Fn(&Candidate) -> bool,
-    silent_for: DurationMs,
+    is_required: impl Fn(&Candidate) -> bool,
+    silence_timeout: DurationMs,
 ) -> Option<usize> {
-    let may_go = witnesses.iter().enumerate().filter(|(_, witness)| !is_held(witness));
-    let silent = may_go.filter(|(_, witness)| witness.silence >= silent_for);
+    let replaceable = witnesses.iter().enumerate().filter(|(_, witness)| !is_required(witness));
+    let silent = replaceable.filter(|(_, witness)| witness.silence >= silence_timeout);
     silent.max_by_key(|(at, witness)| (witness.silence, *at)).map(|(at, _)| at)
 }
 
 /// A witness of the zone that holds most, and a spare of a zone that holds fewer by two at least.
 fn better_spread(
     witnesses: &[Candidate],
-    is_held: impl Fn(&Candidate) -> bool,
+    is_required: impl Fn(&Candidate) -> bool,
     spares: &mut Vec<Candidate>,
 ) -> Option<(usize, Candidate)> {
-    let may_go = witnesses.iter().enumerate().filter(|(_, witness)| !is_held(witness));
-    let (at, crowded) = may_go.max_by_key(|(_, witness)| in_zone(witnesses, &witness.zone))?;
+    let replaceable = witnesses.iter().enumerate().filter(|(_, witness)| !is_required(witness));
+    let (at, from_largest_zone) =
+        replaceable.max_by_key(|(_, witness)| in_zone(witnesses, &witness.zone))?;
     let spare = take_next(witnesses, spares)?;
-    let gains = in_zone(witnesses, &spare.zone) + 1 < in_zone(witnesses, &crowded.zone);
-    (gains && spare.zone.is_some()).then_some((at, spare))
+    let improves =
+        in_zone(witnesses, &spare.zone) + 1 < in_zone(witnesses, &from_largest_zone.zone);
+    (improves && spare.zone.is_some()).then_some((at, spare))
 }
--- a/programs/topazyard-control/tests/placement.rs
+++ b/programs/topazyard-control/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: it mends what is lost and then stands still.
 
 use topazyard_control::planner::{
-    Standings, dropped_backups, handed_over, plan, promoted_learners,
+    StorageStatus, drop_backups, hand_over_primary, plan, promote_learners,
 };
 use topazyard_types::{NodeId, ShardId};
 use topazyard_wire::message::membership::{Duty, Member};
@@ -18,14 +18,14 @@
     }
 }
 
-fn standings(members: &[Member]) -> Standings {
+fn status(members: &[Member]) -> StorageStatus {
     let heard = members.iter().map(|member| (member.id, member.clone())).collect();
-    Standings { heard, settled: true, ..Standings::default() }
+    StorageStatus { heard, settled: true, ..StorageStatus::default() }
 }
 
 /// Lets the planner work until it changes nothing, with learners filled at once; gives how many
 /// steps that took.
-fn settle(view: &mut FleetView, standings: &Standings) -> usize {
+fn settle(view: &mut FleetView, status: &StorageStatus) -> usize {
     let mut rows = std::collections::BTreeMap::new();
     for (id, row) in &view.storage {
         let change = topazyard_wire::RowChange::put(topazyard_wire::state::storage_key(*id), row);
@@ -37,7 +37,7 @@
         rows.insert(change.key, change.value.expect("a value"));
     }
     for step in 0..100 {
-        let changes = plan(view, standings);
+        let changes = plan(view, status);
         let mut moved = !changes.is_empty();
         for change in changes {
             match change.value {
@@ -49,9 +49,8 @@
         let shards: Vec<ShardId> = view.shards.keys().copied().collect();
         for shard in shards {
             let record = &view.shards[&shard];
-            let primary_works = !standings.down.contains(&record.primary.id);
-            if let Some(next) = promoted_learners(view, standings, record).filter(|_| primary_works)
-            {
+            let primary_works = !status.down.contains(&record.primary.id);
+            if let Some(next) = promote_learners(view, status, record).filter(|_| primary_works) {
                 let key = topazyard_wire::state::shard_key(shard);
                 let change = topazyard_wire::RowChange::put(key, &next);
                 rows.insert(change.key, change.value.expect("a value"));
@@ -69,7 +68,7 @@
 fn settled_fleet() -> (Vec<Member>, FleetView) {
     let members = vec![member(1, "north"), member(2, "east"), member(3, "west")];
     let mut view = FleetView::default();
-    settle(&mut view, &standings(&members));
+    settle(&mut view, &status(&members));
     (members, view)
 }
 
@@ -88,9 +87,9 @@
 #[test]
 fn a_lost_node_leaves_no_shard_with_one_copy() {
     let (members, mut view) = settled_fleet();
-    let mut standings = standings(&members[1..]);
-    standings.down.insert(members[0].id);
-    settle(&mut view, &standings);
+    let mut status = status(&members[1..]);
+    status.down.insert(members[0].id);
+    settle(&mut view, &status);
     for record in view.shards.values() {
         assert!(record.primary.id != members[0].id);
         assert!(record.backups.first().is_some_and(|backup| backup.id != members[0].id));
@@ -103,9 +102,9 @@
     // moved them off again, five times a second, until service stopped.
     for slow in 0..3 {
         let (members, mut view) = settled_fleet();
-        let mut standings = standings(&members);
-        standings.slow.insert(members[slow].id);
-        let steps = settle(&mut view, &standings);
+        let mut status = status(&members);
+        status.slow.insert(members[slow].id);
+        let steps = settle(&mut view, &status);
         assert!(steps < 12, "{steps} steps");
         assert!(view.shards.values().all(|record| record.primary.id != members[slow].id));
     }
@@ -115,13 +114,13 @@
 fn a_lost_primary_is_followed_only_by_one_that_holds_all() {
     let (members, view) = settled_fleet();
     let (shard, record) = view.shards.iter().next().expect("a shard");
-    let dropped = dropped_backups(record, &[record.backups[0].id]).expect("it had a backup");
+    let dropped = drop_backups(record, &[record.backups[0].id]).expect("it had a backup");
     let mut view = view.clone();
     view.shards.insert(*shard, dropped.clone());
-    let mut standings = standings(&members);
-    standings.heard.remove(&dropped.primary.id);
-    standings.down.insert(dropped.primary.id);
-    let changes = plan(&view, &standings);
+    let mut status = status(&members);
+    status.reachable.remove(&dropped.primary.id);
+    status.down.insert(dropped.primary.id);
+    let changes = plan(&view, &status);
     let key = topazyard_wire::state::shard_key(*shard);
     let next = changes.iter().find(|change| change.key == key).and_then(|c| c.value.clone());
     let next: topazyard_wire::message::control::ShardRecord =
@@ -137,16 +136,18 @@
     let (members, view) = settled_fleet();
     let record = view.shards.values().next().expect("a shard");
     let backup = record.backups[0].id;
-    let mut standings = standings(&members);
-    standings.heard.remove(&backup);
-    assert_eq!(handed_over(&view, &standings, record), None, "it may be heard soon");
-    standings.down.insert(backup);
-    let alone = handed_over(&view, &standings, record).expect("it is lost");
+    let mut status = status(&members);
+    status.reachable.remove(&backup);
+    assert_eq!(hand_over_primary(&view, &status, record), None, "it may be heard soon");
+    status.down.insert(backup);
+    let alone = hand_over_primary(&view, &status, record).expect("it is lost");
     assert_eq!((alone.primary, alone.backups.len()), (record.primary, 0));
     assert!(!alone.learners.is_empty());
-    standings.down.clear();
-    standings.heard.insert(backup, members.iter().find(|m| m.id == backup).expect("known").clone());
-    let swapped = handed_over(&view, &standings, record).expect("it is heard");
+    status.down.clear();
+    status
+        .reachable
+        .insert(backup, members.iter().find(|m| m.id == backup).expect("known").clone());
+    let swapped = hand_over_primary(&view, &status, record).expect("it is heard");
     assert_eq!((swapped.primary.id, swapped.backups), (backup, vec![record.primary]));
 }
 
@@ -161,14 +162,14 @@
         stage: topazyard_wire::state::StorageStage::Retired,
     };
     view.storage.insert(NodeId(4), row);
-    let mut standings = standings(&members);
-    settle(&mut view, &standings);
-    assert_eq!(topazyard_control::planner::hosted(&view, NodeId(4)), 0);
+    let mut status = status(&members);
+    settle(&mut view, &status);
+    assert_eq!(topazyard_control::planner::hosted_copies(&view, NodeId(4)), 0);
     assert!(view.storage.contains_key(&NodeId(4)));
-    standings.heard.remove(&NodeId(4));
-    standings.down.insert(NodeId(4));
+    status.reachable.remove(&NodeId(4));
+    status.down.insert(NodeId(4));
     let gone = topazyard_wire::RowChange::gone(key);
-    assert!(plan(&view, &standings).contains(&gone));
+    assert!(plan(&view, &status).contains(&gone));
 }
 
 /// Ten nodes in five zones.
@@ -179,7 +180,7 @@
 
 fn settled_with(members: &[Member], copies: u16) -> FleetView {
     let mut view = FleetView::default();
-    settle(&mut view, &Standings { copies, ..standings(members) });
+    settle(&mut view, &StorageStatus { copies, ..status(members) });
     view
 }
 
@@ -209,21 +210,21 @@
             let left =
                 members.iter().filter(|m| ![members[one].id, members[other].id].contains(&m.id));
             let left: Vec<Member> = left.cloned().collect();
-            let mut standings = Standings { copies: 3, ..standings(&left) };
-            standings.down.extend([members[one].id, members[other].id]);
+            let mut status = StorageStatus { copies: 3, ..status(&left) };
+            status.down.extend([members[one].id, members[other].id]);
             for (shard, record) in &before {
                 let key = topazyard_wire::state::shard_key(*shard);
-                let change = plan(&view, &standings).into_iter().find(|change| change.key == key);
+                let change = plan(&view, &status).into_iter().find(|change| change.key == key);
                 let Some(value) = change.and_then(|change| change.value) else { continue };
                 let next: topazyard_wire::message::control::ShardRecord =
                     topazyard_wire::rows::decode(&value).expect("a record");
                 assert!(record.members().any(|node| node.id == next.primary.id));
                 assert!(next.backups.iter().all(|node| record.is_backup(node.id)));
             }
-            settle(&mut view, &standings);
+            settle(&mut view, &status);
             for record in view.shards.values() {
                 assert!(record.is_complete() && record.members().count() == 3);
-                assert!(record.members().all(|node| !standings.down.contains(&node.id)));
+                assert!(record.members().all(|node| !status.down.contains(&node.id)));
             }
         }
     }
@@ -234,15 +235,15 @@
     let members = ten();
     assert!(settled_with(&members[..2], 3).shards.is_empty());
     let mut view = settled_with(&members[..3], 3);
-    let mut standings = Standings { copies: 3, ..standings(&members[..2]) };
-    standings.down.insert(members[2].id);
+    let mut status = StorageStatus { copies: 3, ..status(&members[..2]) };
+    status.down.insert(members[2].id);
     for record in view.shards.values_mut() {
         let silent = [members[2].id];
-        if let Some(next) = dropped_backups(record, &silent) {
+        if let Some(next) = drop_backups(record, &silent) {
             *record = next;
         }
     }
-    settle(&mut view, &standings);
+    settle(&mut view, &status);
     assert!(view.shards.values().all(|record| !record.is_complete()));
 }
 
@@ -250,7 +251,7 @@
 fn more_copies_are_filled_while_the_old_ones_serve_and_fewer_are_enough_at_once() {
     let members = ten();
     let mut view = settled_with(&members, 2);
-    let more = Standings { copies: 3, ..standings(&members) };
+    let more = StorageStatus { copies: 3, ..status(&members) };
     for change in plan(&view, &more) {
         let next = change.value.as_deref().and_then(topazyard_wire::rows::decode);
         let next: topazyard_wire::message::control::ShardRecord = next.expect("a record");
@@ -258,7 +259,7 @@
     }
     settle(&mut view, &more);
     assert!(view.shards.values().all(|record| record.copies == 3 && record.is_complete()));
-    settle(&mut view, &Standings { copies: 1, ..standings(&members) });
+    settle(&mut view, &StorageStatus { copies: 1, ..status(&members) });
     assert!(view.shards.values().all(|record| record.copies == 1));
 }
 
@@ -272,21 +273,21 @@
     });
     let full = full.or(members.first()).expect("a member").id;
     let before = view.shards.clone();
-    let mut standings = Standings { copies: 2, ..standings(&members) };
-    standings.full.insert(full);
-    for change in plan(&view, &standings) {
+    let mut status = StorageStatus { copies: 2, ..status(&members) };
+    status.full.insert(full);
+    for change in plan(&view, &status) {
         let next: Option<topazyard_wire::message::control::ShardRecord> =
             change.value.as_deref().and_then(topazyard_wire::rows::decode);
         let next = next.expect("a record");
         assert_ne!(next.primary.id, full, "its backup leads at once");
         assert!(next.learners.iter().all(|learner| learner.id != full));
     }
-    settle(&mut view, &standings);
+    settle(&mut view, &status);
     assert!(view.shards.values().all(|record| record.members().all(|node| node.id != full)));
     assert!(view.shards.values().all(|record| record.is_complete()));
     // Its copies are worth their place again once there is room.
-    standings.full.clear();
-    settle(&mut view, &standings);
+    status.full.clear();
+    settle(&mut view, &status);
     assert_eq!(view.shards.len(), before.len());
     assert!(view.storage.contains_key(&full), "it was never forgotten");
 }
@@ -296,9 +297,9 @@
     let (members, mut view) = settled_fleet();
     let full: Vec<NodeId> = members.iter().map(|member| member.id).collect();
     let before = view.shards.clone();
-    let mut standings = standings(&members);
-    standings.full.extend(full);
-    settle(&mut view, &standings);
+    let mut status = status(&members);
+    status.full.extend(full);
+    settle(&mut view, &status);
     assert_eq!(view.shards, before, "nobody is better");
 }
 
@@ -310,12 +311,12 @@
     for (before, after) in [(3, 2), (2, 3), (4, 2), (2, 4)] {
         for lost in 0..6 {
             let mut view = FleetView::default();
-            settle(&mut view, &Standings { copies: before, ..standings(&members) });
-            let mut standings = Standings { copies: after, ..standings(&members) };
-            standings.heard.remove(&members[lost].id);
-            standings.down.insert(members[lost].id);
+            settle(&mut view, &StorageStatus { copies: before, ..status(&members) });
+            let mut status = StorageStatus { copies: after, ..status(&members) };
+            status.reachable.remove(&members[lost].id);
+            status.down.insert(members[lost].id);
             for _ in 0..40 {
-                let changes = plan(&view, &standings);
+                let changes = plan(&view, &status);
                 for change in changes {
                     let Some(value) = change.value else { continue };
                     let shard = ShardId::all()
--- a/programs/topazyard-control/tests/shard_safety.rs
+++ b/programs/topazyard-control/tests/shard_safety.rs
@@ -4,7 +4,7 @@
 use rand::{Rng as _, SeedableRng as _, seq::IndexedRandom as _};
 use std::collections::{BTreeMap, BTreeSet};
 use topazyard_control::planner::{
-    Standings, handed_over, hosted, plan, promoted_learners, without_backups,
+    StorageStatus, hand_over_primary, hosted, plan, promote_learners, replace_backups,
 };
 use topazyard_types::{NodeId, ShardId};
 use topazyard_wire::RowChange;
@@ -67,15 +67,15 @@
         self.members.insert(member.id, member);
     }
 
-    fn standings(&self) -> Standings {
+    fn status(&self) -> StorageStatus {
         let heard = |id: &NodeId| (*id, self.members[id].clone());
         let is_down = |id: &&NodeId| !self.up.contains(id);
-        Standings {
+        StorageStatus {
             copies: self.copies,
             heard: self.up.iter().map(heard).collect(),
             down: self.view.storage.keys().filter(is_down).copied().collect(),
             settled: true,
-            ..Standings::default()
+            ..StorageStatus::default()
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Control looks at placement once.
     fn decide(&mut self) {
-        let changes = plan(&self.view, &self.standings());
+        let changes = plan(&self.view, &self.status());
         self.take(changes);
     }
 
@@ -109,20 +109,20 @@
         }
         let silent: Vec<NodeId> =
             record.backups.iter().filter(|node| !self.is_up(node)).map(|node| node.id).collect();
-        let standings = self.standings();
+        let status = self.status();
         let next = match self.random.random_range(0..4) {
             0 if record.is_complete() && silent.is_empty() => {
                 let holders = record.members().map(|node| node.id).collect();
                 self.whole.insert(shard, holders);
                 None
             }
-            1 if !silent.is_empty() => without_backups(&self.view, &standings, &record, &silent),
+            1 if !silent.is_empty() => replace_backups(&self.view, &status, &record, &silent),
             2 if record.learners.iter().all(|node| self.is_up(node)) => {
                 let filled = record.learners.iter().map(|node| node.id);
                 self.whole.entry(shard).or_default().extend(filled);
-                promoted_learners(&self.view, &standings, &record)
+                promote_learners(&self.view, &status, &record)
             }
-            3 => handed_over(&self.view, &standings, &record),
+            3 => hand_over_primary(&self.view, &status, &record),
             _ => None,
         };
         if let Some(next) = next {
--- a/programs/topazyard-control/tests/witnesses.rs
+++ b/programs/topazyard-control/tests/witnesses.rs
@@ -1,6 +1,6 @@
 //! Which nodes are named witnesses: a majority outlives the tolerated loss of machines and zones.
 
-use topazyard_control::witnesses::{Candidate, Terms, next, outlive_zones, spread};
+use topazyard_control::witnesses::{Candidate, Requirements, next, spread, survive_zone_loss};
 use topazyard_types::{DurationMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
 
@@ -13,8 +13,8 @@
     }
 }
 
-fn terms(wanted: usize) -> Terms {
-    Terms { wanted, silent_for: DurationMs(2_000), lost_zones: 1 }
+fn requirements(count: usize) -> Requirements {
+    Requirements { count, silence_timeout: DurationMs(2_000), lost_zones: 1 }
 }
 
 fn ids(nodes: &[CoreNode]) -> Vec<u64> {
@@ -35,15 +35,15 @@
 #[test]
 fn a_zone_with_a_majority_gives_one_up_to_another_zone() {
     let present = vec![candidate(1, "a", 0), candidate(2, "a", 0), candidate(3, "b", 0)];
-    assert!(!outlive_zones(&present, 1));
-    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "c", 0)], &terms(3));
+    assert!(!survive_zone_loss(&present, 1));
+    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "c", 0)], &requirements(3));
     assert_eq!(ids(&chosen), [1, 4, 3]);
 }
 
 #[test]
 fn a_spare_of_the_same_crowded_zone_changes_nothing() {
     let present = vec![candidate(1, "a", 0), candidate(2, "a", 0), candidate(3, "b", 0)];
-    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "a", 0)], &terms(3));
+    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "a", 0)], &requirements(3));
     assert_eq!(ids(&chosen), [1, 2, 3]);
 }
 
@@ -51,13 +51,13 @@
 fn a_silent_witness_gives_way_to_the_spare_of_the_emptiest_zone() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 5_000), candidate(3, "c", 100)];
     let spares = vec![candidate(4, "a", 0), candidate(5, "b", 0)];
-    assert_eq!(ids(&next(present, &[NodeId(1)], spares, &terms(3))), [1, 5, 3]);
+    assert_eq!(ids(&next(present, &[NodeId(1)], spares, &requirements(3))), [1, 5, 3]);
 }
 
 #[test]
 fn a_witness_that_is_silent_for_less_stays() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 1_999), candidate(3, "c", 0)];
-    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "b", 0)], &terms(3));
+    let chosen = next(present, &[NodeId(1)], vec![candidate(4, "b", 0)], &requirements(3));
     assert_eq!(ids(&chosen), [1, 2, 3]);
 }
 
@@ -65,14 +65,14 @@
 fn all_that_must_be_named_are_and_the_most_silent_goes() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 900), candidate(3, "c", 50)];
     let spares = vec![candidate(4, "b", 0)];
-    assert_eq!(ids(&next(present, &[NodeId(1), NodeId(4)], spares, &terms(3))), [1, 4, 3]);
+    assert_eq!(ids(&next(present, &[NodeId(1), NodeId(4)], spares, &requirements(3))), [1, 4, 3]);
 }
 
 #[test]
 fn too_few_are_filled_up_at_once() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 0)];
     let spares = vec![candidate(3, "b", 0), candidate(4, "c", 0)];
-    assert_eq!(ids(&next(present, &[NodeId(1)], spares, &terms(3))), [1, 2, 4]);
+    assert_eq!(ids(&next(present, &[NodeId(1)], spares, &requirements(3))), [1, 2, 4]);
 }
 
 /// Whatever is heard or silent: never more than wanted, nobody twice, all that must be named are,
@@ -91,7 +91,7 @@
         }
         let present: Vec<Candidate> = all.iter().take(5).cloned().collect();
         let must = [NodeId(1)];
-        let chosen = next(present, &must, all.clone(), &terms(5));
+        let chosen = next(present, &must, all.clone(), &requirements(5));
         assert!(chosen.len() <= 5 && chosen.contains(&all[0].node), "{chosen:?}");
         let unique: std::collections::BTreeSet<u64> = ids(&chosen).into_iter().collect();
         assert_eq!(unique.len(), chosen.len(), "{chosen:?}");
@@ -103,7 +103,7 @@
                 .flat_map(|node| all.iter().find(|one| one.node == *node).cloned())
                 .collect()
         };
-        let first = next(of(&chosen), &must, heard.clone(), &terms(5));
-        assert_eq!(next(of(&first), &must, heard, &terms(5)), first);
+        let first = next(of(&chosen), &must, heard.clone(), &requirements(5));
+        assert_eq!(next(of(&first), &must, heard, &requirements(5)), first);
     });
 }
