--- a/programs/topazyard-control/tests/placement.rs
+++ b/programs/topazyard-control/tests/placement.rs
@@ -19,8 +19,8 @@
 }
 
 fn status(members: &[Member]) -> StorageStatus {
-    let heard = members.iter().map(|member| (member.id, member.clone())).collect();
-    StorageStatus { heard, settled: true, ..StorageStatus::default() }
+    let reachable = members.iter().map(|member| (member.id, member.clone())).collect();
+    StorageStatus { reachable, settled: true, ..StorageStatus::default() }
 }
 
 /// Lets the planner work until it changes nothing, with learners filled at once; gives how many
@@ -138,7 +138,7 @@
     let backup = record.backups[0].id;
     let mut status = status(&members);
     status.reachable.remove(&backup);
-    assert_eq!(hand_over_primary(&view, &status, record), None, "it may be heard soon");
+    assert_eq!(hand_over_primary(&view, &status, record), None, "it may be reachable soon");
     status.down.insert(backup);
     let alone = hand_over_primary(&view, &status, record).expect("it is lost");
     assert_eq!((alone.primary, alone.backups.len()), (record.primary, 0));
@@ -147,7 +147,7 @@
     status
         .reachable
         .insert(backup, members.iter().find(|m| m.id == backup).expect("known").clone());
-    let swapped = hand_over_primary(&view, &status, record).expect("it is heard");
+    let swapped = hand_over_primary(&view, &status, record).expect("it is reachable");
     assert_eq!((swapped.primary.id, swapped.backups), (backup, vec![record.primary]));
 }
 
--- a/programs/topazyard-control/tests/shard_safety.rs
+++ b/programs/topazyard-control/tests/shard_safety.rs
@@ -68,11 +68,11 @@
     }
 
     fn status(&self) -> StorageStatus {
-        let heard = |id: &NodeId| (*id, self.members[id].clone());
+        let reachable = |id: &NodeId| (*id, self.members[id].clone());
         let is_down = |id: &&NodeId| !self.up.contains(id);
         StorageStatus {
             copies: self.copies,
-            heard: self.up.iter().map(heard).collect(),
+            reachable: self.up.iter().map(reachable).collect(),
             down: self.view.storage.keys().filter(is_down).copied().collect(),
             settled: true,
             ..StorageStatus::default()
