--- a/fleet-simulator/src/model/judge.rs
+++ b/fleet-simulator/src/model/judge.rs
@@ -127,14 +127,14 @@
         self.see_primary(id, record.epoch, machine);
         let (place, served) = before;
         if !served {
-            self.see_beginning(machine, machine.copy().place().sequence != place.sequence);
+            self.see_beginning(machine, machine.copy().position().sequence != place.sequence);
         }
     }
 
     /// All that a primary begins with is committed from now on, but for what the same step added.
     fn see_beginning(&mut self, machine: &ControlMachine, has_added: bool) {
         let copy = machine.copy();
-        let added: BTreeSet<&str> = copy.last_changed().filter(|_| has_added).collect();
+        let added: BTreeSet<&str> = copy.last_changed_keys().filter(|_| has_added).collect();
         let taken = self.orders.iter().filter(|order| order.is_taken(copy.rows()));
         let taken = taken.filter(|order| !added.contains(spec_key(order.version).as_str()));
         let taken: Vec<usize> = taken.map(|order| order.number).collect();
--- a/fleet-simulator/src/model/people.rs
+++ b/fleet-simulator/src/model/people.rs
@@ -2,7 +2,7 @@
 
 use super::order::Order;
 use std::sync::Arc;
-use topazyard_replication::Follower;
+use topazyard_replication::FeedFollower;
 use topazyard_types::SpecVersion;
 
 /// What an operator asked.
@@ -42,7 +42,7 @@
     /// Where it takes frames.
     pub address: std::net::SocketAddr,
     /// What it follows with.
-    pub follower: Follower,
+    pub follower: FeedFollower,
     /// The newest version acknowledged at each moment at which it asked: an asking that was given up
     /// may still be answered, and then confirms what it was asked for.
     pub since: std::collections::BTreeMap<topazyard_types::MonotonicMs, SpecVersion>,
@@ -55,7 +55,7 @@
     pub fn new(number: usize, sources: Vec<std::net::SocketAddr>) -> Self {
         let address = ([127, 0, 0, 1], 3_000 + number as u16).into();
         let life = topazyard_types::Life((number as u64 + 1) << 40);
-        let follower = Follower::new(sources, life);
+        let follower = FeedFollower::new(sources, life);
         Self { address, follower, since: Default::default(), arrived: Default::default() }
     }
 }
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/carry.rs
@@ -53,7 +53,7 @@
         let now = self.now;
         let node = Node::change(&mut self.nodes[number]);
         let Some(machine) = &mut node.machine else { return };
-        let before = (machine.copy().place(), machine.is_serving());
+        let before = (machine.copy().position(), machine.is_serving());
         let effects = machine.step(input, now);
         self.judge.see_node(node.id, machine, before);
         self.carry_out(number, effects);
--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/watch.rs
@@ -69,13 +69,13 @@
                 Body::Storage(machine) => machine.copy(shard),
                 _ => None,
             });
-            let Some(copy) = copies.max_by_key(|copy| copy.place()) else { continue };
-            let weighed = self.weighed.get(&shard).filter(|(place, _)| *place == copy.place());
+            let Some(copy) = copies.max_by_key(|copy| copy.position()) else { continue };
+            let weighed = self.weighed.get(&shard).filter(|(place, _)| *place == copy.position());
             let waiting = match weighed {
                 Some((_, waiting)) => *waiting,
-                None => topazyard_storage::batches::waiting(copy).0,
+                None => topazyard_storage::batches::waiting_cost(copy).0,
             };
-            self.weighed.insert(shard, (copy.place(), waiting));
+            self.weighed.insert(shard, (copy.position(), waiting));
             all += waiting;
         }
         all
--- a/libraries/topazyard-membership/src/lib.rs
+++ b/libraries/topazyard-membership/src/lib.rs
@@ -25,4 +25,4 @@
         topazyard_wire::Effect::Send { to, message }
     })
 }
-pub use roll::Known;
+pub use roll::KnownMember;
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -1,7 +1,7 @@
 //! The membership machine.
 
 use crate::gossip::Gossip;
-use crate::roll::{Known, Roll};
+use crate::roll::{KnownMember, Roll};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
 use topazyard_types::{DurationMs, Incarnation, MonotonicMs, NodeId};
 use topazyard_wire::message::membership::{Duty, Member, MembershipMessage, News, Standing};
@@ -93,12 +93,12 @@
     }
 
     /// The members that are not removed, this node not among them.
-    pub fn present(&self) -> impl Iterator<Item = &Known> {
+    pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.roll.present()
     }
 
     /// Every member remembered, the removed ones too.
-    pub fn remembered(&self) -> impl Iterator<Item = &Known> {
+    pub fn remembered(&self) -> impl Iterator<Item = &KnownMember> {
         self.roll.members.values()
     }
 
@@ -108,31 +108,31 @@
     }
 
     /// How a member stands, if it is known.
-    pub fn standing(&self, id: NodeId) -> Option<Standing> {
+    pub fn status(&self, id: NodeId) -> Option<Standing> {
         if id == self.own.member.id {
             return Some(Standing::Alive);
         }
-        self.roll.members.get(&id).map(|known| known.news.standing)
+        self.roll.members.get(&id).map(|known| known.latest.standing)
     }
 
     /// Where the members of a duty take frames.
     pub fn addresses(&self, duty: Duty) -> impl Iterator<Item = std::net::SocketAddr> {
         self.present()
-            .filter(move |known| known.news.member.duty == duty)
-            .map(|known| known.news.member.address)
+            .filter(move |known| known.latest.member.duty == duty)
+            .map(|known| known.latest.member.address)
     }
 
     /// Probes a member next, as somebody has cause to doubt it.
     pub fn probe_next(&mut self, id: NodeId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target == id);
-        let is_alive = self.standing(id) == Some(Standing::Alive);
+        let is_alive = self.status(id) == Some(Standing::Alive);
         if is_alive && !is_probed && self.turn.last() != Some(&id) {
             self.turn.push(id);
         }
     }
 
     /// Joins by these from now on, besides the ones it was given before.
-    pub fn take_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
+    pub fn add_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let before = self.seeds.iter().copied().filter(|old| !seeds.contains(old));
         // What is older than two exchanges of all seeds is let go.
         let kept: Vec<_> = seeds.iter().copied().chain(before).take(SEEDS_KEPT).collect();
@@ -172,9 +172,9 @@
         }
         self.last_join = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.roll.members.values().filter(|k| k.news.standing == Standing::Removed);
+        let lost = self.roll.members.values().filter(|k| k.latest.standing == Standing::Removed);
         let mut ask: Vec<std::net::SocketAddr> =
-            self.seeds.iter().copied().chain(lost.map(|k| k.news.member.address)).collect();
+            self.seeds.iter().copied().chain(lost.map(|k| k.latest.member.address)).collect();
         ask.retain(|address| *address != own_address);
         if !alone {
             ask = ask.choose(&mut self.rng).copied().into_iter().collect();
@@ -186,14 +186,14 @@
 
     fn begin_probe(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
         if self.turn.is_empty() {
-            self.turn = self.roll.present().map(|known| known.news.member.id).collect();
+            self.turn = self.roll.present().map(|known| known.latest.member.id).collect();
             self.turn.shuffle(&mut self.rng);
         }
         let target = loop {
             let Some(id) = self.turn.pop() else { return };
             match self.roll.members.get(&id) {
-                Some(known) if known.news.standing != Standing::Removed => {
-                    break known.news.clone();
+                Some(known) if known.latest.standing != Standing::Removed => {
+                    break known.latest.clone();
                 }
                 _ => {}
             }
@@ -229,7 +229,7 @@
             let others: Vec<std::net::SocketAddr> = self
                 .roll
                 .present()
-                .map(|known| &known.news)
+                .map(|known| &known.latest)
                 .filter(|news| news.member.id != target && news.standing == Standing::Alive)
                 .map(|news| news.member.address)
                 .collect();
@@ -247,8 +247,10 @@
             .roll
             .members
             .values()
-            .filter(|k| k.news.standing == Standing::Suspect && now.since(k.since) >= REMOVE_AFTER)
-            .map(|known| known.news.member.id)
+            .filter(|k| {
+                k.latest.standing == Standing::Suspect && now.since(k.since) >= REMOVE_AFTER
+            })
+            .map(|known| known.latest.member.id)
             .collect();
         for id in due {
             if let Some(news) = self.roll.restand(id, Standing::Removed, now) {
@@ -256,7 +258,7 @@
             }
         }
         self.roll.members.retain(|_, known| {
-            known.news.standing != Standing::Removed || now.since(known.since) < REMEMBER
+            known.latest.standing != Standing::Removed || now.since(known.since) < REMEMBER
         });
     }
 
@@ -298,7 +300,7 @@
             MembershipMessage::Join { news } => {
                 self.take_news(vec![news], now);
                 let mut news: Vec<News> =
-                    self.roll.members.values().map(|known| known.news.clone()).collect();
+                    self.roll.members.values().map(|known| known.latest.clone()).collect();
                 news.push(self.own.clone());
                 out.push((from, MembershipMessage::Roster { news }));
             }
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/roll.rs
@@ -5,9 +5,9 @@
 
 /// A member as it is known here.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownMember {
     /// The newest news of it.
-    pub news: News,
+    pub latest: News,
     /// Since when it stands so.
     pub since: MonotonicMs,
 }
@@ -20,19 +20,19 @@
 /// All members known, in the order in which they were learned.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Roll {
-    pub(crate) members: indexmap::IndexMap<NodeId, Known>,
+    pub(crate) members: indexmap::IndexMap<NodeId, KnownMember>,
 }
 
 impl Roll {
     /// Takes news; gives whether it was new.
     pub(crate) fn take(&mut self, news: &News, now: MonotonicMs) -> bool {
         if let Some(known) = self.members.get_mut(&news.member.id) {
-            if !is_newer(news, &known.news) {
+            if !is_newer(news, &known.latest) {
                 return false;
             }
-            *known = Known { news: news.clone(), since: now };
+            *known = KnownMember { latest: news.clone(), since: now };
         } else {
-            self.members.insert(news.member.id, Known { news: news.clone(), since: now });
+            self.members.insert(news.member.id, KnownMember { latest: news.clone(), since: now });
         }
         true
     }
@@ -41,7 +41,7 @@
     pub(crate) fn overtaken_by(&self, news: &News) -> Vec<NodeId> {
         self.members
             .values()
-            .map(|known| &known.news)
+            .map(|known| &known.latest)
             .filter(|other| {
                 other.member.address == news.member.address
                     && other.member.id != news.member.id
@@ -59,16 +59,16 @@
         now: MonotonicMs,
     ) -> Option<News> {
         let known = self.members.get_mut(&id)?;
-        if known.news.standing >= standing {
+        if known.latest.standing >= standing {
             return None;
         }
-        known.news.standing = standing;
+        known.latest.standing = standing;
         known.since = now;
-        Some(known.news.clone())
+        Some(known.latest.clone())
     }
 
     /// Members that are not removed.
-    pub(crate) fn present(&self) -> impl Iterator<Item = &Known> {
-        self.members.values().filter(|known| known.news.standing != Standing::Removed)
+    pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
+        self.members.values().filter(|known| known.latest.standing != Standing::Removed)
     }
 }
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -4,7 +4,7 @@
 use topazyard_wire::RowChange;
 
 /// Into how many ranges a copy is split for comparing.
-pub const RANGES: usize = 64;
+pub const RANGE_COUNT: usize = 64;
 /// Batches remembered for followers, and the most bytes of rows in them. A follower that is further
 /// back is given everything.
 const REMEMBERED: usize = 1_024;
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             rows: std::collections::BTreeMap::new(),
-            digests: vec![Digest::default(); RANGES],
+            digests: vec![Digest::default(); RANGE_COUNT],
             place: Place::default(),
             batches: std::collections::VecDeque::new(),
             batches_bytes: 0,
@@ -54,7 +54,7 @@
 }
 
 fn range_of(key: &str) -> usize {
-    (Digest::of(&[key.as_bytes()]).0 % RANGES as u128) as usize
+    (Digest::of(&[key.as_bytes()]).0 % RANGE_COUNT as u128) as usize
 }
 
 /// The digest of a range that holds these rows.
@@ -77,9 +77,9 @@
     /// let written = copy.apply(topazyard_types::Epoch(1), topazyard_types::Sequence(1),
     ///     vec![RowChange::put("a", &1_u8)]);
     /// let rows = written.into_iter().map(|c| (c.key, c.value.unwrap())).collect();
-    /// assert_eq!(Copy::loaded(rows).digests(), copy.digests());
+    /// assert_eq!(Copy::from_rows(rows).digests(), copy.digests());
     /// ```
-    pub fn loaded(mut rows: std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
+    pub fn from_rows(mut rows: std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
         let place = rows.remove(PLACE_KEY);
         let place = place.and_then(|value| topazyard_wire::rows::decode(&value));
         let mut copy = Self { place: place.unwrap_or_default(), ..Self::default() };
@@ -111,12 +111,12 @@
     /// use topazyard_replication::Copy;
     /// use topazyard_types::{Epoch, Place, Sequence};
     /// let mut copy = Copy::default();
-    /// copy.remember_only_last();
+    /// copy.keep_only_last_batch();
     /// (1..=3).for_each(|n| drop(copy.apply(Epoch(1), Sequence(n), Vec::new())));
     /// let second = Place { epoch: Epoch(1), sequence: Sequence(2) };
     /// assert_eq!(copy.changes_after(second), None);
     /// ```
-    pub fn remember_only_last(&mut self) {
+    pub fn keep_only_last_batch(&mut self) {
         self.most_batches = 1;
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// How far this copy is.
-    pub fn place(&self) -> Place {
+    pub fn position(&self) -> Place {
         self.place
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// The keys changed by the batch applied last, as far as it is remembered.
-    pub fn last_changed(&self) -> impl Iterator<Item = &str> {
+    pub fn last_changed_keys(&self) -> impl Iterator<Item = &str> {
         let last = self.batches.back().into_iter();
         last.flat_map(|(_, changes)| changes.iter().map(|change| change.key.as_str()))
     }
--- a/libraries/topazyard-replication/src/epoch/mod.rs
+++ b/libraries/topazyard-replication/src/epoch/mod.rs
@@ -4,5 +4,5 @@
 pub mod propose;
 pub mod witness;
 
-pub use propose::{Proposal, Step};
+pub use propose::{Proposal, ProposalStep};
 pub use witness::Witness;
--- a/libraries/topazyard-replication/src/epoch/propose.rs
+++ b/libraries/topazyard-replication/src/epoch/propose.rs
@@ -31,11 +31,11 @@
 
 /// What comes of a step of the proposal.
 #[derive(Debug)]
-pub enum Step {
+pub enum ProposalStep {
     /// Nothing yet.
     Wait,
     /// Say this to every witness of the base.
-    Say(CoreMessage),
+    Broadcast(CoreMessage),
     /// Decided, maybe for another's proposal.
     Decided(EpochRecord),
 }
@@ -75,13 +75,13 @@
 
     /// Calls a higher ballot if no decision came. Proposers wait differently long, so that one
     /// of two gets through.
-    pub fn tick(&mut self, now: MonotonicMs) -> Step {
+    pub fn tick(&mut self, now: MonotonicMs) -> ProposalStep {
         let apart = DurationMs(AGAIN.0 + self.me.0 % 7 * 50);
         if now.since(self.begun) < apart {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         let round = self.ballot.round + 1;
-        Step::Say(self.call(round, now))
+        ProposalStep::Broadcast(self.call(round, now))
     }
 
     fn majority(&self) -> usize {
@@ -89,9 +89,14 @@
     }
 
     /// Takes what a witness said.
-    pub fn receive(&mut self, witness: NodeId, message: &CoreMessage, now: MonotonicMs) -> Step {
+    pub fn receive(
+        &mut self,
+        witness: NodeId,
+        message: &CoreMessage,
+        now: MonotonicMs,
+    ) -> ProposalStep {
         if !self.base.is_witness(witness) {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         let majority = self.majority();
         let next = self.base.epoch.next();
@@ -105,7 +110,7 @@
                     *accepted = before.clone();
                 }
                 if promised.len() < majority {
-                    return Step::Wait;
+                    return ProposalStep::Wait;
                 }
                 let record = match accepted.take() {
                     Some((_, record)) => record,
@@ -117,24 +122,24 @@
                     record: record.clone(),
                 };
                 self.stage = Stage::Accepting { record, accepted: Default::default() };
-                Step::Say(say)
+                ProposalStep::Broadcast(say)
             }
             (CoreMessage::Accepted { epoch, ballot }, Stage::Accepting { record, accepted })
                 if *epoch == next && *ballot == self.ballot =>
             {
                 accepted.insert(witness);
                 if accepted.len() < majority {
-                    return Step::Wait;
+                    return ProposalStep::Wait;
                 }
-                Step::Decided(record.clone())
+                ProposalStep::Decided(record.clone())
             }
             (CoreMessage::Outbid { epoch, promised }, _) if *epoch == next => {
                 // The next tick calls a ballot above the one that outbid this.
                 self.ballot.round = self.ballot.round.max(promised.round);
                 self.begun = self.begun.max(MonotonicMs(now.0.saturating_sub(AGAIN.0 / 2)));
-                Step::Wait
+                ProposalStep::Wait
             }
-            _ => Step::Wait,
+            _ => ProposalStep::Wait,
         }
     }
 }
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -24,10 +24,10 @@
     /// The witness that a disk held.
     ///
     /// ```
-    /// let empty = topazyard_replication::Witness::loaded(&Default::default());
+    /// let empty = topazyard_replication::Witness::from_rows(&Default::default());
     /// assert!(empty.record().is_none());
     /// ```
-    pub fn loaded(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
+    pub fn from_rows(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
         let decode = |key: &str| rows.get(key);
         let record = decode(RECORD_KEY).and_then(|v| topazyard_wire::rows::decode(v));
         let vote = decode(VOTE_KEY).and_then(|v| topazyard_wire::rows::decode(v));
@@ -37,7 +37,7 @@
 
     /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
     /// not before. Only a witness whose disk is empty may be let.
-    pub fn may_found(&mut self, genesis: EpochRecord) -> Option<RowChange> {
+    pub fn allow_bootstrap(&mut self, genesis: EpochRecord) -> Option<RowChange> {
         if self.genesis.is_some() || self.record.is_some() {
             return None;
         }
@@ -47,7 +47,7 @@
     }
 
     /// What the first record follows, if this witness may vote on it.
-    pub fn genesis(&self) -> Option<&EpochRecord> {
+    pub fn bootstrap_base(&self) -> Option<&EpochRecord> {
         self.genesis.as_ref()
     }
 
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -9,7 +9,7 @@
 use topazyard_wire::message::feed::{FeedMessage, Health, Matter, SnapshotPart};
 
 /// How often a follower asks.
-pub const ASK_EVERY: DurationMs = DurationMs(200);
+pub const REQUEST_INTERVAL: DurationMs = DurationMs(200);
 /// How often one asks for which something waits.
 const HURRIED_EVERY: DurationMs = DurationMs(50);
 /// How long it waits for a return before it asks elsewhere.
@@ -33,7 +33,7 @@
 
 /// Follows the feed from one of several nodes.
 #[derive(Debug, Clone)]
-pub struct Follower {
+pub struct FeedFollower {
     copy: crate::Copy,
     sources: Vec<std::net::SocketAddr>,
     next_source: usize,
@@ -57,25 +57,25 @@
 
 /// What a return of the feed changed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// Nothing.
-    Nothing,
+    Unchanged,
     /// Rows changed.
     Changed,
 }
 
-impl Follower {
+impl FeedFollower {
     /// Follows from any of these; they say where the primary is.
     ///
     /// ```
     /// use topazyard_types::Life;
     /// let sources = vec!["127.0.0.1:9000".parse().unwrap()];
-    /// let follower = topazyard_replication::Follower::new(sources, Life(1));
+    /// let follower = topazyard_replication::FeedFollower::new(sources, Life(1));
     /// assert!(follower.confirmed_at().is_none());
     /// ```
     pub fn new(sources: Vec<std::net::SocketAddr>, life: Life) -> Self {
         let mut copy = crate::Copy::default();
-        copy.remember_only_last();
+        copy.keep_only_last_batch();
         Self {
             copy,
             sources,
@@ -106,7 +106,7 @@
     }
 
     /// The control primary, as far as this follower knows.
-    pub fn leader(&self) -> Option<std::net::SocketAddr> {
+    pub fn primary(&self) -> Option<std::net::SocketAddr> {
         self.leader
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Asks besides at these nodes, learned from the membership.
-    pub fn learn_sources(&mut self, more: impl Iterator<Item = std::net::SocketAddr>) {
+    pub fn add_sources(&mut self, more: impl Iterator<Item = std::net::SocketAddr>) {
         for source in more {
             if !self.sources.contains(&source) {
                 self.sources.push(source);
@@ -126,7 +126,7 @@
     }
 
     /// Asks more often while something waits for the next confirmation, or no longer.
-    pub fn hurry(&mut self, hurried: bool) {
+    pub fn set_fast_polling(&mut self, hurried: bool) {
         self.hurried = hurried;
     }
 
@@ -152,7 +152,7 @@
         self.asked.push_back(Asked { nonce: self.last_nonce, at: now });
         self.waits = true;
         self.last_asked = Some(now);
-        let after = self.copy.place();
+        let after = self.copy.position();
         let part = self.fetch.as_ref().and_then(crate::snapshot::Fetch::wanted);
         let heard = self.heard.map(|at| now.since(at));
         let nonce = self.last_nonce;
@@ -182,7 +182,7 @@
             (true, _) => TIMEOUT,
             (false, true) => TURNED_AWAY,
             (false, false) if self.hurried => HURRIED_EVERY,
-            (false, false) => ASK_EVERY,
+            (false, false) => REQUEST_INTERVAL,
         };
         self.last_asked.is_none_or(|at| now.since(at) >= every)
     }
@@ -195,14 +195,14 @@
     }
 
     /// Takes a return from a node.
-    pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> Followed {
+    pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> FollowOutcome {
         match message {
             FeedMessage::News { nonce, place, matter } => {
-                let Some(asked) = self.take_asked(nonce) else { return Followed::Nothing };
+                let Some(asked) = self.take_asked(nonce) else { return FollowOutcome::Unchanged };
                 // Never back: a lower place comes from a node that was overtaken.
-                if place < self.copy.place() {
+                if place < self.copy.position() {
                     self.leader = None;
-                    return Followed::Nothing;
+                    return FollowOutcome::Unchanged;
                 }
                 self.leader = Some(from);
                 self.leader_is_proven = true;
@@ -231,27 +231,27 @@
                         self.last_asked = None;
                     }
                 }
-                Followed::Nothing
+                FollowOutcome::Unchanged
             }
-            FeedMessage::Ask { .. } => Followed::Nothing,
+            FeedMessage::Ask { .. } => FollowOutcome::Unchanged,
         }
     }
 
     /// Takes a part of a snapshot, and the snapshot once it is whole. What comes next, another part
     /// or the changes after it, is asked for at once.
-    fn take_part(&mut self, place: topazyard_types::Place, part: &SnapshotPart) -> Followed {
+    fn take_part(&mut self, place: topazyard_types::Place, part: &SnapshotPart) -> FollowOutcome {
         let fetch = self.fetch.take().filter(|fetch| fetch.fits(place, part));
         let fetch = fetch.or_else(|| crate::snapshot::Fetch::begin(place, part));
         let Some(mut fetch) = fetch.filter(|fetch| fetch.fits(place, part)) else {
-            return Followed::Nothing;
+            return FollowOutcome::Unchanged;
         };
         fetch.add(part);
         if fetch.wanted().is_some() {
             self.fetch = Some(fetch);
             self.last_asked = None;
-            return Followed::Nothing;
+            return FollowOutcome::Unchanged;
         }
-        let Some(rows) = fetch.rows() else { return Followed::Nothing };
+        let Some(rows) = fetch.rows() else { return FollowOutcome::Unchanged };
         self.last_asked = None;
         let changes = self.changes_to(rows);
         self.apply(place, changes)
@@ -267,16 +267,16 @@
         gone.into_iter().chain(put).collect()
     }
 
-    fn apply(&mut self, place: topazyard_types::Place, changes: Vec<RowChange>) -> Followed {
-        let is_repeated = place == self.copy.place();
+    fn apply(&mut self, place: topazyard_types::Place, changes: Vec<RowChange>) -> FollowOutcome {
+        let is_repeated = place == self.copy.position();
         if changes.is_empty() && is_repeated {
-            return Followed::Nothing;
+            return FollowOutcome::Unchanged;
         }
         // Of two askings that were both returned the later brings what is here already.
         let before = is_repeated.then(|| self.copy.digests().to_vec());
         self.copy.apply(place.epoch, place.sequence, changes);
         let is_same = before.is_none_or(|digests| digests == self.copy.digests());
         invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={place}"));
-        Followed::Changed
+        FollowOutcome::Changed
     }
 }
--- a/libraries/topazyard-replication/src/lib.rs
+++ b/libraries/topazyard-replication/src/lib.rs
@@ -10,6 +10,6 @@
 
 pub use copy::Copy;
 pub use epoch::{Proposal, Witness};
-pub use follower::Follower;
-pub use replica::{Doubt, Followers, Replica, ReplicaOutput, Ticket};
+pub use follower::FeedFollower;
+pub use replica::{Followers, Replica, ReplicaOutput, Uncommitted, WriteTicket};
 pub use snapshot::Snapshot;
--- a/libraries/topazyard-replication/src/replica/follow.rs
+++ b/libraries/topazyard-replication/src/replica/follow.rs
@@ -1,6 +1,6 @@
 //! The follower's side: a backup, or a learner that is to become one.
 
-use super::{Doubt, From, MOST_UNSYNCED, Replica, ReplicaOutput, Role};
+use super::{MOST_UNSYNCED, Replica, ReplicaOutput, Role, Sender, Uncommitted};
 use topazyard_types::{Digest, MonotonicMs, NodeId, Place, Sequence};
 use topazyard_wire::message::replica::{RangePart, ReplicaBody};
 
@@ -68,7 +68,7 @@
     }
 
     /// Whether the primary has said that it synced the batch that was taken last.
-    pub(super) fn is_last_synced_by_primary(&self) -> bool {
+    pub(super) fn primary_synced_last_batch(&self) -> bool {
         self.last_append.is_some() && self.last_append == self.synced_by_primary
     }
 
@@ -132,7 +132,7 @@
 impl Replica {
     pub(super) fn follow_receive(
         &mut self,
-        from: From,
+        from: Sender,
         body: ReplicaBody,
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
@@ -162,15 +162,15 @@
 
     fn take_append(
         &mut self,
-        from: From,
+        from: Sender,
         round: u64,
         sequence: Sequence,
         changes: Vec<topazyard_wire::RowChange>,
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let held = self.copy.place().sequence;
-        let in_step = self.was_in_step();
+        let held = self.copy.position().sequence;
+        let in_step = self.was_in_sync();
         let Role::Follower(follow) = &mut self.role else { return };
         if let Some(compared) = &follow.compared {
             if is_of_one_life(round, compared.round) {
@@ -193,7 +193,8 @@
         follow.last_append = Some(round);
         // A primary begins a round only once the one before is committed.
         if !repeated {
-            self.doubt = if changes.is_empty() { Doubt::Nothing } else { Doubt::LastChanges };
+            self.uncommitted =
+                if changes.is_empty() { Uncommitted::Nothing } else { Uncommitted::LastBatch };
             self.note_committed(held);
         }
         if changes.is_empty() || repeated {
@@ -219,7 +220,7 @@
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        self.doubt = Doubt::All;
+        self.uncommitted = Uncommitted::All;
         let own = self.copy.digests();
         let Role::Follower(follow) = &mut self.role else { return };
         let Some(compared) = &mut follow.compared else { return };
@@ -248,7 +249,7 @@
 
     fn take_range(
         &mut self,
-        from: From,
+        from: Sender,
         part: RangePart,
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
@@ -272,8 +273,8 @@
         round: u64,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let sequence = self.copy.place().sequence;
-        self.doubt = Doubt::SomeChanges;
+        let sequence = self.copy.position().sequence;
+        self.uncommitted = Uncommitted::UnknownBatch;
         if let Role::Follower(follow) = &mut self.role {
             follow.last_append = None;
             follow.in_step_since = Some(round);
--- a/libraries/topazyard-replication/src/replica/lead.rs
+++ b/libraries/topazyard-replication/src/replica/lead.rs
@@ -2,7 +2,7 @@
 
 use super::parts::{bytes_of, split_into_parts};
 use super::progress::{Backup, BackupState, ChangeBatch, Comparison, Learner, Learning, is_due};
-use super::{Doubt, Followers, From, Replica, ReplicaOutput, Role, Ticket};
+use super::{Followers, Replica, ReplicaOutput, Role, Sender, Uncommitted, WriteTicket};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::CoreNode;
@@ -28,19 +28,19 @@
 
 /// What a primary keeps.
 #[derive(Debug, Clone)]
-pub struct Lead {
+pub struct PrimaryState {
     backups: Vec<Backup>,
     learners: Vec<Learner>,
     /// Whether it may answer once all its backups are in step.
-    answers: bool,
+    may_serve: bool,
     phase: Phase,
     under_way: Option<ChangeBatch>,
-    next_tickets: Vec<Ticket>,
+    next_tickets: Vec<WriteTicket>,
     next_changes: Vec<RowChange>,
     last_batch: MonotonicMs,
 }
 
-impl Lead {
+impl PrimaryState {
     pub(super) fn new(followers: Followers, carried: Option<Box<Self>>, now: MonotonicMs) -> Self {
         let (under_way, next_tickets, next_changes) = match carried {
             None => (None, Vec::new(), Vec::new()),
@@ -52,7 +52,7 @@
         Self {
             backups: followers.backups.into_iter().map(backup).collect(),
             learners: followers.learners.into_iter().map(learner).collect(),
-            answers: followers.answers,
+            may_serve: followers.may_serve,
             phase: Phase::Comparing,
             under_way,
             next_tickets,
@@ -65,7 +65,7 @@
         self.phase == Phase::Serving
     }
 
-    pub(super) fn all_tickets(&self) -> Vec<Ticket> {
+    pub(super) fn all_tickets(&self) -> Vec<WriteTicket> {
         let under_way = self.under_way.iter().flat_map(|batch| batch.tickets.iter());
         under_way.chain(&self.next_tickets).copied().collect()
     }
@@ -105,7 +105,7 @@
     /// make it a confirmed read.
     ///
     /// Gives false, and does nothing, where this node is not the primary.
-    pub fn submit(&mut self, ticket: Ticket, changes: Vec<RowChange>) -> bool {
+    pub fn submit(&mut self, ticket: WriteTicket, changes: Vec<RowChange>) -> bool {
         let Role::Primary(lead) = &mut self.role else { return false };
         lead.next_tickets.push(ticket);
         lead.next_changes.extend(changes);
@@ -125,7 +125,7 @@
     }
 
     /// Answers nothing more in this epoch.
-    pub fn stop_answering(&mut self) {
+    pub fn stop_serving(&mut self) {
         if let Role::Primary(lead) = &mut self.role {
             lead.phase = Phase::Stopped;
         }
@@ -133,7 +133,7 @@
 
     /// Begins the next batch, if there is one and none is under way. The owner calls this after
     /// it has dealt with all that the replica put out, while the copy holds only what is committed.
-    pub fn proceed(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
+    pub fn start_next_batch(&mut self, now: MonotonicMs) -> Vec<ReplicaOutput> {
         let mut out = Vec::new();
         let Role::Primary(lead) = &mut self.role else { return out };
         let idle = lead.next_tickets.is_empty() && now.since(lead.last_batch) < KEEP_ALIVE;
@@ -149,13 +149,13 @@
         lead.last_batch = now;
         self.last_round += 1;
         let round = self.last_round;
-        let held = self.copy.place().sequence;
+        let held = self.copy.position().sequence;
         let sequence = if changes.is_empty() { held } else { held.next() };
         let write = if changes.is_empty() {
             None
         } else {
             let rows = self.copy.apply(self.epoch, sequence, changes.clone());
-            self.doubt = Doubt::LastChanges;
+            self.uncommitted = Uncommitted::LastBatch;
             self.write(rows, now, &mut out)
         };
         if let Role::Primary(lead) = &mut self.role {
@@ -201,7 +201,7 @@
         let round = self.last_round;
         let body = ReplicaBody::Digests {
             round,
-            sequence: self.copy.place().sequence,
+            sequence: self.copy.position().sequence,
             digests: self.copy.digests().to_vec(),
             of,
         };
@@ -246,7 +246,7 @@
     fn learners_tick(&mut self, now: MonotonicMs, out: &mut Vec<ReplicaOutput>) {
         let Role::Primary(lead) = &mut self.role else { return };
         // Where only a backup out of step keeps the primary from serving, that one comes first.
-        if lead.phase == Phase::Comparing && lead.answers {
+        if lead.phase == Phase::Comparing && lead.may_serve {
             return;
         }
         let stopped = lead.phase == Phase::Stopped;
@@ -279,7 +279,7 @@
 
     pub(super) fn lead_receive(
         &mut self,
-        from: From,
+        from: Sender,
         body: ReplicaBody,
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
@@ -303,7 +303,8 @@
                 self.lead_tick(now, out);
             }
             (ReplicaBody::Differ { round, ranges }, _, _) if backup.or(learner).is_some() => {
-                let asked = ranges.into_iter().filter(|r| usize::from(*r) < crate::copy::RANGES);
+                let asked =
+                    ranges.into_iter().filter(|r| usize::from(*r) < crate::copy::RANGE_COUNT);
                 let asked: Vec<_> =
                     asked.map(|range| (range, self.copy.range(usize::from(range)))).collect();
                 let Some(comparison) = lead.comparison_of(round) else { return };
@@ -346,7 +347,7 @@
         sequence: Sequence,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let held = self.copy.place().sequence;
+        let held = self.copy.position().sequence;
         let Role::Primary(lead) = &mut self.role else { return };
         let backup = &mut lead.backups[at];
         let asked = matches!(&backup.state, BackupState::Comparing(Some(c), _) if c.round == round);
@@ -364,12 +365,12 @@
     fn serve_if_in_step(&mut self, out: &mut Vec<ReplicaOutput>) {
         let is_synced = self.is_synced();
         let Role::Primary(lead) = &mut self.role else { return };
-        if !is_synced || lead.phase != Phase::Comparing || !lead.answers || !lead.all_in_step() {
+        if !is_synced || lead.phase != Phase::Comparing || !lead.may_serve || !lead.all_in_step() {
             return;
         }
         lead.phase = Phase::Serving;
         if lead.under_way.is_none() {
-            self.doubt = Doubt::Nothing;
+            self.uncommitted = Uncommitted::Nothing;
         }
         out.push(ReplicaOutput::Serving);
         self.finish_batch(out);
@@ -383,11 +384,11 @@
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let held = self.copy.place().sequence;
+        let held = self.copy.position().sequence;
         let Role::Primary(lead) = &mut self.role else { return };
         match &lead.learners[at].learning {
             Learning::Fetching(Some(c)) if c.round == round => {
-                if self.holds_learner && lead.answers {
+                if self.holds_learner && lead.may_serve {
                     return;
                 }
                 lead.learners[at].learning = Learning::LastRound(None, now);
@@ -441,7 +442,7 @@
         let confirmed = lead.backups.iter().filter(|backup| backup.has_synced(batch.round));
         let confirmed = confirmed.count();
         self.synced_copies = confirmed + usize::from(self.is_synced());
-        self.doubt = Doubt::Nothing;
+        self.uncommitted = Uncommitted::Nothing;
         self.note_committed(batch.sequence);
         if !batch.tickets.is_empty() {
             out.push(ReplicaOutput::Committed(batch.tickets));
@@ -449,7 +450,7 @@
     }
 }
 
-impl Lead {
+impl PrimaryState {
     /// The comparison of that round, if it is still under way.
     fn comparison_of(&mut self, round: u64) -> Option<&mut Comparison> {
         let backups = self.backups.iter_mut().filter_map(|backup| match &mut backup.state {
--- a/libraries/topazyard-replication/src/replica/mod.rs
+++ b/libraries/topazyard-replication/src/replica/mod.rs
@@ -18,14 +18,14 @@
 use crate::invariants::{check_committed_stays, report};
 use topazyard_wire::invariants::Invariant;
 
-pub use lead::Lead;
+pub use lead::PrimaryState;
 
 /// With so many writes that are not synced a follower takes nothing more. A whole copy comes in
 /// fewer.
-const MOST_UNSYNCED: usize = 2 * crate::copy::RANGES;
+const MOST_UNSYNCED: usize = 2 * crate::copy::RANGE_COUNT;
 
 /// Marks something submitted, so that the owner hears when it is committed.
-pub type Ticket = u64;
+pub type WriteTicket = u64;
 
 /// What the replica wants done or has to say.
 #[derive(Debug)]
@@ -35,9 +35,9 @@
     /// Write and sync.
     Write(WriteToken, Vec<RowChange>),
     /// These tickets are committed, in the order they came.
-    Committed(Vec<Ticket>),
+    Committed(Vec<WriteTicket>),
     /// These tickets were under way when the role was lost: their outcome is unknown.
-    Lost(Vec<Ticket>),
+    OutcomeUnknown(Vec<WriteTicket>),
     /// The primary now serves in its epoch.
     Serving,
     /// All learners hold everything, and nothing is answered until the epoch changes.
@@ -52,7 +52,7 @@
     /// Who are being given a copy.
     pub learners: Vec<CoreNode>,
     /// Whether these backups are enough for anything to be answered.
-    pub answers: bool,
+    pub may_serve: bool,
 }
 
 /// What a node is to a group in an epoch.
@@ -61,20 +61,20 @@
     /// Nothing.
     Idle,
     /// It commits.
-    Primary(Box<Lead>),
+    Primary(Box<PrimaryState>),
     /// It follows a primary: as its backup or as its learner.
     Follower(follow::Follow),
 }
 
 /// How much of a copy may never have been committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum Uncommitted {
     /// Nothing: all of it was.
     Nothing,
     /// What the batch applied last changed.
-    LastChanges,
+    LastBatch,
     /// Some batch that nobody can tell from the rest: the copy equalled its primary's.
-    SomeChanges,
+    UnknownBatch,
     /// Any of it: the copy is being compared, or was read from disk.
     All,
 }
@@ -87,7 +87,7 @@
     epoch: Epoch,
     copy: crate::Copy,
     role: Role,
-    doubt: Doubt,
+    uncommitted: Uncommitted,
     holds_learner: bool,
     settled: bool,
     last_write: u64,
@@ -102,7 +102,7 @@
 
 /// A frame's sender.
 #[derive(Debug, Clone, Copy)]
-pub struct From {
+pub struct Sender {
     /// Its id.
     pub id: NodeId,
     /// Where it takes frames.
@@ -123,10 +123,10 @@
         Self {
             group,
             durable,
-            epoch: copy.place().epoch,
+            epoch: copy.position().epoch,
             copy,
             role: Role::Idle,
-            doubt: Doubt::All,
+            uncommitted: Uncommitted::All,
             holds_learner: false,
             settled: false,
             last_write: 0,
@@ -139,7 +139,7 @@
 
     /// Numbers its writes from after that one. A sync is told by its number alone, so that no number may
     /// be used again while a write of an earlier copy of the group may still be under way.
-    pub fn numbering_writes_after(mut self, number: u64) -> Self {
+    pub fn with_last_write(mut self, number: u64) -> Self {
         self.last_write = number;
         self
     }
@@ -156,7 +156,7 @@
 
     /// Leaves a learner as it is while nobody could make it the backup: a primary that has one goes
     /// on with it rather than stop for a record that won't come.
-    pub fn hold_learner(&mut self, holds: bool) {
+    pub fn set_learner_promotion_paused(&mut self, holds: bool) {
         self.holds_learner = holds;
     }
 
@@ -166,8 +166,8 @@
     }
 
     /// How much of the copy may never have been committed, and so may go again.
-    pub fn doubt(&self) -> Doubt {
-        self.doubt
+    pub fn uncommitted(&self) -> Uncommitted {
+        self.uncommitted
     }
 
     /// The epoch.
@@ -192,8 +192,8 @@
 
     /// Whether this node follows and its copy equalled the primary's at some time in this epoch.
     /// All it confirmed since is in the copy too, so nothing that was ever answered is missing.
-    pub fn was_in_step(&self) -> bool {
-        matches!(self.role, Role::Follower(_)) && self.copy.place().epoch == self.epoch
+    pub fn was_in_sync(&self) -> bool {
+        matches!(self.role, Role::Follower(_)) && self.copy.position().epoch == self.epoch
     }
 
     /// Whether this node follows that primary.
@@ -202,8 +202,8 @@
     }
 
     /// Whether this node follows a primary that has said that it synced the batch taken last.
-    pub fn is_last_synced_by_primary(&self) -> bool {
-        matches!(&self.role, Role::Follower(follow) if follow.is_last_synced_by_primary())
+    pub fn primary_synced_last_batch(&self) -> bool {
+        matches!(&self.role, Role::Follower(follow) if follow.primary_synced_last_batch())
     }
 
     /// The primary that this node follows, if it follows one.
@@ -215,7 +215,7 @@
     }
 
     /// When this follower last heard its primary.
-    pub fn heard_primary(&self) -> Option<MonotonicMs> {
+    pub fn primary_last_heard(&self) -> Option<MonotonicMs> {
         match &self.role {
             Role::Follower(follow) => Some(follow.heard),
             _ => None,
@@ -283,7 +283,7 @@
                 None
             }
         };
-        let lead = Lead::new(followers, carried, now);
+        let lead = PrimaryState::new(followers, carried, now);
         let mut out = self.change_role(epoch, Role::Primary(Box::new(lead)));
         self.lead_tick(now, &mut out);
         out
@@ -310,14 +310,14 @@
         self.epoch = epoch;
         self.settled = true;
         let led = matches!(self.role, Role::Primary(_));
-        if led && !matches!(role, Role::Primary(_)) && self.doubt != Doubt::Nothing {
+        if led && !matches!(role, Role::Primary(_)) && self.uncommitted != Uncommitted::Nothing {
             // Nobody else may have what it began last.
-            self.doubt = Doubt::All;
+            self.uncommitted = Uncommitted::All;
         }
         match std::mem::replace(&mut self.role, role) {
             Role::Primary(lead) => match lead.all_tickets() {
                 tickets if tickets.is_empty() => Vec::new(),
-                tickets => vec![ReplicaOutput::Lost(tickets)],
+                tickets => vec![ReplicaOutput::OutcomeUnknown(tickets)],
             },
             _ => Vec::new(),
         }
@@ -327,7 +327,7 @@
     /// owner has learned of it too.
     pub fn receive(
         &mut self,
-        from: From,
+        from: Sender,
         message: ReplicaMessage,
         now: MonotonicMs,
     ) -> Vec<ReplicaOutput> {
@@ -368,7 +368,7 @@
     }
 
     /// A write is synced.
-    pub fn written(&mut self, number: u64) -> Vec<ReplicaOutput> {
+    pub fn write_synced(&mut self, number: u64) -> Vec<ReplicaOutput> {
         let mut out = Vec::new();
         self.writes.remove(&number);
         match &self.role {
--- a/libraries/topazyard-replication/src/replica/progress.rs
+++ b/libraries/topazyard-replication/src/replica/progress.rs
@@ -1,6 +1,6 @@
 //! How far a primary's backups and learners are.
 
-use super::Ticket;
+use super::WriteTicket;
 use topazyard_types::{DurationMs, MonotonicMs, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::CoreNode;
@@ -102,7 +102,7 @@
     pub(super) round: u64,
     pub(super) sequence: Sequence,
     pub(super) changes: Vec<RowChange>,
-    pub(super) tickets: Vec<Ticket>,
+    pub(super) tickets: Vec<WriteTicket>,
     pub(super) write: Option<u64>,
     pub(super) begun: MonotonicMs,
     pub(super) sent: MonotonicMs,
--- a/libraries/topazyard-replication/src/snapshot.rs
+++ b/libraries/topazyard-replication/src/snapshot.rs
@@ -34,7 +34,7 @@
     }
 
     /// The place of its rows.
-    pub fn place(&self) -> Place {
+    pub fn position(&self) -> Place {
         self.place
     }
 
--- a/libraries/topazyard-replication/tests/comparing.rs
+++ b/libraries/topazyard-replication/tests/comparing.rs
@@ -1,6 +1,6 @@
 //! Comparisons: a copy that is brought in step is the old one or the new one, never part of both.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Place, Sequence};
 use topazyard_wire::message::control::CoreNode;
@@ -17,8 +17,8 @@
     CoreNode { id: NodeId(id), address }
 }
 
-fn from(id: u64) -> From {
-    From { id: NodeId(id), address: node(id).address }
+fn from(id: u64) -> Sender {
+    Sender { id: NodeId(id), address: node(id).address }
 }
 
 /// A copy whose rows all name the same batch.
@@ -38,7 +38,7 @@
             None => drop(rows.remove(&change.key)),
         }
     }
-    Copy::loaded(rows)
+    Copy::from_rows(rows)
 }
 
 fn batches_in(copy: &Copy) -> std::collections::BTreeSet<Vec<u8>> {
@@ -63,7 +63,8 @@
             at_learner: Default::default(),
             is_ready: false,
         };
-        let followers = Followers { backups: Vec::new(), learners: vec![node(2)], answers: false };
+        let followers =
+            Followers { backups: Vec::new(), learners: vec![node(2)], may_serve: false };
         filling.learner.become_follower(Epoch(2), NodeId(1), NOW);
         let out = filling.primary.become_primary(Epoch(2), followers, NOW);
         filling.take_primary(out);
@@ -90,7 +91,7 @@
                 match output {
                     ReplicaOutput::Write(token, rows) => {
                         self.writes.push(rows);
-                        more.extend(self.learner.written(token.number));
+                        more.extend(self.learner.write_synced(token.number));
                     }
                     ReplicaOutput::Send(_, message) => {
                         let out = self.primary.receive(from(2), message, NOW);
@@ -140,7 +141,7 @@
         }
     }
     assert_eq!(filling.learner.copy().rows(), old.rows());
-    assert_eq!(filling.learner.copy().place().epoch, Epoch(1));
+    assert_eq!(filling.learner.copy().position().epoch, Epoch(1));
 }
 
 #[test]
@@ -236,14 +237,14 @@
     };
     backup.receive(from(1), message(late), NOW);
     assert_eq!(backup.copy().rows(), held.rows());
-    assert_eq!(backup.copy().place(), Place { epoch: Epoch(1), sequence: Sequence(1) });
+    assert_eq!(backup.copy().position(), Place { epoch: Epoch(1), sequence: Sequence(1) });
     let next = ReplicaBody::Append {
         round: (7 << 40) + 1,
         sequence: Sequence(2),
         changes: vec![RowChange::put("row 1", &9_u8)],
     };
     backup.receive(from(1), message(next), NOW);
-    assert_eq!(backup.copy().place().sequence, Sequence(2));
+    assert_eq!(backup.copy().position().sequence, Sequence(2));
 }
 
 /// Digests that come again late must not keep a backup from following.
@@ -274,5 +275,5 @@
         )
     };
     assert!(out.iter().any(taken), "{out:?}");
-    assert_eq!(backup.copy().place().sequence, Sequence(3));
+    assert_eq!(backup.copy().position().sequence, Sequence(3));
 }
--- a/libraries/topazyard-replication/tests/durability.rs
+++ b/libraries/topazyard-replication/tests/durability.rs
@@ -1,6 +1,6 @@
 //! What a primary answers is synced on every copy of its epoch, its own among them.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
@@ -18,7 +18,7 @@
 }
 
 fn hear(replica: &mut Replica, from: u64, epoch: u64, body: ReplicaBody) -> Vec<ReplicaOutput> {
-    let from = From { id: NodeId(from), address: node(from).address };
+    let from = Sender { id: NodeId(from), address: node(from).address };
     let message = ReplicaMessage { group: Group::Control, epoch: Epoch(epoch), body };
     replica.receive(from, message, NOW)
 }
@@ -40,7 +40,7 @@
     let (sequence, of) = (Sequence(0), Follows::AsBackup);
     let compared =
         hear(&mut replica, FORMER, 1, ReplicaBody::Digests { round: 1, sequence, digests, of });
-    writes(&compared).into_iter().for_each(|number| drop(replica.written(number)));
+    writes(&compared).into_iter().for_each(|number| drop(replica.write_synced(number)));
     let changes = vec![RowChange::put("batch", &1_u8)];
     let append = ReplicaBody::Append { round: 2, sequence: Sequence(1), changes };
     let appended = hear(&mut replica, FORMER, 1, append);
@@ -68,7 +68,9 @@
                 ReplicaOutput::Send(_, message) => {
                     at_successor.extend(hear(successor, BACKUP, 2, message.body));
                 }
-                ReplicaOutput::Write(token, _) => at_backup.extend(backup.written(token.number)),
+                ReplicaOutput::Write(token, _) => {
+                    at_backup.extend(backup.write_synced(token.number))
+                }
                 _ => {}
             }
         }
@@ -81,16 +83,16 @@
     let (mut successor, unsynced) = with_unsynced_batch();
     let mut backup = Replica::new(Group::Control, true, Copy::default(), Life(3 << 40));
     backup.become_follower(Epoch(2), NodeId(SUCCESSOR), NOW);
-    let followers = Followers { backups: vec![node(BACKUP)], learners: vec![], answers: true };
+    let followers = Followers { backups: vec![node(BACKUP)], learners: vec![], may_serve: true };
     let first = successor.become_primary(Epoch(2), followers, NOW);
     assert!(carry(&mut successor, &mut backup, first).is_empty());
     assert!(backup.copy().rows().contains_key("batch"));
     // A read: the batch is on the backup's disk alone. Were that lost and this node's power too, what
     // was read would be gone.
     assert!(successor.submit(7, Vec::new()));
-    let out = successor.proceed(NOW);
+    let out = successor.start_next_batch(NOW);
     assert!(carry(&mut successor, &mut backup, out).is_empty(), "its own disk lags");
-    let mut out = successor.written(unsynced);
-    out.extend(successor.proceed(NOW));
+    let mut out = successor.write_synced(unsynced);
+    out.extend(successor.start_next_batch(NOW));
     assert_eq!(carry(&mut successor, &mut backup, out), [7]);
 }
--- a/libraries/topazyard-replication/tests/epochs.rs
+++ b/libraries/topazyard-replication/tests/epochs.rs
@@ -1,7 +1,7 @@
 //! Epochs: decided once, whoever proposes, restarts or is outbid.
 
 use topazyard_replication::Witness;
-use topazyard_replication::epoch::{Proposal, Step};
+use topazyard_replication::epoch::{Proposal, ProposalStep};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
 
@@ -67,7 +67,9 @@
                     proposals[who] = begin(who, &lives, now, &other);
                 }
                 7 => {
-                    if let Step::Say(message) = proposals[who].0.tick(MonotonicMs(now.0 + 2_000)) {
+                    if let ProposalStep::Broadcast(message) =
+                        proposals[who].0.tick(MonotonicMs(now.0 + 2_000))
+                    {
                         proposals[who].1 = message;
                     }
                 }
@@ -77,9 +79,9 @@
                     let Some(say) = answer(&mut witnesses[which], &message) else { continue };
                     let from = NodeId(which as u64 + 1);
                     match proposals[who].0.receive(from, &say, now) {
-                        Step::Wait => {}
-                        Step::Say(message) => proposals[who].1 = message,
-                        Step::Decided(record) => decided.push(record),
+                        ProposalStep::Wait => {}
+                        ProposalStep::Broadcast(message) => proposals[who].1 = message,
+                        ProposalStep::Decided(record) => decided.push(record),
                     }
                 }
             }
@@ -114,7 +116,7 @@
     };
     let (changes, _) = witness.prepare(&first(), ballot(5)).expect("an answer");
     keep(changes);
-    let mut again = Witness::loaded(&rows);
+    let mut again = Witness::from_rows(&rows);
     let refused = again.accept(&first(), ballot(4), wanted(1, 3));
     assert!(matches!(refused, Some((_, CoreMessage::Outbid { .. }))));
 }
--- a/libraries/topazyard-replication/tests/invariants.rs
+++ b/libraries/topazyard-replication/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! Each invariant that this library checks, seen violated.
 
-use topazyard_replication::{Follower, Witness};
+use topazyard_replication::{FeedFollower, Witness};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Place, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{Invariant, violations};
@@ -24,7 +24,7 @@
 }
 
 /// Asks, and takes one row with a place as the answer.
-fn follow(follower: &mut Follower, now: u64, value: u8) {
+fn follow(follower: &mut FeedFollower, now: u64, value: u8) {
     let health = Health::Edge { ready: true, waiting: 0, refused: 0 };
     let asked = follower.tick(MonotonicMs(now), || health);
     let Some((to, FeedMessage::Ask { nonce, .. })) = asked else { panic!("nothing was asked") };
@@ -36,7 +36,7 @@
 #[test]
 fn two_states_at_one_place_of_the_feed_are_a_violation() {
     let sources = vec![std::net::SocketAddr::from(([127, 0, 0, 1], 9_000))];
-    let mut follower = Follower::new(sources, Life(1));
+    let mut follower = FeedFollower::new(sources, Life(1));
     follow(&mut follower, 1_000, 5);
     follow(&mut follower, 2_000, 5);
     assert_eq!(violations(Invariant::FeedPlaceHasOneState), 0);
--- a/libraries/topazyard-replication/tests/looking.rs
+++ b/libraries/topazyard-replication/tests/looking.rs
@@ -1,6 +1,6 @@
 //! How a follower finds the control primary, with the others' words put in by hand.
 
-use topazyard_replication::{Follower, follower::Followed};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{Epoch, Life, MonotonicMs, Place, Sequence};
 use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
 
@@ -11,7 +11,7 @@
 }
 
 struct Looking {
-    follower: Follower,
+    follower: FeedFollower,
     now: MonotonicMs,
     /// Whom it asked, when, and under which nonce.
     asked: Vec<(Address, MonotonicMs, u64)>,
@@ -21,7 +21,7 @@
     /// A follower that has just started and knows three control nodes.
     fn new() -> Self {
         let sources = vec![at(1), at(2), at(3)];
-        let follower = Follower::new(sources, Life(1));
+        let follower = FeedFollower::new(sources, Life(1));
         Self { follower, now: MonotonicMs(100_000), asked: Vec::new() }
     }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    fn hear_news(&mut self, from: Address, nonce: u64, sequence: u64) -> Followed {
+    fn hear_news(&mut self, from: Address, nonce: u64, sequence: u64) -> FollowOutcome {
         let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
         let matter = Matter::Changes(Vec::new());
         self.follower.receive(from, FeedMessage::News { nonce, place, matter })
@@ -89,8 +89,8 @@
     looking.run(250);
     let (slow, asked_at, nonce) = looking.asked[0];
     assert!(looking.asked.len() > 1, "it has asked others since");
-    assert_eq!(looking.hear_news(slow, nonce, 7), Followed::Changed);
-    assert_eq!(looking.follower.leader(), Some(slow));
+    assert_eq!(looking.hear_news(slow, nonce, 7), FollowOutcome::Changed);
+    assert_eq!(looking.follower.primary(), Some(slow));
     assert_eq!(looking.follower.confirmed_at(), Some(asked_at));
 }
 
@@ -101,7 +101,7 @@
     let (slow, _, early) = looking.asked[0];
     let (quick, asked_at, late) = looking.asked[1];
     looking.hear_news(quick, late, 7);
-    assert_eq!(looking.hear_news(slow, early, 9), Followed::Nothing);
-    assert_eq!(looking.follower.leader(), Some(quick));
+    assert_eq!(looking.hear_news(slow, early, 9), FollowOutcome::Unchanged);
+    assert_eq!(looking.follower.primary(), Some(quick));
     assert_eq!(looking.follower.confirmed_at(), Some(asked_at));
 }
--- a/libraries/topazyard-replication/tests/remembering.rs
+++ b/libraries/topazyard-replication/tests/remembering.rs
@@ -1,7 +1,7 @@
 //! What a copy remembers of its last batches, and what a follower gets from it.
 
-use topazyard_replication::follower::Followed;
-use topazyard_replication::{Copy, Follower};
+use topazyard_replication::follower::FollowOutcome;
+use topazyard_replication::{Copy, FeedFollower};
 use topazyard_types::{Epoch, Life, MonotonicMs, Place, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
@@ -57,7 +57,7 @@
     let mut copy = Copy::default();
     apply(&mut copy, 1, vec![row("a", 1, 0)]);
     apply(&mut copy, 2, vec![row("large", 5 * MIB, 0)]);
-    assert_eq!(copy.last_changed().collect::<Vec<_>>(), ["large"]);
+    assert_eq!(copy.last_changed_keys().collect::<Vec<_>>(), ["large"]);
     assert_eq!(copy.changes_after(place(1)), None);
     for sequence in 3..=10 {
         apply(&mut copy, sequence, vec![row("a", 1, 0)]);
@@ -78,7 +78,7 @@
 
 /// Takes a follower from its place to that of a copy, as control does, and gives whether it got
 /// everything rather than the changes.
-fn follow(follower: &mut Follower, copy: &Copy, now: MonotonicMs) -> bool {
+fn follow(follower: &mut FeedFollower, copy: &Copy, now: MonotonicMs) -> bool {
     let health = || Health::Edge { ready: true, waiting: 0, refused: 0 };
     let (to, asked) = follower.tick(now, health).expect("it asks");
     let FeedMessage::Ask { nonce, after, .. } = asked else { panic!("{asked:?}") };
@@ -89,8 +89,8 @@
             (Matter::View(rows.collect()), true)
         }
     };
-    let news = FeedMessage::News { nonce, place: copy.place(), matter };
-    assert_eq!(follower.receive(to, news), Followed::Changed);
+    let news = FeedMessage::News { nonce, place: copy.position(), matter };
+    assert_eq!(follower.receive(to, news), FollowOutcome::Changed);
     whole
 }
 
@@ -99,7 +99,7 @@
 fn a_follower_further_back_than_is_remembered_gets_everything() {
     let mut copy = Copy::default();
     let source = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut follower = Follower::new(vec![source], Life(1));
+    let mut follower = FeedFollower::new(vec![source], Life(1));
     apply(&mut copy, 1, vec![row("gone", 1, 0), row("kept", 1, 0)]);
     let mut now = MonotonicMs(10_000);
     assert!(follow(&mut follower, &copy, now), "it knew nothing");
@@ -112,5 +112,5 @@
     assert!(follow(&mut follower, &copy, now), "what came next is no longer remembered");
     assert_eq!(follower.copy().rows(), copy.rows());
     assert!(!follower.copy().rows().contains_key("gone"));
-    assert_eq!(follower.copy().place(), copy.place());
+    assert_eq!(follower.copy().position(), copy.position());
 }
--- a/libraries/topazyard-replication/tests/replicas.rs
+++ b/libraries/topazyard-replication/tests/replicas.rs
@@ -1,6 +1,6 @@
 //! Pairs: nothing is committed that the backup has not synced in the same epoch.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
@@ -15,11 +15,11 @@
 }
 
 fn backed_by(backup: u64) -> Followers {
-    Followers { backups: vec![node(backup)], learners: Vec::new(), answers: true }
+    Followers { backups: vec![node(backup)], learners: Vec::new(), may_serve: true }
 }
 
 fn filling(learner: u64) -> Followers {
-    Followers { backups: Vec::new(), learners: vec![node(learner)], answers: false }
+    Followers { backups: Vec::new(), learners: vec![node(learner)], may_serve: false }
 }
 
 struct Two {
@@ -47,11 +47,11 @@
             for output in std::mem::take(&mut at_primary) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
-                        let from = From { id: NodeId(1), address: node(1).address };
+                        let from = Sender { id: NodeId(1), address: node(1).address };
                         at_backup.extend(self.backup.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) => {
-                        at_primary.extend(self.primary.written(token.number));
+                        at_primary.extend(self.primary.write_synced(token.number));
                     }
                     ReplicaOutput::Committed(tickets) => self.committed.extend(tickets),
                     _ => {}
@@ -60,11 +60,11 @@
             for output in std::mem::take(&mut at_backup) {
                 match output {
                     ReplicaOutput::Send(_, message) => {
-                        let from = From { id: NodeId(2), address: node(2).address };
+                        let from = Sender { id: NodeId(2), address: node(2).address };
                         at_primary.extend(self.primary.receive(from, message, now));
                     }
                     ReplicaOutput::Write(token, _) if backup_syncs => {
-                        at_backup.extend(self.backup.written(token.number));
+                        at_backup.extend(self.backup.write_synced(token.number));
                     }
                     _ => {}
                 }
@@ -74,7 +74,7 @@
 
     fn submit(&mut self, ticket: u64, key: &str, backup_syncs: bool) {
         assert!(self.primary.submit(ticket, vec![RowChange::put(key, &1_u8)]));
-        let out = self.primary.proceed(NOW);
+        let out = self.primary.start_next_batch(NOW);
         self.run(backup_syncs, out, NOW);
     }
 }
@@ -105,7 +105,7 @@
     let out = two.primary.become_primary(Epoch(2), backed_by(2), NOW);
     two.backup.become_follower(Epoch(2), NodeId(1), NOW);
     two.run(true, out, NOW);
-    let place = two.backup.copy().place();
+    let place = two.backup.copy().position();
     let late = ReplicaMessage {
         group: Group::Control,
         epoch: Epoch(1),
@@ -115,9 +115,9 @@
             changes: vec![RowChange::put("late", &1_u8)],
         },
     };
-    let from = From { id: NodeId(1), address: node(1).address };
+    let from = Sender { id: NodeId(1), address: node(1).address };
     assert!(two.backup.receive(from, late, NOW).is_empty());
-    assert_eq!(two.backup.copy().place(), place);
+    assert_eq!(two.backup.copy().position(), place);
 }
 
 #[test]
@@ -126,12 +126,12 @@
     two.submit(1, "a", false);
     // The primary restarts with the same epoch; its disk had synced the change.
     let rows = two.primary.copy().rows().clone();
-    let copy = Copy::loaded(rows);
+    let copy = Copy::from_rows(rows);
     two.primary = Replica::new(Group::Control, true, copy, Life(77 << 30));
     two.primary.become_primary(Epoch(1), backed_by(2), NOW);
     assert!(two.primary.submit(2, vec![RowChange::put("b", &1_u8)]));
     // Every confirmation that the backup could still owe the former life arrives now.
-    let from = From { id: NodeId(2), address: node(2).address };
+    let from = Sender { id: NodeId(2), address: node(2).address };
     for round in (4_u64 << 29)..(4 << 29) + 50 {
         let body = ReplicaBody::Appended { round };
         let message = ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
@@ -149,7 +149,7 @@
                 let change = RowChange::put(format!("row/{key}"), value);
                 (change.key, change.value.expect("a value"))
             });
-            Copy::loaded(rows.collect())
+            Copy::from_rows(rows.collect())
         };
         let mut two = Two::new(true);
         two.primary = Replica::new(Group::Control, true, copy(ours), Life(3 << 30));
@@ -176,7 +176,7 @@
         for output in std::mem::take(&mut out) {
             match output {
                 ReplicaOutput::Send(_, message) => {
-                    let from = From { id: NodeId(1), address: node(1).address };
+                    let from = Sender { id: NodeId(1), address: node(1).address };
                     back.extend(learner.receive(from, message, NOW));
                 }
                 ReplicaOutput::LearnersReady => {
@@ -188,10 +188,10 @@
         while let Some(output) = back.pop() {
             match output {
                 ReplicaOutput::Send(_, message) => {
-                    let from = From { id: NodeId(3), address: node(3).address };
+                    let from = Sender { id: NodeId(3), address: node(3).address };
                     out.extend(two.primary.receive(from, message, NOW));
                 }
-                ReplicaOutput::Write(token, _) => back.extend(learner.written(token.number)),
+                ReplicaOutput::Write(token, _) => back.extend(learner.write_synced(token.number)),
                 _ => {}
             }
         }
--- a/libraries/topazyard-replication/tests/several.rs
+++ b/libraries/topazyard-replication/tests/several.rs
@@ -1,6 +1,6 @@
 //! As many backups as machines may be lost: none, one and two, all of which confirm each batch.
 
-use topazyard_replication::replica::From;
+use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
 use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
@@ -26,7 +26,7 @@
 }
 
 impl Fleet {
-    fn new(backups: u64, learners: u64, answers: bool) -> Self {
+    fn new(backups: u64, learners: u64, may_serve: bool) -> Self {
         let replica = |id: u64| Replica::new(Group::Control, true, Copy::default(), Life(id << 30));
         let last = PRIMARY + backups + learners;
         let mut fleet = Self {
@@ -42,7 +42,7 @@
         let followers = Followers {
             backups: (PRIMARY + 1..=PRIMARY + backups).map(node).collect(),
             learners: (PRIMARY + backups + 1..=last).map(node).collect(),
-            answers,
+            may_serve,
         };
         let out = fleet.node(PRIMARY).become_primary(Epoch(1), followers, NOW);
         fleet.run(PRIMARY, out, NOW);
@@ -64,11 +64,11 @@
                     if self.cut.contains(&id) || self.cut.contains(&to) {
                         continue;
                     }
-                    let from = From { id: NodeId(id), address: node(id).address };
+                    let from = Sender { id: NodeId(id), address: node(id).address };
                     (to, self.node(to).receive(from, message, now))
                 }
                 ReplicaOutput::Write(token, _) if !self.stalled.contains(&id) => {
-                    (id, self.node(id).written(token.number))
+                    (id, self.node(id).write_synced(token.number))
                 }
                 ReplicaOutput::Committed(tickets) => {
                     self.committed.extend(tickets);
@@ -87,7 +87,7 @@
     fn submit(&mut self, ticket: u64, key: &str) {
         let change = RowChange::put(key, &1_u8);
         assert!(self.node(PRIMARY).submit(ticket, vec![change]));
-        let out = self.node(PRIMARY).proceed(NOW);
+        let out = self.node(PRIMARY).start_next_batch(NOW);
         self.run(PRIMARY, out, NOW);
     }
 
@@ -153,7 +153,9 @@
     let mut fleet = Fleet::new(2, 0, true);
     // Node 3 restarts with what it had synced and hears of its role again.
     let rows = fleet.node(3).copy().rows().clone();
-    fleet.nodes.insert(3, Replica::new(Group::Control, true, Copy::loaded(rows), Life(77 << 30)));
+    fleet
+        .nodes
+        .insert(3, Replica::new(Group::Control, true, Copy::from_rows(rows), Life(77 << 30)));
     fleet.node(3).become_follower(Epoch(1), NodeId(PRIMARY), NOW);
     fleet.stalled.insert(3);
     fleet.submit(1, "a");
@@ -219,7 +221,7 @@
                     }
                     _ => fleet.tick(now),
                 }
-                let out = fleet.node(PRIMARY).proceed(now);
+                let out = fleet.node(PRIMARY).start_next_batch(now);
                 fleet.run(PRIMARY, out, now);
                 let copies = fleet.nodes.values().map(|node| node.copy().rows());
                 for rows in copies {
--- a/programs/topazyard-control/src/machine/bootstrap.rs
+++ b/programs/topazyard-control/src/machine/bootstrap.rs
@@ -7,7 +7,7 @@
 
 use super::{ControlMachine, Effects, bootstrap_record};
 use crate::witnesses;
-use topazyard_replication::{Proposal, epoch::Step};
+use topazyard_replication::{Proposal, epoch::ProposalStep};
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, EpochRecord};
@@ -21,20 +21,20 @@
         else {
             return;
         };
-        if let Some(row) = self.witness.may_found(initial) {
+        if let Some(row) = self.witness.allow_bootstrap(initial) {
             self.write_own_rows(Group::Witness, vec![row], Vec::new(), effects);
         }
     }
 
     pub(super) fn bootstrap_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if let Some(proposal) = &mut self.bootstrap {
-            if let Step::Say(message) = proposal.tick(now) {
+            if let ProposalStep::Broadcast(message) = proposal.tick(now) {
                 self.send_to_seeds(&message, effects);
             }
             return;
         }
         let Some(first_record) = self.first_record(now) else { return };
-        let Some(initial) = self.witness.genesis().cloned() else { return };
+        let Some(initial) = self.witness.bootstrap_base().cloned() else { return };
         let (proposal, message) =
             Proposal::begin(self.me.id, self.boot_id, initial, first_record, now);
         self.bootstrap = Some(proposal);
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn send_to_seeds(&self, message: &CoreMessage, effects: &mut Effects) {
-        let Some(initial) = self.witness.genesis() else { return };
+        let Some(initial) = self.witness.bootstrap_base() else { return };
         for seed in &initial.witnesses {
             let message = Message::Core(message.clone());
             effects.push(Effect::Send { to: seed.address, message });
@@ -51,7 +51,7 @@
 
     /// The first record to ask for, if it is this node's turn to ask for one.
     fn first_record(&self, now: MonotonicMs) -> Option<EpochRecord> {
-        let initial = self.witness.genesis().filter(|_| self.witness.record().is_none())?;
+        let initial = self.witness.bootstrap_base().filter(|_| self.witness.record().is_none())?;
         if self.disk.is_full() {
             return None;
         }
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -3,7 +3,7 @@
 
 use super::{AfterWrite, ControlMachine, Effects, bootstrap_record};
 use crate::witnesses;
-use topazyard_replication::{Proposal, epoch::Step};
+use topazyard_replication::{Proposal, epoch::ProposalStep};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
@@ -52,12 +52,12 @@
         }
         if self.requested_epoch > record.epoch {
             // It stopped answering before it restarted, or yielded: ask again if nobody leads.
-            let primary_heard = self.replica.heard_primary();
+            let primary_heard = self.replica.primary_last_heard();
             return primary_heard.is_none_or(|at| now.since(at) >= timeout)
                 && (is_primary || self.holds_all_acknowledged(record));
         }
         let primary_is_silent =
-            self.replica.heard_primary().is_some_and(|at| now.since(at) >= timeout);
+            self.replica.primary_last_heard().is_some_and(|at| now.since(at) >= timeout);
         if is_primary {
             let silent = self.replica.backup_silent_since();
             // It may have let a backup's claim copy here that came to nothing.
@@ -80,7 +80,7 @@
     pub(super) fn holds_all_acknowledged(&self, record: &EpochRecord) -> bool {
         // Nothing was answered in the first epoch before this copy was compared.
         record.epoch == bootstrap_record::FIRST_EPOCH
-            || self.replica.copy().place().epoch >= record.epoch
+            || self.replica.copy().position().epoch >= record.epoch
     }
 
     /// The other core nodes that are heard and whose disks take writes.
@@ -103,7 +103,7 @@
         silent.extend(
             base.backups.iter().map(|node| node.id).filter(|id| self.peers.is_leaving(*id)),
         );
-        self.replica.stop_answering();
+        self.replica.stop_serving();
         self.requested_epoch = base.epoch.next();
         let row = RowChange::put(REQUESTED_EPOCH_KEY, &self.requested_epoch);
         self.epoch_change = Some(EpochChange {
@@ -121,8 +121,8 @@
     /// own where that can be. Gives none where too few are heard.
     fn choose_learners(&self, change: &EpochChange, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
-            let known = self.membership.remembered().find(|known| known.news.member.id == id);
-            known.map(|known| known.news.member.zone.clone())
+            let known = self.membership.remembered().find(|known| known.latest.member.id == id);
+            known.map(|known| known.latest.member.zone.clone())
         };
         let mut zones = vec![self.membership.own_zone().clone()];
         let mut others: Vec<CoreNode> = self.reachable_others(now).collect();
@@ -212,12 +212,12 @@
         let timeouts = self.timeouts.clone();
         let Some(change) = &mut self.epoch_change else { return };
         if let Some(proposal) = &mut change.proposal {
-            if let Step::Say(message) = proposal.tick(now) {
+            if let ProposalStep::Broadcast(message) = proposal.tick(now) {
                 self.send_to_witnesses(&message, effects);
             }
             return;
         }
-        let primary_heard = self.replica.heard_primary();
+        let primary_heard = self.replica.primary_last_heard();
         if change.learners.is_empty()
             && primary_heard.is_some_and(|at| now.since(at) < timeouts.primary)
         {
@@ -273,12 +273,12 @@
             return;
         };
         match proposal.receive(witness, message, now) {
-            Step::Wait => {}
-            Step::Say(message) if self.epoch_change.is_some() => {
+            ProposalStep::Wait => {}
+            ProposalStep::Broadcast(message) if self.epoch_change.is_some() => {
                 self.send_to_witnesses(&message, effects)
             }
-            Step::Say(message) => self.send_to_seeds(&message, effects),
-            Step::Decided(record) => self.learn_record(&record, now, effects),
+            ProposalStep::Broadcast(message) => self.send_to_seeds(&message, effects),
+            ProposalStep::Decided(record) => self.learn_record(&record, now, effects),
         }
     }
 
@@ -325,7 +325,7 @@
         let Some(source) = self.replica.primary().filter(|source| *source != requester) else {
             return false;
         };
-        let primary_heard = self.replica.heard_primary();
+        let primary_heard = self.replica.primary_last_heard();
         let is_filling = self.replica.epoch() == epoch
             && primary_heard.is_some_and(|at| now.since(at) < self.timeouts.learner)
             && self.peers.receives_from_us(source);
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -76,7 +76,7 @@
         if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
             return (place, matter);
         }
-        let place = self.replica.copy().place();
+        let place = self.replica.copy().position();
         if let Some(changes) = self.bounded_changes_after(after) {
             return (place, Matter::Changes(changes));
         }
@@ -84,7 +84,8 @@
         if size_of_rows(&rows) <= PART_BYTES {
             return (place, Matter::View(rows));
         }
-        let first = |snapshot: &Snapshot| Some((snapshot.place(), Matter::Part(snapshot.part(0)?)));
+        let first =
+            |snapshot: &Snapshot| Some((snapshot.position(), Matter::Part(snapshot.part(0)?)));
         let found = self.usable_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
             let snapshot = Snapshot::of(place, &rows);
@@ -96,7 +97,7 @@
 
     /// The part that a follower lacks next of a snapshot that is still kept.
     fn next_part(&self, after: Place, request: PartWanted) -> Option<(Place, Matter)> {
-        let is_requested = |snapshot: &&Snapshot| snapshot.place() == request.place;
+        let is_requested = |snapshot: &&Snapshot| snapshot.position() == request.place;
         let snapshot = self.snapshots.iter().find(is_requested)?;
         let part = snapshot.part(request.part)?;
         (request.place > after).then_some((request.place, Matter::Part(part)))
@@ -111,8 +112,8 @@
 
     /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
     fn usable_snapshot(&self, after: Place) -> Option<&Snapshot> {
-        let newest = self.snapshots.back().filter(|snapshot| snapshot.place() > after)?;
-        self.bounded_changes_after(newest.place()).map(|_| newest)
+        let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
+        self.bounded_changes_after(newest.position()).map(|_| newest)
     }
 
     fn keep_snapshot(&mut self, snapshot: Snapshot) {
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -75,7 +75,7 @@
             // primary than the others, which were never down.
             let isolated_at = self.last_isolated.unwrap_or(serving_since);
             let silence = now.since(heard.max(serving_since).max(isolated_at));
-            let suspected = self.membership.standing(*id) != Some(Standing::Alive);
+            let suspected = self.membership.status(*id) != Some(Standing::Alive);
             let is_down = silence >= self.timeouts.silent_down
                 || (silence >= self.timeouts.suspected_down && suspected);
             if is_down || self.is_replaced(fleet, *id) {
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -19,7 +19,7 @@
 
 use topazyard_membership::Membership;
 use topazyard_replication::invariants::{check_acknowledged_on_enough, report};
-use topazyard_replication::{Copy, Replica, ReplicaOutput, Ticket, Witness};
+use topazyard_replication::{Copy, Replica, ReplicaOutput, Witness, WriteTicket};
 use topazyard_types::{MonotonicMs, NodeId, ShardId};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::invariants::Invariant;
@@ -96,8 +96,8 @@
     pub(crate) epoch_change: Option<epoch_change::EpochChange>,
     /// The epoch this node asked for, after which it answers nothing in the one before.
     pub(crate) requested_epoch: topazyard_types::Epoch,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
+    pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
+    pub(crate) last_ticket: WriteTicket,
     pub(crate) operations: operations::OperationQueue,
     order_bounds: orders::OrderBounds,
     configurations: configurations::Configurations,
@@ -160,7 +160,7 @@
         // A disk that holds anything of a fleet is no beginning.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
         let is_new = start.may_found && !held(Group::Control) && !held(Group::Witness);
-        let copy = Copy::loaded(start.loaded.remove(&Group::Control).unwrap_or_default());
+        let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
         let remembered = start.remembered();
         let ask = start.known_control();
@@ -172,7 +172,7 @@
             seeds: start.seeds,
             timeouts: timeouts::Timeouts::from_bounds(&start.bounds),
             bounds: start.bounds,
-            witness: Witness::loaded(&witness_rows),
+            witness: Witness::from_rows(&witness_rows),
             replica: Replica::new(Group::Control, true, copy, boot_id),
             peers: peers::Peers::default(),
             epoch_change: None,
@@ -228,7 +228,7 @@
         self.witness.record()
     }
 
-    pub(crate) fn next_ticket(&mut self) -> Ticket {
+    pub(crate) fn next_ticket(&mut self) -> WriteTicket {
         self.last_ticket += 1;
         self.last_ticket
     }
@@ -293,7 +293,7 @@
                         }
                     }
                 }
-                ReplicaOutput::Lost(tickets) => {
+                ReplicaOutput::OutcomeUnknown(tickets) => {
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
                             self.fail(&waiting, now, effects);
@@ -377,7 +377,7 @@
             return;
         }
         self.follow_epoch_change_if_due(sender, &message, now, effects);
-        let from = topazyard_replication::replica::From { id: sender, address: from };
+        let from = topazyard_replication::replica::Sender { id: sender, address: from };
         let outputs = self.replica.receive(from, message, now);
         self.handle_replica_outputs(outputs, now, effects);
     }
@@ -484,7 +484,7 @@
             Input::Tick => self.tick(now, &mut effects),
             Input::Disk(state) => self.disk.take_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
-                let outputs = self.replica.written(token.number);
+                let outputs = self.replica.write_synced(token.number);
                 self.handle_replica_outputs(outputs, now, &mut effects);
             }
             Input::Written(token) => {
@@ -514,7 +514,7 @@
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
-                self.membership.take_seeds(seeds);
+                self.membership.add_seeds(seeds);
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
@@ -542,7 +542,7 @@
         }
         self.apply_change_requests(now);
         self.run_commands(now, &mut effects);
-        let outputs = self.replica.proceed(now);
+        let outputs = self.replica.start_next_batch(now);
         self.handle_replica_outputs(outputs, now, &mut effects);
         self.track_writes(&effects, now);
         effects
--- a/programs/topazyard-control/src/machine/peers.rs
+++ b/programs/topazyard-control/src/machine/peers.rs
@@ -171,7 +171,7 @@
             self.replica.become_idle(record.epoch)
         } else if record.primary.id == self.me.id {
             let followers = topazyard_replication::Followers {
-                answers: record.backups.len() >= self.backups(),
+                may_serve: record.backups.len() >= self.backups(),
                 backups: record.backups,
                 learners: Vec::new(),
             };
@@ -246,7 +246,7 @@
         ) -> Option<(Vec<topazyard_wire::RowChange>, CoreMessage)>,
         effects: &mut Effects,
     ) {
-        let record = self.witness.record().or(self.witness.genesis());
+        let record = self.witness.record().or(self.witness.bootstrap_base());
         let (id, address) = (self.me.id, self.me.address);
         if record.and_then(|record| bootstrap_record::voter_id(record, id, address)).is_none() {
             return;
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -140,14 +140,14 @@
             .remembered()
             .map(|known| {
                 serde_json::json!({
-                    "node": known.news.member.id,
-                    "name": known.news.member.name,
-                    "address": known.news.member.address,
-                    "http": known.news.member.http,
-                    "duty": known.news.member.duty,
-                    "zone": known.news.member.zone,
-                    "standing": known.news.standing,
-                    "incarnation": known.news.incarnation,
+                    "node": known.latest.member.id,
+                    "name": known.latest.member.name,
+                    "address": known.latest.member.address,
+                    "http": known.latest.member.http,
+                    "duty": known.latest.member.duty,
+                    "zone": known.latest.member.zone,
+                    "standing": known.latest.standing,
+                    "incarnation": known.latest.incarnation,
                 })
             })
             .collect();
@@ -172,7 +172,7 @@
                 "full": self.peers.full_nodes(),
                 "witnesses": record.witnesses.iter().map(|w| w.address).collect::<Vec<_>>(),
             })),
-            "place": self.replica.copy().place(),
+            "place": self.replica.copy().position(),
             "spec": fleet.spec.as_ref().map(|(version, _)| version),
             "members": members,
             "relays": relays,
--- a/programs/topazyard-control/tests/catching_up.rs
+++ b/programs/topazyard-control/tests/catching_up.rs
@@ -5,8 +5,8 @@
 
 use fleet::{Fleet, at};
 use topazyard_control::ControlCall;
-use topazyard_replication::Follower;
-use topazyard_replication::follower::Followed;
+use topazyard_replication::FeedFollower;
+use topazyard_replication::follower::FollowOutcome;
 use topazyard_types::{Life, MonotonicMs, NodeId, SpecVersion};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
@@ -65,7 +65,7 @@
     }
 
     /// Lets a follower ask once, and gives what it is answered.
-    fn answer(&mut self, follower: &mut Follower) -> FeedMessage {
+    fn answer(&mut self, follower: &mut FeedFollower) -> FeedMessage {
         self.now.0 += 1_000;
         let health = || Health::Edge { ready: true, waiting: 0, refused: 0 };
         let (_, ask) = follower.tick(self.now, health).expect("it asks");
@@ -80,13 +80,13 @@
         answer
     }
 
-    fn ask(&mut self, follower: &mut Follower) -> Followed {
+    fn ask(&mut self, follower: &mut FeedFollower) -> FollowOutcome {
         let answer = self.answer(follower);
         follower.receive(at(self.fleet.primary().expect("a primary")), answer)
     }
 
     /// Lets a follower ask until it is up to date.
-    fn follow(&mut self, follower: &mut Follower) {
+    fn follow(&mut self, follower: &mut FeedFollower) {
         self.answers.clear();
         let before = follower.confirmed_at();
         for _ in 0..2_000 {
@@ -102,8 +102,8 @@
     }
 }
 
-fn follower() -> Follower {
-    Follower::new(vec![at(0)], Life(1))
+fn follower() -> FeedFollower {
+    FeedFollower::new(vec![at(0)], Life(1))
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let confirmed = follower.confirmed_at();
     fed.change(2_000, 210);
     let mut parts = 0;
-    while fed.ask(&mut follower) == Followed::Nothing {
+    while fed.ask(&mut follower) == FollowOutcome::Unchanged {
         assert_eq!(*follower.copy().rows(), before);
         parts += 1;
     }
@@ -181,7 +181,7 @@
     let mut quick = follower();
     fed.follow(&mut quick);
     assert_eq!(slow.copy().rows(), quick.copy().rows());
-    assert_eq!(slow.copy().place(), quick.copy().place());
+    assert_eq!(slow.copy().position(), quick.copy().position());
 }
 
 #[test]
@@ -224,7 +224,7 @@
 fn a_herd_shares_one_snapshot() {
     let mut fed = Fed::new();
     fed.change(10_000, 230);
-    let mut herd: Vec<Follower> = (0..400).map(|_| follower()).collect();
+    let mut herd: Vec<FeedFollower> = (0..400).map(|_| follower()).collect();
     let mut held = Vec::new();
     for follower in &mut herd {
         if let FeedMessage::News { matter: Matter::Part(part), .. } = fed.answer(follower) {
--- a/programs/topazyard-control/tests/shard_safety.rs
+++ b/programs/topazyard-control/tests/shard_safety.rs
@@ -4,7 +4,7 @@
 use rand::{Rng as _, SeedableRng as _, seq::IndexedRandom as _};
 use std::collections::{BTreeMap, BTreeSet};
 use topazyard_control::planner::{
-    StorageStatus, hand_over_primary, hosted, plan, promote_learners, replace_backups,
+    StorageStatus, hand_over_primary, hosted_copies, plan, promote_learners, replace_backups,
 };
 use topazyard_types::{NodeId, ShardId};
 use topazyard_wire::RowChange;
@@ -176,7 +176,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in retired {
-            assert_eq!(hosted(&self.view, id), 0, "a retired node is still named");
+            assert_eq!(hosted_copies(&self.view, id), 0, "a retired node is still named");
             self.up.remove(&id);
             self.forget(id);
         }
--- a/programs/topazyard-edge-agent/src/machine.rs
+++ b/programs/topazyard-edge-agent/src/machine.rs
@@ -216,7 +216,7 @@
     fn take_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let new = seeds.iter().filter(|seed| !self.sources.contains(seed)).copied();
         self.sources.extend(new.collect::<Vec<_>>());
-        self.membership.take_seeds(seeds);
+        self.membership.add_seeds(seeds);
     }
 
     fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -13,7 +13,7 @@
 pub mod routed_items;
 
 use crate::prompt::Failure;
-use topazyard_replication::{Follower, follower::Followed};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{
     BatchId, DurationMs, EngineName, Life, ModelName, MonotonicMs, NodeId, RouteName, ShardId,
     SpecVersion, Tokens,
@@ -251,7 +251,7 @@
     pub(crate) node: NodeId,
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
-    follower: Follower,
+    follower: FeedFollower,
     pub(crate) view: FleetView,
     pub(crate) counting: counting::Counting,
     pub(crate) admission: admission::Admission,
@@ -280,7 +280,7 @@
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
-            follower: Follower::new(vec![start.agent], life),
+            follower: FeedFollower::new(vec![start.agent], life),
             view: FleetView::default(),
             counting: counting::Counting::new(life),
             admission: admission::Admission::default(),
@@ -350,7 +350,7 @@
             node: self.node,
             ready: self.unready(now).is_none(),
             spec: self.view.spec.as_ref().map(|(version, _)| *version),
-            place: self.follower.copy().place().to_string(),
+            place: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
@@ -398,7 +398,7 @@
     }
 
     fn take_news(&mut self, from: std::net::SocketAddr, message: FeedMessage, out: &mut Out) {
-        if self.follower.receive(from, message) != Followed::Changed {
+        if self.follower.receive(from, message) != FollowOutcome::Changed {
             return;
         }
         let before = self.view.spec.as_ref().map(|(version, _)| *version);
--- a/programs/topazyard-storage/src/batches/mod.rs
+++ b/programs/topazyard-storage/src/batches/mod.rs
@@ -10,7 +10,7 @@
 };
 use topazyard_wire::message::batch::Run;
 
-pub use read::{returns, standing, waiting};
+pub use read::{returns, standing, waiting_cost};
 
 /// How long a leased item waits for its start.
 pub const LEASE: DurationMs = DurationMs(2_500);
--- a/programs/topazyard-storage/src/batches/read.rs
+++ b/programs/topazyard-storage/src/batches/read.rs
@@ -8,7 +8,7 @@
 const MOST_BYTES: usize = 4 * 1024 * 1024;
 
 /// The cost of all items in a copy that have no final return.
-pub fn waiting(copy: &topazyard_replication::Copy) -> topazyard_types::Tokens {
+pub fn waiting_cost(copy: &topazyard_replication::Copy) -> topazyard_types::Tokens {
     let items = rows::batches(copy)
         .flat_map(|(number, row)| (0..row.items).map(move |item| (number, ItemNumber(item))));
     let unreturned = items.filter(|(number, item)| {
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -73,7 +73,7 @@
     /// ```
     pub fn taken_over(copy: &topazyard_replication::Copy, now: MonotonicMs) -> Self {
         let mut counter = Self::default();
-        let blank = copy.place().sequence == topazyard_types::Sequence(0);
+        let blank = copy.position().sequence == topazyard_types::Sequence(0);
         counter.gathers_until = blank.then(|| now.plus(GATHER));
         for (relay, hold) in rows::holds(copy) {
             counter.leases.entry(relay).or_insert_with(|| now.plus(LEASE));
--- a/programs/topazyard-storage/src/machine/aside.rs
+++ b/programs/topazyard-storage/src/machine/aside.rs
@@ -7,7 +7,7 @@
 
 use super::hosted::{Aside, BatchAnswer, BatchCaller, Hosted};
 use super::{Out, StorageMachine};
-use topazyard_replication::{Copy, Doubt};
+use topazyard_replication::{Copy, Uncommitted};
 use topazyard_types::{BatchId, DurationMs, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::message::batch::{BatchCall, BatchReturn};
 use topazyard_wire::message::control::ShardRecord;
@@ -68,19 +68,19 @@
 fn is_sure(hosted: &Hosted, record: &ShardRecord, me: NodeId, batch: BatchId) -> bool {
     let replica = &hosted.replica;
     let is_of_batch = |key| crate::batches::rows::is_of(key, batch.number);
-    let touched = || replica.copy().last_changed().any(is_of_batch);
+    let touched = || replica.copy().last_changed_keys().any(is_of_batch);
     let synced_by_all = || {
         let others_have = hosted.all_have_synced(other_backups(record, me));
-        let primary_has = replica.is_last_synced_by_primary();
+        let primary_has = replica.primary_synced_last_batch();
         record.is_complete() && replica.is_synced() && others_have && primary_has
     };
-    match (replica.doubt(), replica.is_primary()) {
-        (Doubt::Nothing, _) => true,
+    match (replica.uncommitted(), replica.is_primary()) {
+        (Uncommitted::Nothing, _) => true,
         // It is on as many disks as the record bears losses, and one more. That the primary holds it in
         // memory is not enough: it may lose its power while the others lose their disks.
-        (Doubt::LastChanges, false) if synced_by_all() => true,
-        (Doubt::LastChanges, _) => !touched(),
-        (Doubt::SomeChanges | Doubt::All, _) => false,
+        (Uncommitted::LastBatch, false) if synced_by_all() => true,
+        (Uncommitted::LastBatch, _) => !touched(),
+        (Uncommitted::UnknownBatch | Uncommitted::All, _) => false,
     }
 }
 
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -68,11 +68,11 @@
         for (shard, hosted) in &self.hosted {
             let Some(record) = self.view.shards.get(shard) else { continue };
             let epoch = hosted.replica.epoch();
-            let follows = hosted.replica.was_in_step() && record.epoch == epoch;
+            let follows = hosted.replica.was_in_sync() && record.epoch == epoch;
             if hosted.asides.is_empty() || !follows || !record.is_backup(me) {
                 continue;
             }
-            let sequence = hosted.replica.copy().place().sequence;
+            let sequence = hosted.replica.copy().position().sequence;
             let ask = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
             for other in record.backups.iter().filter(|node| node.id != me) {
                 let message = Message::Confirm(ask.clone());
@@ -97,7 +97,7 @@
             ConfirmMessage::AskSynced { shard, epoch, sequence } => {
                 let Some(hosted) = self.hosted.get(&shard) else { return };
                 if hosted.has_synced(epoch, sequence) {
-                    let sequence = hosted.replica.copy().place().sequence;
+                    let sequence = hosted.replica.copy().position().sequence;
                     let synced = ConfirmMessage::Synced { shard, epoch, sequence };
                     out.push(Effect::Send { to: from, message: Message::Confirm(synced) });
                 }
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -2,7 +2,7 @@
 
 use crate::batches::Batches;
 use crate::counter::Counter;
-use topazyard_replication::{Doubt, Replica, Ticket};
+use topazyard_replication::{Replica, Uncommitted, WriteTicket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
 use topazyard_wire::message::batch::{BatchReturn, Item};
 use topazyard_wire::message::control::ShardWish;
@@ -27,8 +27,8 @@
 pub(crate) struct Hosted {
     pub(crate) replica: Replica,
     pub(crate) work: Work,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
+    pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
+    pub(crate) last_ticket: WriteTicket,
     /// A wish for another record, with when it was last sent; none while it is being synced.
     pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
     pub(crate) raising: Raising,
@@ -163,18 +163,18 @@
 
     /// Whether all of these nodes said that they have synced what this follower holds.
     pub(crate) fn all_have_synced(&self, mut nodes: impl Iterator<Item = NodeId>) -> bool {
-        let held = self.replica.copy().place().sequence;
+        let held = self.replica.copy().position().sequence;
         nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= held))
     }
 
     /// Whether this node follows in step in that epoch and has synced the copy up to there.
     pub(crate) fn has_synced(&self, epoch: Epoch, sequence: Sequence) -> bool {
-        let in_step = self.replica.epoch() == epoch && self.replica.was_in_step();
-        let is_whole = self.replica.doubt() != Doubt::All;
+        let in_step = self.replica.epoch() == epoch && self.replica.was_in_sync();
+        let is_whole = self.replica.uncommitted() != Uncommitted::All;
         in_step
             && is_whole
             && self.replica.is_synced()
-            && self.replica.copy().place().sequence >= sequence
+            && self.replica.copy().position().sequence >= sequence
     }
 
     /// Whether this primary may work in its epoch.
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -10,7 +10,7 @@
 
 use hosted::Hosted;
 use topazyard_membership::Membership;
-use topazyard_replication::{Follower, follower::Followed};
+use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::disk::{DiskState, DiskWatch};
 use topazyard_wire::driver::DiskStart;
@@ -79,7 +79,7 @@
     pub(crate) member: Member,
     pub(crate) life: Life,
     membership: Membership,
-    follower: Follower,
+    follower: FeedFollower,
     pub(crate) view: FleetView,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
@@ -125,7 +125,7 @@
         Self {
             life,
             membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
-            follower: Follower::new(sources, life),
+            follower: FeedFollower::new(sources, life),
             member: start.member,
             view: FleetView::default(),
             hosted: std::collections::BTreeMap::new(),
@@ -178,7 +178,7 @@
         // wait for a disk that may have stalled.
         let at_once = shard.is_counter().then_some(MonotonicMs(0));
         if let Some(hosted) = self.hosted.get_mut(&shard) {
-            hosted.replica.stop_answering();
+            hosted.replica.stop_serving();
             hosted.wish = Some((wish.clone(), at_once));
         }
         if shard.is_counter() {
@@ -192,7 +192,7 @@
     /// Sends wishes until the record changes.
     fn send_wishes(&mut self, now: MonotonicMs, out: &mut Out) {
         let every = topazyard_types::DurationMs(100);
-        let control: Vec<std::net::SocketAddr> = self.follower.leader().into_iter().collect();
+        let control: Vec<std::net::SocketAddr> = self.follower.primary().into_iter().collect();
         for hosted in self.hosted.values_mut() {
             if let Some((wish, Some(sent))) = &mut hosted.wish
                 && now.since(*sent) >= every
@@ -263,16 +263,18 @@
         let outgoing = self.membership.tick(now);
         out.extend(topazyard_membership::effects(outgoing));
         self.remember_addresses(out);
-        self.follower.learn_sources(self.membership.addresses(Duty::Control));
+        self.follower.add_sources(self.membership.addresses(Duty::Control));
         let behind = self.behind_since.is_some_and(|at| self.follower.confirmed_at() <= Some(at));
         let waits = self.hosted.values().any(|hosted| hosted.waits_for_control(now));
-        self.follower.hurry(behind || waits || self.is_starting(now));
+        self.follower.set_fast_polling(behind || waits || self.is_starting(now));
         self.ask_feed(now, out);
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in &shards {
             let Some(hosted) = self.hosted.get_mut(shard) else { continue };
             let heard = self.follower.confirmed_at();
-            hosted.replica.hold_learner(heard.is_none_or(|at| now.since(at) >= HEARD_WITHIN));
+            hosted
+                .replica
+                .set_learner_promotion_paused(heard.is_none_or(|at| now.since(at) >= HEARD_WITHIN));
             let outputs = hosted.replica.tick(now);
             self.take_replica(*shard, outputs, now, out);
             self.wish_if_backup_silent(*shard, now, out);
@@ -329,7 +331,7 @@
             self.answer_for_copy_not_held(shard, from, &message, out);
         } else if let Some(hosted) = hosted {
             self.behind_since = None;
-            let from = topazyard_replication::replica::From { id: sender, address: from };
+            let from = topazyard_replication::replica::Sender { id: sender, address: from };
             let outputs = hosted.replica.receive(from, message, now);
             self.take_replica(shard, outputs, now, out);
         }
@@ -384,7 +386,7 @@
             Input::Written(token) => match token.group {
                 Group::Shard(shard) => {
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
-                        let outputs = hosted.replica.written(token.number);
+                        let outputs = hosted.replica.write_synced(token.number);
                         self.take_replica(shard, outputs, now, &mut out);
                     }
                 }
@@ -396,8 +398,8 @@
                 }
             },
             Input::Call { request: StorageCall::Seeds(seeds), .. } => {
-                self.follower.learn_sources(seeds.iter().copied());
-                self.membership.take_seeds(seeds);
+                self.follower.add_sources(seeds.iter().copied());
+                self.membership.add_seeds(seeds);
             }
             Input::Call { call, request: StorageCall::Health } => {
                 out.push(Effect::Return { call, value: self.own_health(now) });
@@ -408,7 +410,7 @@
                     out.extend(topazyard_membership::effects(outgoing));
                 }
                 Message::Feed(message) => {
-                    if self.follower.receive(from, message) == Followed::Changed {
+                    if self.follower.receive(from, message) == FollowOutcome::Changed {
                         self.view = FleetView::read(self.follower.copy().rows());
                         self.settle_roles(now, &mut out);
                     }
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -44,10 +44,10 @@
         let loaded = self.loaded.remove(&Group::Shard(shard)).unwrap_or_default();
         let last_write = self.deletions.get(&shard).copied().unwrap_or_default();
         self.hosted.entry(shard).or_insert_with(|| {
-            let mut copy = Copy::loaded(loaded);
-            copy.remember_only_last();
+            let mut copy = Copy::from_rows(loaded);
+            copy.keep_only_last_batch();
             let replica = Replica::new(Group::Shard(shard), !shard.is_counter(), copy, life);
-            Hosted::new(replica.numbering_writes_after(last_write))
+            Hosted::new(replica.with_last_write(last_write))
         })
     }
 
@@ -83,7 +83,7 @@
         hosted.wish = None;
         hosted.synced_by.clear();
         let has_restarted = !hosted.replica.has_role()
-            && hosted.replica.copy().place() != topazyard_types::Place::default();
+            && hosted.replica.copy().position() != topazyard_types::Place::default();
         let hands_over = has_restarted && record.primary.id == me && !record.backups.is_empty();
         let outputs = if hands_over {
             // It must not bring its backups in step with a copy that may lack what they have shown.
@@ -94,7 +94,7 @@
             let followers = Followers {
                 backups: record.backups.clone(),
                 learners: record.learners.clone(),
-                answers: record.is_complete() && (!stopped || shard.is_counter()),
+                may_serve: record.is_complete() && (!stopped || shard.is_counter()),
             };
             hosted.replica.become_primary(record.epoch, followers, now)
         } else {
@@ -170,7 +170,7 @@
                         self.settle(shard, ticket, out);
                     }
                 }
-                ReplicaOutput::Lost(tickets) => {
+                ReplicaOutput::OutcomeUnknown(tickets) => {
                     // Whoever asked asks again; what came of it is in the copies or nowhere.
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
                         tickets.iter().for_each(|ticket| drop(hosted.waiting.remove(ticket)));
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -3,7 +3,7 @@
 use super::hosted::{BatchAnswer, BatchCaller, Submission, Waiting, Work};
 use super::{Out, StorageMachine};
 use crate::batches::routed::Taken;
-use topazyard_replication::Ticket;
+use topazyard_replication::WriteTicket;
 use topazyard_types::{Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
@@ -161,7 +161,7 @@
     }
 
     /// Answers one whose ticket is committed; the copy holds just what is committed.
-    pub(super) fn settle(&mut self, shard: ShardId, ticket: Ticket, out: &mut Out) {
+    pub(super) fn settle(&mut self, shard: ShardId, ticket: WriteTicket, out: &mut Out) {
         let Some(hosted) = self.hosted.get_mut(&shard) else { return };
         let Some(waiting) = hosted.waiting.remove(&ticket) else { return };
         let epoch = hosted.replica.epoch();
@@ -214,7 +214,7 @@
         let shards: Vec<ShardId> = self.hosted.keys().copied().collect();
         for shard in shards {
             if let Some(hosted) = self.hosted.get_mut(&shard) {
-                let outputs = hosted.replica.proceed(now);
+                let outputs = hosted.replica.start_next_batch(now);
                 self.take_replica(shard, outputs, now, out);
             }
         }
--- a/programs/topazyard-storage/tests/batches.rs
+++ b/programs/topazyard-storage/tests/batches.rs
@@ -36,7 +36,7 @@
     }
 
     fn keep(&mut self, changes: Vec<RowChange>) {
-        let sequence = Sequence(self.copy.place().sequence.0 + 1);
+        let sequence = Sequence(self.copy.position().sequence.0 + 1);
         self.copy.apply(Epoch(1), sequence, changes);
     }
 
@@ -140,7 +140,7 @@
     assert!(shard.start(A, run, MonotonicMs(1)));
     shard.finish(A, run, whole("one"));
     let rows = shard.copy.rows().clone();
-    let copy = Copy::loaded(rows);
+    let copy = Copy::from_rows(rows);
     let successor = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(5));
     assert_eq!(successor.waiting(), Tokens(20));
     assert_eq!(returns(&copy, shard.batch, 0), returns(&shard.copy, shard.batch, 0));
@@ -197,7 +197,7 @@
     let changes = shard.batches.tick(MonotonicMs(20_000));
     shard.keep(changes);
     // A successor knows it too.
-    let copy = Copy::loaded(shard.copy.rows().clone());
+    let copy = Copy::from_rows(shard.copy.rows().clone());
     shard.batches = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(20_000));
     // Its next run is handed back before it was sent.
     let run = shard.lease(B, MonotonicMs(20_001));
--- a/programs/topazyard-storage/tests/disks.rs
+++ b/programs/topazyard-storage/tests/disks.rs
@@ -174,7 +174,7 @@
     node.sent.clear();
     // Its primary compares again and again, as it does while nobody answers.
     for round in 1..=5_000 {
-        let digests = vec![Digest::default(); topazyard_replication::copy::RANGES];
+        let digests = vec![Digest::default(); topazyard_replication::copy::RANGE_COUNT];
         let of = topazyard_wire::message::replica::Follows::AsBackup;
         let body = ReplicaBody::Digests { round, sequence: Sequence(0), digests, of };
         let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: EPOCH, body };
--- a/programs/topazyard-storage/tests/routed_batches.rs
+++ b/programs/topazyard-storage/tests/routed_batches.rs
@@ -70,12 +70,12 @@
 
     /// Another node goes on from what was committed; its clock has a beginning of its own.
     fn hand_over(&mut self, life: u64, now_ms: u64) {
-        self.copy = Copy::loaded(self.copy.rows().clone());
+        self.copy = Copy::from_rows(self.copy.rows().clone());
         self.batches = Self::of(&self.copy, life, now_ms);
     }
 
     fn keep(&mut self, changes: Vec<RowChange>) {
-        let sequence = Sequence(self.copy.place().sequence.0 + 1);
+        let sequence = Sequence(self.copy.position().sequence.0 + 1);
         self.copy.apply(Epoch(1), sequence, changes);
     }
 
@@ -387,7 +387,7 @@
         assert_eq!(lost.len(), 1);
         let mut rows = shard.copy.rows().clone();
         rows.retain(|key, _| !lost.contains(key));
-        Shard::of(&Copy::loaded(rows), 5, 30);
+        Shard::of(&Copy::from_rows(rows), 5, 30);
         assert_eq!(violations(Invariant::BatchIsWhole), seen, "{kind}");
     }
 }
