--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -1,4 +1,4 @@
-//! What each command changes, judged against the committed state.
+//! What each command changes, evaluated on the committed state.
 
 use super::ControlMachine;
 use super::orders::{OrderStatus, outcome_unknown};
@@ -11,38 +11,38 @@
     StorageStage, WeightRow, engine_key, route_key, spec_key, storage_key, weight_key,
 };
 
-/// The changes and what is returned once they are committed.
+/// The changes to commit, and the value to return once they are committed.
 type CommandResult = Result<Accepted, ApiError>;
 type Accepted = (Vec<RowChange>, serde_json::Value);
 
-/// The digest that tells a submitted bundle from another.
+/// Digest that identifies a submitted configuration.
 fn digest_of_submission(text: &str) -> Digest {
     Digest::of(&[b"submitted", text.as_bytes()])
 }
 
-/// The digest that tells a submitted change from other submissions.
+/// Digest that identifies a submitted patch.
 fn digest_of_submitted_patch(patch: &str) -> Digest {
     Digest::of(&[b"submitted patch", patch.as_bytes()])
 }
 
-/// The digest that tells a partial change with its own version from other orders.
+/// Digest that identifies a patch order that brings its own version.
 fn digest_of_patch(order: &[u8]) -> Digest {
     Digest::of(&[b"patch", order])
 }
 
-/// The digest that tells an order with its own version from another.
+/// Digest that identifies an order that brings its own version.
 fn digest_of_source(source: &[u8]) -> Digest {
     Digest::of(&[b"source", source])
 }
 
-/// A bundle's text with a partial change made.
+/// Applies a patch to the text of a configuration.
 fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
     let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::of_read)?;
     let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
     bundle.patched(&patch).map_err(ApiError::of_read)
 }
 
-/// The source that is read back, with a partial change made.
+/// Applies a patch to the source text that operators read back.
 fn apply_source_patch(
     before: Option<&[u8]>,
     change: &SourcePatch,
@@ -92,7 +92,7 @@
         row.map(|row| row.version).unwrap_or_default()
     }
 
-    /// The text of a version. Where it was dropped nothing is known of how far it came.
+    /// Looks up a version. If its text was dropped, how far it got is unknown.
     fn stored_configuration(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
         let missing = || match self.may_be_accepted(version) {
             true => outcome_unknown(),
@@ -101,8 +101,9 @@
         self.replica.copy().get(&spec_key(version)).ok_or_else(missing)
     }
 
-    /// Refuses a base below the newest version for good, as versions only rise. One above it is to
-    /// come yet, or this node lags: an order on it could be taken later.
+    /// Checks that an order is based on the newest version. An older base is refused for good,
+    /// since versions only increase. A newer base may still be committed, or this node lags behind:
+    /// an order on it could be accepted later.
     fn check_base(base: SpecVersion, newest: SpecVersion) -> Result<(), ApiError> {
         match base.cmp(&newest) {
             std::cmp::Ordering::Equal => Ok(()),
@@ -125,7 +126,8 @@
         Ok((self.submission_changes(base, text, digest), done))
     }
 
-    /// The whole bundle that a change makes of the newest version, submitted as its successor.
+    /// Applies a patch to the newest version and submits the resulting configuration as its
+    /// successor.
     fn submit_patch(&self, base: SpecVersion, patch: &str) -> CommandResult {
         let version = SpecVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
@@ -141,7 +143,7 @@
         Ok((self.submission_changes(base, &text, digest), done))
     }
 
-    /// The changes that submit a bundle as the successor of its base.
+    /// The changes that submit a configuration as the successor of its base.
     fn submission_changes(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
         let version = SpecVersion(base.0.saturating_add(1));
         let row = SpecRow {
@@ -159,8 +161,8 @@
         changes
     }
 
-    /// Checks, takes and rolls out in one step. A source that was taken under its version before is
-    /// acknowledged again, whatever came after it.
+    /// Checks, accepts and activates a configuration in one step. A source that was accepted under
+    /// its version before is acknowledged again, even after newer ones.
     fn take_spec(
         &self,
         base: SpecVersion,
@@ -189,8 +191,8 @@
         Ok((self.acceptance_changes(&row, bundle, digest), done))
     }
 
-    /// Makes a partial change of the spec in force, and of the source that is read back, in one
-    /// step with taking it.
+    /// Applies a patch to the configuration in force and to the source that is read back, and
+    /// activates the result in one step.
     fn patch_spec(
         &self,
         base: SpecVersion,
@@ -221,7 +223,7 @@
         Ok((self.acceptance_changes(&row, bundle, digest), done))
     }
 
-    /// The version that a partial change builds on.
+    /// The version that a patch is based on.
     fn patch_base(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
         match base {
             SpecVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Checks that an order's own version is above all before it.
+    /// Checks that an order's own version is greater than all versions before it.
     fn check_version_increases(&self, version: SpecVersion) -> Result<(), ApiError> {
         if version > self.version_in_force() && version > self.newest_version() {
             return Ok(());
@@ -243,7 +245,7 @@
         Err(ApiError { faults: vec![fault], ..refused })
     }
 
-    /// The changes that take a version and put it in force in one step.
+    /// The changes that accept a version and activate it in one step.
     fn acceptance_changes(
         &self,
         row: &SpecRow,
@@ -258,8 +260,8 @@
         changes
     }
 
-    /// The rows that put a bundle in force: each route in a row of its own, so that followers are
-    /// told only what changed.
+    /// The changes that activate a configuration. Each route has a row of its own, so that
+    /// followers receive only the routes that changed.
     fn activation_changes(
         &self,
         version: SpecVersion,
@@ -290,7 +292,7 @@
                     SpecRow { stage: SpecStage::Signed, signed_by: Some(by.to_owned()), ..row };
                 Ok((vec![RowChange::put(spec_key(version), &signed)], done))
             }
-            // Said twice by the same person, as after a lost return.
+            // Repeated by the same person, as after a lost response.
             SpecStage::Signed | SpecStage::RolledOut if row.signed_by.as_deref() == Some(by) => {
                 Ok((Vec::new(), done))
             }
@@ -304,7 +306,7 @@
         let row = self.stored_configuration(version)?;
         let in_force_version = self.version_in_force();
         match row.stage {
-            // Said again, as after a lost return, maybe once another is in force.
+            // Repeated, as after a lost response, possibly after a newer version was activated.
             SpecStage::RolledOut => {
                 let is_in_force = version == in_force_version;
                 let done = serde_json::json!({ "version": version, "in_force": is_in_force });
@@ -320,7 +322,8 @@
                 let done = serde_json::json!({ "version": version, "in_force": true });
                 Ok((changes, done))
             }
-            // Unsigned, or older than what is in force: an old text comes back as a new version.
+            // Unsigned, or older than the version in force. An older text must be submitted as a
+            // new version.
             _ => Err(ApiError::not_run(Code::WrongState).at("version")),
         }
     }
@@ -349,7 +352,7 @@
         (changes, done)
     }
 
-    /// Whether a list says anything that the committed one doesn't.
+    /// Whether a list differs from the committed one.
     pub(super) fn changes_engines(&self, engines: &[topazyard_spec::Engine]) -> bool {
         !self.replace_engines(engines).0.is_empty()
     }
@@ -371,7 +374,7 @@
         Ok((vec![RowChange::put(storage_key(id), &row)], done))
     }
 
-    /// Has the storage node of that name emptied and then retired by itself.
+    /// Starts emptying the storage node of that name; it is then retired automatically.
     fn retire_named(&self, name: &str, now: MonotonicMs) -> CommandResult {
         let fleet = FleetView::read(self.replica.copy().rows());
         let missing = || ApiError::not_run(Code::NotFound).at("node");
@@ -392,7 +395,8 @@
         Ok((vec![RowChange::put(storage_key(id), &row)], done))
     }
 
-    /// The storage node of that name; of several lives of it the one that is heard.
+    /// The storage node of that name. If several ids share the name, as after a lost disk, the one
+    /// heard from last.
     pub(super) fn storage_by_name(
         &self,
         fleet: &FleetView,
@@ -426,7 +430,7 @@
         if crate::planner::hosted_copies(&fleet, id) > 0 {
             return Err(ApiError::not_run(Code::HoldsCopies).at("node"));
         }
-        // Its row stays as long as it runs: without one it would be taken for a new node.
+        // The row stays while the node runs: without it the node would be registered as a new one.
         let row = StorageRow { stage: StorageStage::Retired, ..row };
         let done = serde_json::json!({ "node": id, "stage": row.stage });
         Ok((vec![RowChange::put(storage_key(id), &row)], done))
--- a/programs/topazyard-control/src/machine/configurations.rs
+++ b/programs/topazyard-control/src/machine/configurations.rs
@@ -1,21 +1,21 @@
-//! What this node answered to orders that put a configuration in force.
+//! Outcomes of this node's orders that activate a configuration.
 
 use topazyard_types::SpecVersion;
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::operate::OperateOutcome;
 
-/// Counts answers since the process began, and the newest version that was acknowledged.
+/// Counts the outcomes since the process started, and keeps the newest acknowledged version.
 #[derive(Clone, Default)]
 pub struct Configurations {
-    /// Orders that were acknowledged, repeats among them.
+    /// Orders that were acknowledged, repeats included.
     pub acknowledged: u64,
     /// Orders that were refused.
     pub refused: u64,
     newest: SpecVersion,
 }
 
-/// Tells nothing: what a node does next does not depend on it, and the model tells states apart by
-/// what they tell.
+/// Prints only its name: it does not affect what the node does next, and the model checker
+/// distinguishes states by their debug output.
 impl std::fmt::Debug for Configurations {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Configurations")
@@ -23,8 +23,8 @@
 }
 
 impl Configurations {
-    /// An order is answered while that version is in force.
-    pub fn answered(&mut self, outcome: &OperateOutcome, in_force: SpecVersion) {
+    /// Counts the outcome of an order that is answered while the version `in_force` is in force.
+    pub fn record_outcome(&mut self, outcome: &OperateOutcome, in_force: SpecVersion) {
         match outcome {
             OperateOutcome::Done(_) => {
                 self.acknowledged += 1;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What is in force now must not be older than what was acknowledged before.
+    /// Checks that the version in force is not older than one that was acknowledged before.
     pub fn check(&mut self, in_force: SpecVersion) {
         let newest = self.newest;
         invariants::check(in_force >= newest, Invariant::AcknowledgedConfigurationStays, || {
--- a/programs/topazyard-control/src/machine/engine_list.rs
+++ b/programs/topazyard-control/src/machine/engine_list.rs
@@ -1,25 +1,25 @@
-//! The duty of reading the platform's list of engines: the primary's. A list that can't be read
-//! whole changes nothing.
+//! Reading of the platform's list of engines by the primary. A list that can't be read completely
+//! changes nothing.
 
 use super::{ControlMachine, ControlTask, Effects};
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::Effect;
 use topazyard_wire::message::operate::{Command, Operate};
 
-/// After how long without a report a reading counts as lost.
+/// Time without a report after which a read counts as lost.
 const READ_TIMEOUT: DurationMs = DurationMs(3_000);
 
-/// The duty as this node keeps it.
+/// State of the engine list reader on this node.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EngineListReader {
-    /// How often the list is read; never where the platform hands it in.
+    /// How often the list is read, or none if the platform submits it.
     interval: Option<DurationMs>,
     started_at: Option<MonotonicMs>,
     in_progress: bool,
 }
 
 impl ControlMachine {
-    /// Reads the platform's list so often from now on, while this node is the primary.
+    /// Sets how often this node reads the platform's list while it is the primary.
     pub fn set_engine_list_interval(&mut self, interval: DurationMs) {
         self.engine_list.interval = Some(interval);
     }
@@ -38,7 +38,7 @@
         effects.push(Effect::Start(ControlTask::ListEngines));
     }
 
-    /// Puts a list in place of the one before, if it says anything new.
+    /// Replaces the engine list with a new one if they differ.
     pub(super) fn receive_engine_list(
         &mut self,
         list: Option<Vec<topazyard_spec::Engine>>,
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -1,5 +1,6 @@
-//! Asking for the next epoch: stop answering, copy everything to as many learners as there must be
-//! backups, then let the witnesses decide. Only a primary or backup of the old epoch does so.
+//! Changing the epoch: the node stops serving, copies the state to as many learners as there must
+//! be backups, and then proposes the next record to the witnesses. Only a primary or backup of the
+//! old epoch does so.
 
 use super::{AfterWrite, ControlMachine, Effects, bootstrap_record};
 use crate::witnesses;
@@ -10,20 +11,20 @@
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group, RowChange};
 
-/// The row that keeps which epoch this node asked for.
+/// The key of the row that holds the newest epoch this node has requested.
 pub(super) const REQUESTED_EPOCH_KEY: &str = "claimed";
-/// How often one that claims and hears nobody to copy to looks again.
+/// How often a node that found too few learners searches for them again.
 const LEARNER_SEARCH_INTERVAL: DurationMs = DurationMs(100);
 
-/// A claim that is under way.
+/// An epoch change in progress.
 #[derive(Debug, Clone)]
 pub(crate) struct EpochChange {
     base: EpochRecord,
     learners: Vec<CoreNode>,
-    /// How often a node gave cause to do without it: by its silence, or as a learner not filled.
+    /// How often each node failed, by being silent or by not being filled as a learner.
     failures: std::collections::BTreeMap<NodeId, u32>,
     stage_started_at: MonotonicMs,
-    /// Whether it is synced that this node answers nothing more in the old epoch.
+    /// Whether it is synced that this node serves nothing more in the old epoch.
     stopped: bool,
     proposal: Option<Proposal>,
 }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Whether this node, being primary or backup, has cause to ask for the next epoch.
+    /// Whether this node is a primary or backup that has reason to request the next epoch.
     fn needs_epoch_change(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
         let Some(turn) = record.turn(self.me.id) else { return false };
@@ -47,11 +48,12 @@
         );
         let is_full = self.disk.is_full();
         if is_full && !is_primary {
-            // It could not sync that it asks.
+            // A full disk could not sync the requested epoch.
             return false;
         }
         if self.requested_epoch > record.epoch {
-            // It stopped answering before it restarted, or yielded: ask again if nobody leads.
+            // The node stopped serving before it restarted, or yielded to another member: it
+            // requests an epoch again if there is no primary.
             let primary_heard = self.replica.primary_last_heard();
             return primary_heard.is_none_or(|at| now.since(at) >= timeout)
                 && (is_primary || self.holds_all_acknowledged(record));
@@ -60,7 +62,8 @@
             self.replica.primary_last_heard().is_some_and(|at| now.since(at) >= timeout);
         if is_primary {
             let silent = self.replica.backup_silent_since();
-            // It may have let a backup's claim copy here that came to nothing.
+            // `primary_is_silent`: this primary may have let a backup copy its state here for an
+            // epoch change that was never decided.
             return is_full
                 || primary_is_silent
                 || silent.is_some_and(|since| now.since(since) >= self.timeouts.backup)
@@ -76,14 +79,14 @@
         self.holds_all_acknowledged(record) && (succeeds_leaving_primary || primary_is_silent)
     }
 
-    /// Whether this backup's copy holds all that was ever answered up to that record.
+    /// Whether this backup's copy holds everything acknowledged up to that record.
     pub(super) fn holds_all_acknowledged(&self, record: &EpochRecord) -> bool {
-        // Nothing was answered in the first epoch before this copy was compared.
+        // In the first epoch nothing was acknowledged before this copy was compared.
         record.epoch == bootstrap_record::FIRST_EPOCH
             || self.replica.copy().position().epoch >= record.epoch
     }
 
-    /// The other core nodes that are heard and whose disks take writes.
+    /// The other control nodes that are reachable and whose disks accept writes.
     pub(super) fn reachable_others(&self, now: MonotonicMs) -> impl Iterator<Item = CoreNode> {
         let nodes = self.peers.known.values().map(|peer| peer.node);
         nodes.filter(move |node| node.id != self.me.id && self.peers.takes_writes(node.id, now))
@@ -92,7 +95,8 @@
     fn begin_epoch_change(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(base) = self.witness.record().cloned() else { return };
         if self.disk.is_full() {
-            // Nothing of this claim goes on before there is room: let the backup ask at once.
+            // This epoch change can't proceed until there is disk space: let the backup request the
+            // next epoch at once.
             self.send_leaving(now, effects);
         }
         let mut silent = if base.primary.id == self.me.id {
@@ -117,8 +121,8 @@
         self.write_own_rows(Group::Witness, vec![row], vec![AfterWrite::FillLearners], effects);
     }
 
-    /// Whom to copy to: members of the epoch before and witnesses first, each in a zone of its
-    /// own where that can be. Gives none where too few are heard.
+    /// Chooses the learners: members and witnesses of the old epoch first, each in a zone of its
+    /// own where possible. Returns none if too few nodes are reachable.
     fn choose_learners(&self, change: &EpochChange, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
             let known = self.membership.remembered().find(|known| known.latest.member.id == id);
@@ -143,8 +147,9 @@
         Some(chosen)
     }
 
-    /// The witnesses to name next, if others than now: all that must be among them, as many as
-    /// decide through the tolerated loss, and spares in place of those silent for long.
+    /// The witnesses of the next record, if they differ from those of `base`: all required nodes,
+    /// as many as still form a majority after the tolerated loss, and spares in place of nodes
+    /// silent for long.
     fn next_witnesses(
         &self,
         base: &EpochRecord,
@@ -167,7 +172,7 @@
         Some(witnesses).filter(|witnesses| *witnesses != base.witnesses)
     }
 
-    /// A node as a candidate for witness.
+    /// Describes a node as a candidate for witness.
     pub(super) fn candidate(&self, node: CoreNode, now: MonotonicMs) -> witnesses::Candidate {
         let is_me = node.id == self.me.id;
         let known_zone = self.peers.known.get(&node.id).map(|peer| peer.zone.clone());
@@ -176,7 +181,7 @@
         witnesses::Candidate { node, zone, silence }
     }
 
-    /// Everything this node held back is synced as stopped: copy the state to learners.
+    /// Copies the state to learners, once it is synced that this node has stopped serving.
     pub(super) fn fill_learners(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let filled = self.replica.filled_learners();
         let Some(change) = &mut self.epoch_change else { return };
@@ -193,7 +198,7 @@
         }
         match learners {
             None if self.replica.is_primary() && self.replica.epoch() == epoch => {
-                // Whoever it copied to is no longer heard, and may be asked by another member.
+                // The former learners are no longer reachable, and another member may fill them.
                 let no_followers = topazyard_replication::Followers::default();
                 let outputs = self.replica.become_primary(epoch, no_followers, now);
                 self.handle_replica_outputs(outputs, now, effects);
@@ -221,7 +226,7 @@
         if change.learners.is_empty()
             && primary_heard.is_some_and(|at| now.since(at) < timeouts.primary)
         {
-            // The primary is back, and there are too few to take over with.
+            // The primary is back, and there are too few nodes to take over with.
             self.epoch_change = None;
             return;
         }
@@ -232,8 +237,9 @@
         }
     }
 
-    /// The learners hold everything: ask the witnesses. A learner that was given up, as too few were
-    /// heard, may come back filled: a record must name all the backups, so that one is chosen again.
+    /// Proposes the next record to the witnesses once the learners hold everything. A learner that
+    /// was given up because too few nodes were reachable may still finish: a record must name all
+    /// the backups, so the learners are then chosen again.
     pub(super) fn propose(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(change) = &self.epoch_change else { return };
         if change.learners.len() < self.backups() {
@@ -282,7 +288,7 @@
         }
     }
 
-    /// Lets a member of the old epoch that claims the next one copy its state here.
+    /// Lets a member of the old epoch that requests the next one copy its state to this node.
     pub(super) fn follow_epoch_change_if_due(
         &mut self,
         sender: NodeId,
@@ -298,7 +304,8 @@
             return;
         }
         if let Some(change) = &self.epoch_change {
-            // Two claim: the later in turn yields, unless it already asks the witnesses.
+            // Two members request the epoch: the one of higher rank number yields unless it has
+            // already proposed its record to the witnesses.
             let is_ahead = record.turn(self.me.id).is_none_or(|own| turn < own);
             if change.proposal.is_some() || !is_ahead {
                 return;
@@ -312,9 +319,10 @@
         self.handle_replica_outputs(outputs, now, effects);
     }
 
-    /// Whether this node goes on being filled by another member than the one that asks now: one
-    /// source at a time, or none would ever be done. A member whose turn is earlier goes first. A
-    /// source that doesn't hear this node can't bring its copy to an end.
+    /// Whether this node continues to be filled by its current source instead of by `requester`. It
+    /// has one source at a time, or no copy would ever complete. A member of lower rank number
+    /// takes precedence. A source that doesn't receive messages from this node can't complete its
+    /// copy.
     fn keeps_current_source(
         &self,
         record: &EpochRecord,
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -1,8 +1,8 @@
-//! The feed: followers are answered once the replica has confirmed after they asked.
+//! The feed. A follower gets a response once the replica has confirmed its state after the request.
 //!
-//! No answer is larger than [`PART_BYTES`]. A follower that lacks more gets a snapshot, part by part
-//! as it asks for them. The snapshot is encoded once and serves all followers until more was changed
-//! since than one answer holds.
+//! No response is larger than [`PART_BYTES`]. A follower that lacks more receives a snapshot, one
+//! part per request. The snapshot is encoded once and serves all followers until the changes since
+//! then no longer fit in one response.
 
 use super::{ControlMachine, Effects, Waiting};
 use topazyard_replication::Snapshot;
@@ -13,12 +13,14 @@
 use topazyard_wire::state::is_fed;
 use topazyard_wire::{Effect, RowChange};
 
-/// After how long without a return a follower that still asks counts as one that hears nothing.
+/// Time without a response after which a follower that still sends requests counts as one that
+/// receives nothing.
 const RESPONSE_TIMEOUT: DurationMs = DurationMs(1_000);
-/// How many snapshots are kept: followers that fetch the one before the newest may end with it.
+/// How many snapshots are kept. A follower that fetches the one before the newest can still
+/// complete it.
 const MAX_SNAPSHOTS: usize = 2;
 
-/// The snapshots that followers fetch, the newest last.
+/// The snapshots that followers fetch, newest last.
 pub(crate) type Snapshots = std::collections::VecDeque<Snapshot>;
 
 fn size_of_changes(changes: &[RowChange]) -> usize {
@@ -41,7 +43,8 @@
     ) {
         let FeedMessage::Ask { nonce, after, part, heard, health } = message else { return };
         if self.replica.is_serving() {
-            // Who speaks but hears nothing counts as silent: it can do no duty.
+            // A node that sends but receives nothing counts as silent, since it can't perform any
+            // role.
             if heard.is_some_and(|age| age < RESPONSE_TIMEOUT) {
                 self.reports.receive(sender, health, now);
             }
@@ -71,7 +74,7 @@
         effects.push(Effect::Send { to, message: Message::Feed(message) });
     }
 
-    /// What a follower is answered, and the place that it reaches by it.
+    /// The update for a follower, and the position that the follower reaches by it.
     fn update_after(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
         if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
             return (place, matter);
@@ -95,7 +98,7 @@
         })
     }
 
-    /// The part that a follower lacks next of a snapshot that is still kept.
+    /// The next part that a follower lacks of a snapshot that is still kept.
     fn next_part(&self, after: Place, request: PartWanted) -> Option<(Place, Matter)> {
         let is_requested = |snapshot: &&Snapshot| snapshot.position() == request.place;
         let snapshot = self.snapshots.iter().find(is_requested)?;
@@ -103,14 +106,14 @@
         (request.place > after).then_some((request.place, Matter::Part(part)))
     }
 
-    /// The changes after a place, if they are all remembered and fit in one answer.
+    /// The changes after a position, if all of them are remembered and fit in one response.
     fn bounded_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
         changes.retain(|change| is_fed(&change.key));
         (size_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
-    /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
+    /// The newest snapshot, if it advances the follower and the changes since fit in one response.
     fn usable_snapshot(&self, after: Place) -> Option<&Snapshot> {
         let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
         self.bounded_changes_after(newest.position()).map(|_| newest)
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -1,4 +1,4 @@
-//! How the nodes that follow the feed fare, as they say it with each asking.
+//! The health that followers of the feed report with each request.
 
 use super::{ControlMachine, Waiting};
 use crate::planner::StorageStatus;
@@ -10,11 +10,11 @@
 use topazyard_wire::message::membership::{Member, Standing};
 use topazyard_wire::state::FleetView;
 
-/// After how long without a word a node is probed out of turn.
+/// How long a node may be silent before it is suspected and probed out of order.
 const SUSPECT_TIMEOUT: DurationMs = DurationMs(500);
-/// A write that takes longer marks a disk as slow.
+/// A write that takes longer marks its disk as slow.
 const SLOW_WRITE_MS: u64 = 1_000;
-/// For how long a slow disk stays marked.
+/// How long a disk stays marked as slow.
 const SLOW_DISK_TTL: DurationMs = DurationMs(15_000);
 
 #[derive(Debug, Clone)]
@@ -24,14 +24,14 @@
     slow_until: MonotonicMs,
 }
 
-/// What was last heard of each follower.
+/// The newest report of each follower.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct NodeReports {
     pub(crate) by_node: std::collections::BTreeMap<NodeId, NodeReport>,
 }
 
 impl NodeReports {
-    /// How a storage node's disk fares, as it said last.
+    /// The disk state that a storage node last reported.
     pub(super) fn disk(&self, id: NodeId) -> Option<DiskState> {
         match &self.by_node.get(&id)?.health {
             Health::Storage { disk, .. } => Some(*disk),
@@ -49,7 +49,7 @@
 }
 
 impl ControlMachine {
-    /// How each storage node stands, for the planner.
+    /// The status of the storage nodes, as input of the planner.
     pub(super) fn storage_status(
         &self,
         fleet: &FleetView,
@@ -69,12 +69,12 @@
             }
         }
         for id in fleet.storage.keys() {
-            let heard =
+            let last_heard =
                 self.reports.by_node.get(id).map_or(serving_since, |report| report.received_at);
-            // Who comes back after all were silent does so one by one: the first is no better a
+            // Nodes that return after all were silent do so one by one. The first is no better a
             // primary than the others, which were never down.
             let isolated_at = self.last_isolated.unwrap_or(serving_since);
-            let silence = now.since(heard.max(serving_since).max(isolated_at));
+            let silence = now.since(last_heard.max(serving_since).max(isolated_at));
             let suspected = self.membership.status(*id) != Some(Standing::Alive);
             let is_down = silence >= self.timeouts.silent_down
                 || (silence >= self.timeouts.suspected_down && suspected);
@@ -92,33 +92,33 @@
         status
     }
 
-    /// Whether another node was heard at a storage node's address after it: its disk is gone, and
-    /// its id with it.
+    /// Whether another node reported later from a storage node's address: the disk is gone, and the
+    /// id with it.
     fn is_replaced(&self, fleet: &FleetView, id: NodeId) -> bool {
         let Some(row) = fleet.storage.get(&id) else { return false };
-        let heard = self.reports.by_node.get(&id).map(|report| report.received_at);
+        let last_heard = self.reports.by_node.get(&id).map(|report| report.received_at);
         self.reports.by_node.iter().any(|(other, report)| match &report.health {
             Health::Storage { member, .. } => {
                 let has_same_address = *other != id && member.address == row.member.address;
-                has_same_address && Some(report.received_at) > heard
+                has_same_address && Some(report.received_at) > last_heard
             }
             Health::Edge { .. } => false,
         })
     }
 
-    /// Probes storage nodes that have gone silent on the feed, so that a doubt which is right is
-    /// confirmed soon and one which is wrong does no harm.
+    /// Probes storage nodes that have become silent on the feed, so that a correct suspicion is
+    /// confirmed soon and a wrong one does no harm.
     pub(super) fn probe_suspected(&mut self, now: MonotonicMs) {
-        let silent = self.reports.by_node.iter().filter(|(_, report)| {
+        let suspected = self.reports.by_node.iter().filter(|(_, report)| {
             matches!(report.health, Health::Storage { .. })
                 && now.since(report.received_at) >= SUSPECT_TIMEOUT
         });
-        for id in silent.map(|(id, _)| *id).collect::<Vec<_>>() {
+        for id in suspected.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.membership.probe_next(id);
         }
     }
 
-    /// Keeps a shard primary's wish until nothing else is under way.
+    /// Keeps the newest change request of a shard primary until no other change is pending.
     pub(super) fn receive_change_request(&mut self, sender: NodeId, wish: ShardWish) {
         let is_shard = topazyard_types::ShardId::all().any(|shard| shard == wish.shard);
         if self.replica.is_serving() && is_shard {
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Fulfils the wishes that came, all in one batch: each is about a shard of its own, and a fleet that
-    /// starts together has one for each.
+    /// Applies all waiting change requests in one batch. Each is about a different shard, and a
+    /// fleet that starts all at once has one for each.
     pub(super) fn apply_change_requests(&mut self, now: MonotonicMs) {
         if self.change_requests.is_empty() || self.replica.has_changes_pending() {
             return;
@@ -141,7 +141,7 @@
         let mut changes = Vec::new();
         for (shard, (sender, wish)) in requests {
             let record = fleet.shards.get(&shard);
-            // Only one made in the shard's present epoch.
+            // Only a request made in the shard's current epoch counts.
             let is_current =
                 |record: &&ShardRecord| record.epoch == wish.epoch && record.primary.id == sender;
             let Some(record) = record.filter(is_current) else { continue };
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The member that a follower said it is.
+    /// The member that a follower reported to be.
     pub(super) fn storage_member(&self, id: NodeId) -> Option<&Member> {
         match &self.reports.by_node.get(&id)?.health {
             Health::Storage { member, .. } => Some(member),
@@ -164,7 +164,7 @@
     }
 }
 
-/// The record that a wish makes of a shard's.
+/// The shard record that results from a requested change.
 fn changed_record(
     fleet: &FleetView,
     status: &StorageStatus,
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -1,5 +1,5 @@
-//! Leaving in order: a node that is about to end has itself replaced before it goes, so that the next
-//! loss meets as many copies and witnesses as before.
+//! Graceful shutdown: a node that is about to stop has itself replaced first, so that as many
+//! copies and witnesses as before remain for the next loss.
 
 use super::{ControlMachine, Effects};
 use topazyard_types::{CallId, DurationMs, MonotonicMs, NodeId};
@@ -8,10 +8,10 @@
 use topazyard_wire::message::control::CoreMessage;
 use topazyard_wire::message::operate::OperateOutcome;
 
-/// How often it is said again.
+/// How often the node repeats that it is leaving.
 const SEND_INTERVAL: DurationMs = DurationMs(100);
 
-/// A process's wish to end, while it waits for a record that does without this node.
+/// A shutdown that waits for a record that does not name this node.
 #[derive(Debug, Clone)]
 pub(crate) struct Leaving {
     call: CallId,
@@ -20,14 +20,14 @@
 }
 
 impl ControlMachine {
-    /// The process is about to end.
+    /// Handles the process's request to shut down.
     pub(super) fn begin_shutdown(&mut self, call: CallId, now: MonotonicMs, effects: &mut Effects) {
         self.leaving = Some(Leaving { call, started_at: now, last_sent: now });
         self.send_leaving(now, effects);
         self.leaving_tick(now, effects);
     }
 
-    /// Says so again, or lets the process end once it is replaced, or can't be.
+    /// Repeats the announcement, or lets the process end once the node is replaced or can't be.
     pub(super) fn leaving_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(leaving) = &mut self.leaving else { return };
         let (call, waited) = (leaving.call, now.since(leaving.started_at));
@@ -51,19 +51,20 @@
         }
     }
 
-    /// Whether the present record names this node.
+    /// Whether the current record names this node.
     fn is_in_record(&self) -> bool {
         let record = self.witness.record();
         record.is_some_and(|r| r.is_member(self.me.id) || r.is_witness(self.me.id))
     }
 
-    /// Whether enough others are heard to name as many witnesses without this node.
+    /// Whether enough others are reachable to name as many witnesses without this node.
     fn can_be_replaced(&self, now: MonotonicMs) -> bool {
         self.reachable_others(now).count() > 2 * self.backups()
     }
 
-    /// Another node ends: it counts as gone at once, rather than after its silence. Whoever leads
-    /// next, the witnesses decide, so that a word that comes late does no harm.
+    /// Handles another node's announcement that it is leaving. It counts as gone at once rather
+    /// than after its timeout. The witnesses decide on the next primary, so a late announcement
+    /// does no harm.
     pub(super) fn receive_leaving(
         &mut self,
         sender: NodeId,
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The control node's machine.
+//! The state machine of a control node.
 
 mod bootstrap;
 mod bootstrap_record;
@@ -29,59 +29,59 @@
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
-/// What may be asked of a control node from within its process.
+/// Calls made to a control node's machine from within its process.
 #[derive(Debug)]
 pub enum ControlCall {
-    /// An operator's call.
+    /// An operator's command or query.
     Operate(Operate),
-    /// What engines said of their load.
+    /// The load reported by engines.
     Loads(Vec<crate::tuner::EngineLoad>),
-    /// The platform's whole list of engines, if it could be read.
+    /// The platform's complete list of engines, or none if it could not be read.
     Engines(Option<Vec<topazyard_spec::Engine>>),
-    /// The process is about to end: returned once that was said.
+    /// The process is about to shut down. Returns once the node has been replaced or can't be.
     Leave,
-    /// The settings name other control nodes now.
+    /// The settings now name these control nodes as seeds.
     Seeds(Vec<std::net::SocketAddr>),
-    /// How does this node itself fare?
+    /// Returns the health of this node.
     Health,
 }
 
-/// How a control node itself fares, whether or not it leads.
+/// Health of a control node, whether or not it is the primary.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ControlHealth {
-    /// Its id.
+    /// The node's id.
     pub node: NodeId,
-    /// The newest epoch that it knows.
+    /// The newest epoch known to this node.
     pub epoch: Option<topazyard_types::Epoch>,
     /// The primary of that epoch.
     pub primary: Option<std::net::SocketAddr>,
     /// Whether this node serves as the primary.
     pub serving: bool,
-    /// How its disk fares.
+    /// State of the node's disk.
     pub disk: topazyard_wire::disk::DiskState,
-    /// How long the oldest write not yet synced has taken.
+    /// Age of the oldest write that is not yet synced.
     pub write_wait_ms: topazyard_types::DurationMs,
-    /// Configurations acknowledged here as primary since the start, repeats among them.
+    /// Configurations acknowledged by this node as primary since it started, repeats included.
     pub configurations_acknowledged: u64,
-    /// Configurations refused here as primary since the start.
+    /// Configurations refused by this node as primary since it started.
     pub configurations_refused: u64,
-    /// Orders that wait here or were passed on.
+    /// Orders queued on this node or forwarded to the primary.
     pub orders_waiting: usize,
 }
 
-/// What a control node begins outside.
+/// Tasks that a control node starts outside its machine.
 #[derive(Debug)]
 pub enum ControlTask {
-    /// Ask engines for their load and report it.
+    /// Fetch the load of these engines and report it with [`ControlCall::Loads`].
     FetchLoads(Vec<topazyard_spec::Engine>),
-    /// Read the platform's list of engines and report it.
+    /// Read the platform's list of engines and report it with [`ControlCall::Engines`].
     ListEngines,
 }
 
-/// The effects of a control node.
+/// The effects of one step of a control node.
 pub(crate) type Effects = Vec<Effect<OperateOutcome, ControlTask>>;
 
-/// One control node.
+/// The state machine of one control node.
 #[derive(Debug, Clone)]
 pub struct ControlMachine {
     pub(crate) me: CoreNode,
@@ -94,7 +94,7 @@
     pub(crate) replica: Replica,
     pub(crate) peers: peers::Peers,
     pub(crate) epoch_change: Option<epoch_change::EpochChange>,
-    /// The epoch this node asked for, after which it answers nothing in the one before.
+    /// The newest epoch that this node has requested. It serves nothing in any earlier epoch.
     pub(crate) requested_epoch: topazyard_types::Epoch,
     pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
     pub(crate) last_ticket: WriteTicket,
@@ -104,33 +104,33 @@
     snapshots: feed::Snapshots,
     pub(crate) reports: health::NodeReports,
     quorum_reads: quorum_reads::QuorumReads,
-    /// The last wish for each shard, with who made it, until it can be looked at.
+    /// The latest change request for each shard and the node that sent it, until it can be handled.
     change_requests: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
     tuning: tuning::Tuning,
     engine_list: engine_list::EngineListReader,
-    /// The proposal of a new fleet's first record, while this node asks for it.
+    /// The proposal of a new fleet's first epoch record, while this node is proposing it.
     pub(crate) bootstrap: Option<topazyard_replication::Proposal>,
     leaving: Option<leaving::Leaving>,
     pub(crate) serving_since: Option<MonotonicMs>,
     after_write: std::collections::BTreeMap<u64, Vec<AfterWrite>>,
     last_write: u64,
     last_plan: MonotonicMs,
-    /// When no storage node was heard at all: then it is this node that is cut off.
+    /// When no storage node was reachable at all: then this node is the one that is isolated.
     last_isolated: Option<MonotonicMs>,
     remembered: topazyard_wire::driver::disked::Remembered,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
 
-/// What must wait until a write of this node's own rows is synced.
+/// What to do once a write of this node's own rows is synced.
 #[derive(Debug, Clone)]
 pub(crate) enum AfterWrite {
-    /// Say this.
+    /// Send a message.
     Send(std::net::SocketAddr, CoreMessage),
-    /// Go on with the claim.
+    /// Continue an epoch change by filling the learners.
     FillLearners,
 }
 
-/// Who waits for a ticket.
+/// What is waiting for a write ticket to be committed.
 #[derive(Debug, Clone)]
 pub(crate) enum Waiting {
     /// A follower of the feed.
@@ -140,24 +140,24 @@
         after: topazyard_types::Place,
         part: Option<topazyard_wire::message::feed::PartWanted>,
     },
-    /// A command whose outcome is known once it is committed.
+    /// A command, with the outcome to return once it is committed.
     Command {
         origin: operations::Origin,
         outcome: OperateOutcome,
-        /// Whether it puts a configuration in force.
+        /// Whether it activates a configuration.
         is_configuration: bool,
     },
-    /// A query, answered from the committed state.
+    /// A query, executed on the committed state.
     Query(operations::Origin, topazyard_wire::message::operate::Query),
-    /// The planner; nobody waits.
+    /// The planner, which needs no response.
     Planner,
 }
 
 impl ControlMachine {
-    /// A control node as it starts.
+    /// Starts a control node from the rows loaded from its disk.
     pub fn new(mut start: DiskStart, now: MonotonicMs) -> (Self, Effects) {
         let me = CoreNode { id: start.member.id, address: start.member.address };
-        // A disk that holds anything of a fleet is no beginning.
+        // A disk that already holds rows of a fleet must not bootstrap a new one.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
         let is_new = start.may_found && !held(Group::Control) && !held(Group::Witness);
         let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
@@ -208,7 +208,8 @@
         (machine, effects)
     }
 
-    /// How many machines may be lost at once: as many backups confirm each commit.
+    /// How many machines may be lost at once, which is the number of backups that confirm each
+    /// commit.
     pub(crate) fn backups(&self) -> usize {
         usize::from(self.bounds.lost_machines.max(self.bounds.lost_zones))
     }
@@ -218,12 +219,12 @@
         self.replica.is_serving()
     }
 
-    /// What this node holds of the control state.
+    /// This node's copy of the control state.
     pub fn copy(&self) -> &Copy {
         self.replica.copy()
     }
 
-    /// The newest record of the control state's holders that this node knows.
+    /// The newest epoch record known to this node.
     pub fn record(&self) -> Option<&EpochRecord> {
         self.witness.record()
     }
@@ -233,7 +234,7 @@
         self.last_ticket
     }
 
-    /// Submits changes to the replica on somebody's behalf.
+    /// Submits changes to the replica on behalf of `waiting`.
     pub(crate) fn submit(&mut self, changes: Vec<RowChange>, waiting: Waiting) {
         let ticket = self.next_ticket();
         if self.replica.submit(ticket, changes) {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Writes rows of this node's own and does something once they are synced.
+    /// Writes rows that belong to this node alone and runs `then` once they are synced.
     pub(crate) fn write_own_rows(
         &mut self,
         group: Group,
@@ -270,7 +271,7 @@
         });
     }
 
-    /// Deals with what the replica put out.
+    /// Carries out the outputs of the replica.
     pub(crate) fn handle_replica_outputs(
         &mut self,
         outputs: Vec<ReplicaOutput>,
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Answers one whose ticket is committed.
+    /// Responds to a waiter whose ticket is committed.
     fn complete(&mut self, waiting: Waiting, now: MonotonicMs, effects: &mut Effects) {
         match waiting {
             Waiting::Follower { to, nonce, after, part } => {
@@ -322,7 +323,7 @@
             }
             Waiting::Command { origin, outcome, is_configuration } => {
                 if is_configuration {
-                    self.configurations.answered(&outcome, self.version_in_force());
+                    self.configurations.record_outcome(&outcome, self.version_in_force());
                 }
                 self.respond(origin, outcome, now, effects);
             }
@@ -334,7 +335,7 @@
         }
     }
 
-    /// Tells one whose ticket was lost that nothing is known.
+    /// Reports an unknown outcome to a waiter whose ticket was lost.
     fn fail(&mut self, waiting: &Waiting, now: MonotonicMs, effects: &mut Effects) {
         use topazyard_wire::api::{ApiError, Code};
         match waiting {
@@ -346,12 +347,12 @@
                 let refused = ApiError::not_run(Code::NoPrimary);
                 self.respond(*origin, OperateOutcome::Refused(refused), now, effects);
             }
-            // A follower asks again.
+            // A follower retries by itself.
             Waiting::Follower { .. } | Waiting::Planner => {}
         }
     }
 
-    /// The shard's record.
+    /// The record of a shard.
     pub(crate) fn shard(
         &self,
         shard: ShardId,
@@ -372,8 +373,9 @@
         }
         let known = self.witness.record().map(|record| record.epoch).unwrap_or_default();
         if message.epoch > known && message.body.is_for_backups() {
-            // A backup confirms only once the record that names it is on its disk: else another
-            // that asks for the same epoch could still copy over what was answered on its word.
+            // A backup confirms only after the record that names it is on its disk. Otherwise
+            // another node that requests the same epoch could still overwrite data that was
+            // acknowledged on the strength of that confirmation.
             return;
         }
         self.follow_epoch_change_if_due(sender, &message, now, effects);
@@ -382,7 +384,7 @@
         self.handle_replica_outputs(outputs, now, effects);
     }
 
-    /// Counts the writes that are handed to the disk.
+    /// Tracks the writes that are handed to the disk.
     fn track_writes(&mut self, effects: &Effects, now: MonotonicMs) {
         for effect in effects {
             if let Effect::Write { token, .. } = effect {
@@ -391,14 +393,14 @@
         }
     }
 
-    /// Says in the log when the disk is full, stalls or is well again.
+    /// Logs when the disk becomes full, stalls or recovers.
     fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if let Some(state) = self.disk.news(now) {
             effects.push(Effect::Note { grave: false, text: state.to_string() });
         }
     }
 
-    /// How this node itself fares, whether or not it leads.
+    /// Health of this node, whether or not it is the primary.
     fn health(&self, now: MonotonicMs) -> OperateOutcome {
         let record = self.witness.record();
         let health = ControlHealth {
@@ -415,7 +417,7 @@
         OperateOutcome::Done(serde_json::json!(health).to_string())
     }
 
-    /// Remembers where others are, so that stale seeds don't strand this node.
+    /// Persists the addresses of other control nodes, so that stale seeds don't isolate this node.
     fn remember_addresses(&mut self, effects: &mut Effects) {
         if !self.disk.takes_more() {
             return;
@@ -450,7 +452,7 @@
         }
     }
 
-    /// Lets the planner change placement, if nothing else is under way.
+    /// Lets the planner change placement if no other change is pending.
     fn plan(&mut self, now: MonotonicMs) {
         let Some(serving_since) = self.serving_since else { return };
         if self.replica.has_changes_pending() {
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -1,10 +1,10 @@
-//! Operators' calls: taken at any control node, worked on by the primary, one command at a time.
+//! Operators' calls. Any control node accepts them; the primary executes commands one at a time.
 //!
-//! A copy of a command may travel longer than its caller waits: it may be doubled or held on its
-//! way, or wait here. The refusal of a spec holds for good, so a late copy of one does no harm. Any
-//! other command is worked on only while its caller is known to wait: the primary asks the node
-//! that passed it on, which says so of one copy alone, and the word counts for a short time from
-//! when it was asked for. No clocks are compared.
+//! A copy of a command may arrive after its caller has given up: it may be duplicated or delayed by
+//! the network, or queued here. The refusal of a configuration is final, so a late copy of one is
+//! harmless. Any other command is executed only while its caller is known to be waiting. The
+//! primary asks the node that forwarded it; that node confirms a single copy, and the confirmation
+//! is valid for a short time from when the primary requested it. No clocks are compared.
 
 use super::{ControlMachine, Effects, Waiting};
 use topazyard_types::{CallId, DurationMs, MonotonicMs, NodeId};
@@ -13,45 +13,46 @@
 use topazyard_wire::message::Message;
 use topazyard_wire::message::operate::{Command, Operate, OperateMessage, OperateOutcome};
 
-/// Commands that may wait.
+/// How many commands may be queued.
 const MAX_QUEUED_COMMANDS: usize = 256;
-/// How long a call that was passed on may take.
+/// How long a forwarded call may take.
 const FORWARD_TIMEOUT: DurationMs = DurationMs(4_000);
-/// How long a command whose refusal holds for good may wait at the primary.
+/// How long a command whose refusal is final may be queued on the primary.
 const QUEUE_TIMEOUT: DurationMs = DurationMs(4_000);
-/// How long after it came a node says of a command that its caller still waits.
+/// How long after receiving a command a node confirms that its caller is still waiting.
 const CALLER_CONFIRM_TIMEOUT: DurationMs = DurationMs(700);
-/// How long after it asked for it that word counts at the primary. Together they are less than the
-/// 900 ms after which an operator is told that nothing is known.
+/// How long the primary regards that confirmation as valid after requesting it. Together with
+/// `CALLER_CONFIRM_TIMEOUT` this is less than the 900 ms after which an operator is told that the
+/// outcome is unknown.
 const CONFIRMATION_TTL: DurationMs = DurationMs(150);
 
-/// Who asked.
+/// The originator of a call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Origin {
-    /// A caller of this process.
+    /// A caller in this process.
     Local(CallId),
-    /// Another control node.
+    /// Another control node, with the id that it gave the call.
     Forwarded(NodeId, std::net::SocketAddr, u64),
-    /// This node's own duty of tuning weights.
+    /// The weight tuner of this node.
     Tuner,
-    /// This node's own duty of reading the list of engines.
+    /// The engine list reader of this node.
     EngineList,
 }
 
 #[derive(Debug, Clone)]
 struct Forwarded {
     origin: Origin,
-    /// Who was asked; nobody else's answer counts.
+    /// The node that the call was forwarded to. Responses of other nodes are ignored.
     to: NodeId,
     is_command: bool,
     sent_at: MonotonicMs,
-    /// Whether it runs only once that was confirmed, and which copy of it was.
+    /// Whether it is executed only after a confirmation, and which copy of it was confirmed.
     must_be_fresh: bool,
     confirmed: Option<u64>,
 }
 
 impl Forwarded {
-    /// Why no answer came.
+    /// The error for a call that got no response.
     fn no_response_error(&self) -> ApiError {
         let certainly_not_run =
             !self.is_command || (self.must_be_fresh && self.confirmed.is_none());
@@ -62,23 +63,23 @@
     }
 }
 
-/// A command that waits at the primary.
+/// A command queued on the primary.
 #[derive(Debug, Clone)]
 struct Queued {
     origin: Origin,
     command: Command,
-    /// It is worked on before then, or not at all.
+    /// The command is executed before this time or not at all.
     deadline: MonotonicMs,
 }
 
-/// A command that waits for the word that its caller still does.
+/// A command that waits for the confirmation that its caller is still waiting.
 #[derive(Debug, Clone)]
 struct Unconfirmed {
     from: NodeId,
     queued: Queued,
 }
 
-/// The log's line for an operator's order that was not taken.
+/// The log line for an operator's order that was refused.
 fn refusal_note(
     command: &Command,
     error: &ApiError,
@@ -96,7 +97,7 @@
     Some(Effect::Note { grave: false, text })
 }
 
-/// Calls that wait.
+/// The calls waiting on this node.
 #[derive(Debug, Clone)]
 pub(crate) struct OperationQueue {
     commands: std::collections::VecDeque<Queued>,
@@ -121,7 +122,7 @@
         self.commands.len() + self.unconfirmed.len()
     }
 
-    /// Calls that wait here, or for the node that they were passed on to.
+    /// Calls queued on this node or forwarded to another.
     pub(super) fn waiting(&self) -> usize {
         self.queued() + self.forwarded.len()
     }
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Has a command wait its turn, or first for the word that its caller still waits.
+    /// Queues a command, after requesting a confirmation that its caller is still waiting if it
+    /// needs one.
     fn enqueue_command(
         &mut self,
         origin: Origin,
@@ -231,14 +233,16 @@
         }
     }
 
-    /// Whether the caller of an asking still waits, and no other copy of it was confirmed.
+    /// Whether the caller of a forwarded call is still waiting and no other copy of it was
+    /// confirmed.
     fn confirm_waiting(&mut self, sender: NodeId, id: u64, offer: u64, now: MonotonicMs) -> bool {
         let Some(call) = self.operations.forwarded.get_mut(&id) else { return false };
         let is_waiting = call.to == sender && now.since(call.sent_at) < CALLER_CONFIRM_TIMEOUT;
         is_waiting && *call.confirmed.get_or_insert(offer) == offer
     }
 
-    /// The caller of a command waits: it is worked on next, unless the word took too long.
+    /// Queues a command whose caller is confirmed to be waiting, unless the confirmation took too
+    /// long.
     fn receive_confirmation(&mut self, sender: NodeId, offer: u64, now: MonotonicMs) {
         let unconfirmed = self.operations.unconfirmed.get(&offer);
         if unconfirmed.is_none_or(|unconfirmed| unconfirmed.from != sender) {
@@ -251,7 +255,7 @@
         }
     }
 
-    /// Works on the next command, unless changes are under way on which it could depend.
+    /// Executes the next command, unless changes that it could depend on are pending.
     pub(super) fn run_commands(&mut self, now: MonotonicMs, effects: &mut Effects) {
         if !self.replica.is_serving() || self.replica.has_changes_pending() {
             return;
@@ -264,7 +268,7 @@
             self.refuse(origin, Code::NoPrimary, now, effects);
             return;
         }
-        // A refusal is committed like a read: what it was judged by is then confirmed state.
+        // A refusal is committed like a read, so that the state it is based on is confirmed.
         let (changes, outcome) = match self.evaluate(&command, now) {
             Ok((changes, done)) => (changes, OperateOutcome::Done(done.to_string())),
             Err(error) => {
@@ -285,7 +289,7 @@
     ) {
         effects.push(match origin {
             Origin::Tuner => return self.apply_tuning(&outcome, now, effects),
-            // The next list says it again.
+            // The next list repeats the command if needed.
             Origin::EngineList => return,
             Origin::Local(call) => Effect::Return { call, value: outcome },
             Origin::Forwarded(_, to, id) => Effect::Send {
@@ -299,7 +303,7 @@
         self.respond(origin, OperateOutcome::Refused(ApiError::not_run(code)), now, effects);
     }
 
-    /// Refuses commands that were never worked on.
+    /// Refuses commands that were never executed.
     pub(super) fn refuse_all_queued(&mut self, now: MonotonicMs, effects: &mut Effects) {
         self.operations.unconfirmed.clear();
         for queued in std::mem::take(&mut self.operations.commands) {
@@ -308,7 +312,8 @@
     }
 
     pub(super) fn operate_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
-        // Whoever passed one of these on may have confirmed another copy: nothing is said of it.
+        // The node that forwarded one of these may have confirmed another copy of it, so no
+        // response is sent.
         self.operations.unconfirmed.retain(|_, unconfirmed| now < unconfirmed.queued.deadline);
         let commands = std::mem::take(&mut self.operations.commands);
         let (waiting, expired): (std::collections::VecDeque<_>, std::collections::VecDeque<_>) =
--- a/programs/topazyard-control/src/machine/orders.rs
+++ b/programs/topazyard-control/src/machine/orders.rs
@@ -1,9 +1,9 @@
-//! The memory of the orders that were taken, bounded by bytes.
+//! The record of accepted orders, bounded by size.
 //!
-//! An order that was taken must be acknowledged when it is sent again, however many came after it.
-//! A digest is kept of each, and the whole texts of the newest. Beyond the bound the oldest digests
-//! are forgotten: an order as old as these may have been taken, and is neither acknowledged nor
-//! refused.
+//! An accepted order must be acknowledged when it is sent again, however many came after it. A
+//! digest is kept of each order, and the full texts of the newest. Beyond the bound the oldest
+//! digests are forgotten: an order as old as these may have been accepted, and is neither
+//! acknowledged nor refused.
 
 use super::ControlMachine;
 use topazyard_types::{Digest, SpecVersion};
@@ -14,17 +14,17 @@
     orders_key, spec_key,
 };
 
-/// How many whole texts are kept; older ones can't be read or signed.
+/// How many full texts are kept. Older ones can't be read or signed.
 const MAX_TEXTS: usize = 64;
-/// What digests may weigh where nothing limits the process, and which part of its memory and of its
-/// disk. One takes 23 bytes at most.
+/// Maximum size of the digests where the process has no limits, and the fraction (1/n) of its
+/// memory and of its disk that they may use. One digest takes 23 bytes at most.
 const MAX_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
 const DIGEST_DIVISOR: u64 = 64;
-/// The same for whole texts. On disk a file of pages takes a byte 2.2 times.
+/// The same for full texts. On disk one byte of text takes 2.2 bytes of database pages.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 const TEXT_DIVISOR: u64 = 8;
 
-/// How many bytes of rows may remember orders.
+/// How many bytes of rows may be used to remember orders.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OrderBounds {
     digest_bytes: u64,
@@ -32,7 +32,7 @@
 }
 
 impl OrderBounds {
-    /// The bounds of a process with such resources.
+    /// The bounds for a process with these resources.
     pub(super) fn from_resources(resources: &topazyard_spec::Resources) -> Self {
         let limits = [resources.memory_bytes, resources.disk_bytes];
         let bound = |max: u64, divisor: u64| {
@@ -46,18 +46,18 @@
     }
 }
 
-/// What is known of an order that came.
+/// What is known about a received order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderStatus {
-    /// It was taken.
+    /// It was accepted.
     Accepted,
-    /// It was not taken.
+    /// It was not accepted.
     NotAccepted,
     /// It is as old as orders that were forgotten.
     Forgotten,
 }
 
-/// The error for an order of which nothing can be said.
+/// The error for an order whose outcome is not known.
 pub(super) fn outcome_unknown() -> ApiError {
     ApiError::may_have_run(Code::OutcomeUnknown)
 }
@@ -67,7 +67,7 @@
 }
 
 impl ControlMachine {
-    /// What is known of an order that would make, or made, a version.
+    /// What is known about an order that would create, or has created, a version.
     pub(super) fn order_status(&self, version: SpecVersion, digest: Digest) -> OrderStatus {
         match self.remembered_digest(version) {
             Some(accepted) if accepted == digest => OrderStatus::Accepted,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether any order made that version, as far as can be told.
+    /// Whether an order may have created that version, as far as is known.
     pub(super) fn may_be_accepted(&self, version: SpecVersion) -> bool {
         version <= self.forgotten_up_to() || self.remembered_digest(version).is_some()
     }
@@ -93,13 +93,13 @@
     fn forgotten_up_to(&self) -> SpecVersion {
         let copy = self.replica.copy();
         if copy.with_prefix(ORDERS).next().is_none() {
-            // All that was taken so far was taken by a program that kept no digests.
+            // Everything accepted so far was accepted by a release that kept no digests.
             return self.newest_version();
         }
         copy.get(ORDERS_FORGOTTEN).unwrap_or_default()
     }
 
-    /// The changes that remember an order that is taken now, under the newest version.
+    /// The changes that remember an order accepted now under the newest version.
     pub(super) fn remember_order(&self, version: SpecVersion, digest: Digest) -> Vec<RowChange> {
         let last = self.replica.copy().with_prefix(ORDERS).last();
         let is_first = last.is_none();
@@ -118,7 +118,7 @@
         changes
     }
 
-    /// The changes that forget the oldest digests beyond the bound; the row written now stays.
+    /// The changes that forget the oldest digests beyond the bound. The row being written is kept.
     fn forget_oldest(&self, written: &RowChange) -> Vec<RowChange> {
         let value = written.value.as_deref().unwrap_or_default();
         let others = || {
@@ -142,8 +142,8 @@
         changes
     }
 
-    /// The changes that drop the oldest whole texts beyond the bounds. The text written now stays,
-    /// and so does that of the version in force.
+    /// The changes that drop the oldest full texts beyond the bounds. The text being written and
+    /// that of the version in force are kept.
     pub(super) fn drop_old_texts(
         &self,
         written: &RowChange,
@@ -164,7 +164,7 @@
             if count <= MAX_TEXTS && bytes <= self.order_bounds.text_bytes {
                 break;
             }
-            // Versions are counted on from the newest text.
+            // The newest text is kept, since the next version number follows from it.
             let is_newest = newest == Some(key) && key > written.key.as_str();
             if is_newest || kept.iter().any(|kept| kept == key) {
                 continue;
@@ -176,7 +176,7 @@
         changes
     }
 
-    /// The version in force; 0 before the first.
+    /// The version in force, or 0 before the first.
     pub(super) fn version_in_force(&self) -> SpecVersion {
         let row: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
         row.map(|row| row.version).unwrap_or_default()
--- a/programs/topazyard-control/src/machine/peers.rs
+++ b/programs/topazyard-control/src/machine/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between core nodes, by which records spread.
+//! Heartbeats between control nodes, which spread epoch records.
 
 use super::{AfterWrite, ControlMachine, Effects, bootstrap_record};
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
@@ -8,41 +8,41 @@
 use topazyard_wire::{Effect, Group};
 
 const HEARTBEAT_INTERVAL: DurationMs = DurationMs(250);
-/// Within which time a core node counts as heard.
+/// A control node counts as reachable for this long after its last heartbeat.
 pub(super) const REACHABLE_TIMEOUT: DurationMs = DurationMs(1_000);
-/// After how long it is forgotten that a node said that it ends: by then its silence says so.
+/// How long a leaving node is remembered as such. After that its silence shows that it is gone.
 const LEAVING_TTL: DurationMs = DurationMs(60_000);
 
-/// A core node as it was last heard.
+/// The last heartbeat of another control node.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     pub(crate) node: CoreNode,
     pub(crate) last_heard: MonotonicMs,
-    /// When it last said that its disk takes writes.
+    /// When it last reported that its disk accepts writes.
     last_writable: MonotonicMs,
-    /// Whether it takes writes now.
+    /// Whether its disk accepts writes now.
     pub(super) takes_writes: bool,
-    /// Whether it knows no record at all.
+    /// Whether it knows no epoch record.
     pub(super) has_no_record: bool,
-    /// Whether it hears this node.
+    /// Whether it receives messages from this node.
     pub(super) receives_from_us: bool,
     /// Its zone.
     pub(super) zone: topazyard_types::ZoneName,
 }
 
-/// What is known of the other core nodes.
+/// The other control nodes known to this node.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Peers {
     pub(crate) known: std::collections::BTreeMap<NodeId, Peer>,
     last_heartbeat: MonotonicMs,
-    /// Nodes that said that they end, with when they last said so.
+    /// Nodes that announced that they are leaving, with the time of the last announcement.
     leaving: std::collections::BTreeMap<NodeId, MonotonicMs>,
-    /// Since when this process watches, so that silence is not counted from before.
+    /// When this process began to receive heartbeats, so that silence before that does not count.
     pub(crate) watching_since: Option<MonotonicMs>,
 }
 
 impl Peers {
-    /// Whether a node was heard lately.
+    /// Whether a node was heard from recently and is not leaving.
     pub(crate) fn is_reachable(&self, id: NodeId, now: MonotonicMs) -> bool {
         !self.leaving.contains_key(&id)
             && self
@@ -51,51 +51,52 @@
                 .is_some_and(|peer| now.since(peer.last_heard) < REACHABLE_TIMEOUT)
     }
 
-    /// Takes a node's word that it ends. It counts as gone at once.
+    /// Records that a node is leaving. It counts as gone at once.
     pub(crate) fn note_leaving(&mut self, id: NodeId, now: MonotonicMs) {
         self.leaving.retain(|_, last_received| now.since(*last_received) < LEAVING_TTL);
         self.leaving.insert(id, now);
     }
 
-    /// Whether a node said that it ends.
+    /// Whether a node announced that it is leaving.
     pub(crate) fn is_leaving(&self, id: NodeId) -> bool {
         self.leaving.contains_key(&id)
     }
 
-    /// The other nodes that were heard lately.
+    /// The other nodes that are reachable.
     pub(crate) fn reachable(&self, now: MonotonicMs) -> impl Iterator<Item = &Peer> {
         self.known.values().filter(move |peer| self.is_reachable(peer.node.id, now))
     }
 
-    /// Whether a node hears this one, as it said last.
+    /// Whether a node receives messages from this one, by its last heartbeat.
     pub(crate) fn receives_from_us(&self, id: NodeId) -> bool {
         self.known.get(&id).is_some_and(|peer| peer.receives_from_us)
     }
 
-    /// For how long this process has watched.
+    /// How long this process has been receiving heartbeats.
     pub(crate) fn observed_for(&self, now: MonotonicMs) -> DurationMs {
         self.watching_since.map_or(DurationMs(0), |since| now.since(since))
     }
 
-    /// A node is heard: if it said that it ends, and no longer says so, it has come back.
+    /// Handles a heartbeat of a node that was leaving: it has returned unless it announced that
+    /// recently.
     fn note_returned(&mut self, id: NodeId, now: MonotonicMs) {
         self.leaving.retain(|other, last_received| {
             *other != id || now.since(*last_received) < REACHABLE_TIMEOUT
         });
     }
 
-    /// Whether a node was heard lately and may be given a duty that writes.
+    /// Whether a node is reachable and may be given a role that writes.
     pub(crate) fn takes_writes(&self, id: NodeId, now: MonotonicMs) -> bool {
         self.is_reachable(id, now) && self.known.get(&id).is_some_and(|peer| peer.takes_writes)
     }
 
-    /// The nodes that said last that their disk is full.
+    /// The nodes whose last heartbeat reported a full disk.
     pub(crate) fn full_nodes(&self) -> Vec<std::net::SocketAddr> {
         let full = self.known.values().filter(|peer| !peer.takes_writes);
         full.map(|peer| peer.node.address).collect()
     }
 
-    /// For how long a node has not been heard, or has said that its disk takes no writes.
+    /// For how long a node has been silent or has reported a disk that accepts no writes.
     pub(crate) fn silence(&self, id: NodeId, now: MonotonicMs) -> DurationMs {
         if self.is_leaving(id) {
             return DurationMs(u64::MAX);
@@ -115,7 +116,7 @@
         self.bootstrap_tick(now, effects);
     }
 
-    /// Tells the other core nodes which record this node knows.
+    /// Sends the newest record to the other control nodes.
     fn send_heartbeats(&mut self, now: MonotonicMs, effects: &mut Effects) {
         self.peers.last_heartbeat = now;
         let heard: Vec<CoreNode> = self.peers.reachable(now).map(|peer| peer.node).collect();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Takes a decided record: the one place where this node's epoch changes.
+    /// Learns a decided record. This is the only place where this node's epoch changes.
     pub(super) fn learn_record(
         &mut self,
         record: &EpochRecord,
@@ -157,17 +158,18 @@
         effects.push(Effect::Note { grave: false, text });
         self.epoch_change = None;
         self.bootstrap = None;
-        // Told before anything is asked in its epoch: a backup confirms nothing before it knows.
+        // The record is announced before any message of its epoch, since a backup confirms nothing
+        // before it knows the record.
         self.send_heartbeats(now, effects);
         self.assume_role(now, effects);
     }
 
-    /// Takes the role that the record gives this node.
+    /// Takes the role that the newest record assigns to this node.
     pub(super) fn assume_role(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(record) = self.witness.record().cloned() else { return };
         let stopped = self.requested_epoch > record.epoch;
         let outputs = if stopped {
-            // It asked for a later epoch before it restarted: nothing more in this one.
+            // The node requested a later epoch before it restarted and must not act in this one.
             self.replica.become_idle(record.epoch)
         } else if record.primary.id == self.me.id {
             let followers = topazyard_replication::Followers {
@@ -230,14 +232,15 @@
         }
     }
 
-    /// Learns the record that a proposal follows. What the first record follows is none.
+    /// Learns the record that a proposal is based on, unless it is the bootstrap record, which was
+    /// never decided.
     fn learn_base_record(&mut self, base: &EpochRecord, now: MonotonicMs, effects: &mut Effects) {
         if base.epoch != bootstrap_record::BOOTSTRAP_EPOCH {
             self.learn_record(base, now, effects);
         }
     }
 
-    /// Votes, if the record names this node a witness, and says so once it is synced.
+    /// Votes if the record names this node as a witness, and sends the vote once it is synced.
     fn vote(
         &mut self,
         to: std::net::SocketAddr,
@@ -251,7 +254,8 @@
         if record.and_then(|record| bootstrap_record::voter_id(record, id, address)).is_none() {
             return;
         }
-        // A vote counts once it is synced: who votes anew in the meantime is asked again.
+        // A vote counts only once it is synced, so a disk that takes no more writes casts none. The
+        // proposer retries.
         if !self.disk.takes_more() {
             return;
         }
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// How far a retirement has come: `active` or `completed`.
+    /// The state of a retirement: `active` or `completed`.
     fn retirement(&self, name: &str, now: MonotonicMs) -> OperateOutcome {
         let fleet = FleetView::read(self.replica.copy().rows());
         let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The source of the spec in force, as it came.
+    /// The source of the configuration in force, as submitted.
     fn read_source(&self) -> OperateOutcome {
         let copy = self.replica.copy();
         let in_force = copy.get::<InForceRow>(IN_FORCE);
--- a/programs/topazyard-control/src/machine/quorum_reads.rs
+++ b/programs/topazyard-control/src/machine/quorum_reads.rs
@@ -1,9 +1,10 @@
-//! Confirms shard records while the control primary is silent.
+//! Quorum reads, which confirm shard records while the control primary is silent.
 //!
-//! A backup's copy holds all that was committed in its epoch, and nothing can be committed in the next
-//! one before a majority of this epoch's witnesses have accepted it. So once a majority have said, after
-//! the question came, that they accepted none, the backup's copy lacked nothing when it was asked. It
-//! may hold a batch more than was committed; whoever is named by a later record only there waits.
+//! A backup's copy holds everything that was committed in its epoch, and nothing can be committed
+//! in the next epoch before a majority of this epoch's witnesses have accepted it. So once a
+//! majority have reported, after the request arrived, that they accepted no later record, the
+//! backup's copy was complete when the request arrived. It may hold a batch beyond what was
+//! committed; a node named only by a record in that batch merely waits.
 
 use super::{ControlMachine, Effects};
 use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
@@ -12,26 +13,26 @@
 use topazyard_wire::message::confirm::ConfirmMessage;
 use topazyard_wire::message::control::EpochRecord;
 
-/// After how long without a majority the witnesses are asked anew.
+/// How long to wait for a majority before the witnesses are asked again.
 const ROUND_RETRY_INTERVAL: DurationMs = DurationMs(100);
-/// Storage nodes whose questions may wait; they ask again.
+/// How many storage nodes may have a request waiting. Others retry.
 const MAX_WAITING: usize = 64;
 
-/// Who asked, with the question's mark.
+/// The sender of a request and the nonce of that request.
 type Requester = (std::net::SocketAddr, u64);
 
-/// A round of questions to the witnesses.
+/// A round of requests to the witnesses.
 #[derive(Debug, Clone)]
 struct Round {
     nonce: u64,
     epoch: Epoch,
     started_at: MonotonicMs,
     confirmed_by: std::collections::BTreeSet<NodeId>,
-    /// The questions that came before it began, and so are answered by it.
+    /// The requests that arrived before the round started and are answered by it.
     requesters: Vec<Requester>,
 }
 
-/// The questions of storage nodes that wait for a quorum read.
+/// The requests of storage nodes that wait for a quorum read.
 #[derive(Debug, Clone)]
 pub(super) struct QuorumReads {
     waiting: Vec<Requester>,
@@ -44,7 +45,7 @@
         Self { waiting: Vec::new(), round: None, last_nonce: boot_id.first_number() }
     }
 
-    /// Keeps the newest question of each node.
+    /// Keeps the newest request of each node.
     fn enqueue(&mut self, from: std::net::SocketAddr, nonce: u64) {
         self.waiting.retain(|(requester, _)| *requester != from);
         if self.waiting.len() < MAX_WAITING {
@@ -84,14 +85,14 @@
         }
     }
 
-    /// The record in which this node is a backup that holds all that was committed, if it is one.
+    /// The current record, if this node is a backup in it that holds everything committed.
     fn confirmable_record(&self) -> Option<&EpochRecord> {
         let record = self.witness.record()?;
         let is_backup = record.turn(self.me.id).is_some_and(|turn| turn > 0);
         (is_backup && self.holds_all_acknowledged(record)).then_some(record)
     }
 
-    /// Begins a round if questions wait and none is under way.
+    /// Starts a round if requests are waiting and none is in progress.
     pub(super) fn quorum_read_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         let Some(record) = self.confirmable_record() else {
             self.quorum_reads.waiting.clear();
@@ -131,7 +132,7 @@
         self.count_confirmation(self.me.id, nonce, epoch, now, effects);
     }
 
-    /// A witness confirms the epoch: with a majority the waiting questions are answered.
+    /// Counts a witness that confirms the epoch. With a majority the waiting requests are answered.
     fn count_confirmation(
         &mut self,
         witness: NodeId,
--- a/programs/topazyard-control/src/machine/timeouts.rs
+++ b/programs/topazyard-control/src/machine/timeouts.rs
@@ -1,34 +1,37 @@
-//! How long others may be silent, from the bounds of the place that the fleet runs at.
+//! How long other nodes may be silent, derived from the bounds of the fleet's environment.
 //!
-//! None of these decides what is true: a primary answers only what all its copies have synced, and the
-//! witnesses decide who may lead. They only decide how soon somebody asks.
+//! Safety does not depend on these: a primary acknowledges only what all its replicas have synced,
+//! and the witnesses decide which node may be the primary. They only determine how soon a node
+//! requests a change.
 
 use topazyard_types::DurationMs;
 
-/// How long each may be silent.
+/// The timeouts of a control node.
 #[derive(Debug, Clone)]
 pub(crate) struct Timeouts {
-    /// After how long without a confirmation the primary asks for other backups. It is shorter
-    /// than the backup's timeout, so that of two that don't hear each other the primary asks.
+    /// Time without a confirmation after which the primary requests other backups. It is shorter
+    /// than the backup's timeout, so that of two nodes that can't reach each other the primary acts
+    /// first.
     pub(crate) backup: DurationMs,
-    /// After how long without a word the backup asks to take over.
+    /// Time without a message from the primary after which a backup requests to take over.
     pub(crate) primary: DurationMs,
-    /// How much longer each further backup waits, so that one is ahead of the others.
+    /// How much longer each further backup waits, so that they don't all act at once.
     pub(crate) per_rank: DurationMs,
-    /// After how long a write that is not synced makes a primary ask for another replica.
+    /// Age of an unsynced write at which a primary requests another replica.
     pub(crate) write: DurationMs,
-    /// After how long a silent witness is exchanged for a spare core node: well before the next
-    /// loss may come.
+    /// Time after which a silent witness is replaced by a spare control node, well before the next
+    /// loss is to be expected.
     pub(crate) witness: DurationMs,
-    /// After how long without a learner in step another is tried.
+    /// Time after which another learner is tried if one is not in sync.
     pub(crate) learner: DurationMs,
-    /// After how long without a word a storage node that the membership doubts too counts as down.
+    /// Time without a report after which a storage node that membership also suspects counts as
+    /// down.
     pub(crate) suspected_down: DurationMs,
-    /// After how long without a word it counts as down whatever the membership says.
+    /// Time without a report after which a storage node counts as down whatever membership says.
     pub(crate) silent_down: DurationMs,
-    /// How long a node that is about to end waits until others stand in its place.
+    /// How long a node that is shutting down waits to be replaced.
     pub(crate) leaving: DurationMs,
-    /// How long a primary listens before it places anything.
+    /// How long a new primary collects reports before it changes any placement.
     pub(crate) settle: DurationMs,
 }
 
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -1,5 +1,6 @@
-//! The duty of tuning weights: done by the first live core node in the order in which the epoch
-//! record names its witnesses, under that record's epoch. The primary refuses a lower one.
+//! Tuning of weights. The tuner is the first reachable control node in the order in which the epoch
+//! record names its witnesses. It acts under that record's epoch, and the primary refuses a lower
+//! one.
 
 use super::{ControlMachine, ControlTask, Effects};
 use crate::tuner::{Demand, EngineLoad};
@@ -9,12 +10,12 @@
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 use topazyard_wire::state::FleetView;
 
-/// How often weights are looked at.
+/// How often the weights are tuned.
 const TUNING_INTERVAL: DurationMs = DurationMs(1_000);
-/// How old what engines said may be.
+/// How long the load reported by engines remains valid.
 const LOADS_TTL: DurationMs = DurationMs(3_000);
 
-/// What the primary tells whoever tunes.
+/// The load that the primary reports to the tuner.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Load {
     epoch: Epoch,
@@ -29,7 +30,7 @@
     demand: Demand,
 }
 
-/// What this node keeps while the duty is its own.
+/// State of the tuner on this node.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tuning {
     last_run: MonotonicMs,
@@ -38,7 +39,7 @@
 }
 
 impl ControlMachine {
-    /// Whether the duty is this node's: nobody before it in the agreed order is heard.
+    /// Whether this node is the tuner: no witness before it in the record is reachable.
     fn is_tuner(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
         let live = |id| id == self.me.id || self.peers.is_reachable(id, now);
@@ -55,7 +56,7 @@
         self.handle_operate(super::operations::Origin::Tuner, request, now, effects);
     }
 
-    /// What the primary knows of demand.
+    /// The demand known to the primary.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
         let fleet = FleetView::read(self.replica.copy().rows());
         let (_, bundle) = fleet.spec.as_ref()?;
@@ -72,8 +73,8 @@
                 }
             }
         }
-        // Waiting and refused prompts are not told apart by pool: a fleet has few pools, and
-        // raising the live share of one too many only slows batches.
+        // Waiting and refused prompts are not broken down by pool: a fleet has few pools, and
+        // raising the live share of one too many only slows down batches.
         let pools = bundle.pools.iter().filter_map(|pool| {
             let weight = fleet.weights.get(&pool.name)?;
             let demand = Demand {
@@ -92,7 +93,8 @@
         serde_json::to_value(load).ok()
     }
 
-    /// The primary's answer to the duty's question: work out each pool's share and ask for it.
+    /// Computes each pool's share from the primary's load report and requests the shares that
+    /// change.
     pub(super) fn apply_tuning(
         &mut self,
         outcome: &OperateOutcome,
@@ -100,7 +102,7 @@
         effects: &mut Effects,
     ) {
         let OperateOutcome::Done(text) = outcome else { return };
-        // The return of a weight that was set is of another shape, and needs nothing more.
+        // The response to a weight that was set has another shape and needs no action.
         let Ok(load) = serde_json::from_str::<Load>(text) else { return };
         if !self.is_tuner(now) {
             return;
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -11,9 +11,9 @@
     let done = OperateOutcome::Done(String::new());
     let refused = OperateOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
-    configurations.answered(&done, SpecVersion(4));
-    configurations.answered(&refused, SpecVersion(4));
-    configurations.answered(&done, SpecVersion(5));
+    configurations.record_outcome(&done, SpecVersion(4));
+    configurations.record_outcome(&refused, SpecVersion(4));
+    configurations.record_outcome(&done, SpecVersion(5));
     configurations.check(SpecVersion(5));
     assert_eq!((configurations.acknowledged, configurations.refused), (2, 1));
     assert_eq!(violations(Invariant::AcknowledgedConfigurationStays), 0);
