--- a/fleet-simulator/src/check/prompts.rs
+++ b/fleet-simulator/src/check/prompts.rs
@@ -2,7 +2,7 @@
 
 use super::{Line, Violation, crossed};
 use crate::history::{History, PromptEnd, PromptSeen};
-use topazyard_wire::api::Ran;
+use topazyard_wire::api::Execution;
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>) {
     let mut runs_of: std::collections::BTreeMap<usize, usize> = std::collections::BTreeMap::new();
@@ -19,7 +19,7 @@
         check_pieces(at, prompt, violations);
         let Some((ended, end)) = &prompt.end else { continue };
         if let PromptEnd::Refused { status, ran, says_when } = end {
-            if *ran == Ran::NotRun && runs_of.contains_key(&prompt.work) {
+            if *ran == Execution::NotRun && runs_of.contains_key(&prompt.work) {
                 let text = format!("prompt {at} was said not to have run and ran");
                 crossed(violations, Line::RanTwiceOrRefused, text);
             }
--- a/fleet-simulator/src/history/mod.rs
+++ b/fleet-simulator/src/history/mod.rs
@@ -2,7 +2,7 @@
 
 mod configurations;
 
-use topazyard_wire::api::Ran;
+use topazyard_wire::api::Execution;
 
 pub use configurations::{
     InForceSeen, OrderAnswer, OrderAttempt, OrderSeen, ReadBack, ReadBackSeen,
@@ -23,7 +23,7 @@
         /// Its status.
         status: u16,
         /// Whether it says that the work may have run.
-        ran: Ran,
+        ran: Execution,
         /// Whether it says when to come back.
         says_when: bool,
     },
--- a/fleet-simulator/src/model/judge.rs
+++ b/fleet-simulator/src/model/judge.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use topazyard_control::ControlMachine;
-use topazyard_types::{Epoch, NodeId, Place, SpecVersion};
+use topazyard_types::{ConfigurationVersion, Epoch, LogPosition, NodeId};
 use topazyard_wire::message::control::EpochRecord;
-use topazyard_wire::state::spec_key;
+use topazyard_wire::state::configuration_key;
 
 /// What must hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -67,11 +67,11 @@
     orders: Vec<Arc<Order>>,
     records: BTreeMap<Epoch, EpochRecord>,
     served: BTreeMap<Epoch, NodeId>,
-    acknowledged: BTreeMap<SpecVersion, Acknowledged>,
+    acknowledged: BTreeMap<ConfigurationVersion, Acknowledged>,
     refused: BTreeSet<usize>,
     /// Orders known to be in force at some time, by version and by base.
-    taken: BTreeMap<SpecVersion, usize>,
-    taken_bases: BTreeMap<SpecVersion, usize>,
+    taken: BTreeMap<ConfigurationVersion, usize>,
+    taken_bases: BTreeMap<ConfigurationVersion, usize>,
     watched: Option<Invariant>,
     losses: usize,
     violation: Option<Violation>,
@@ -96,7 +96,11 @@
     }
 
     /// An operator made up an order.
-    pub fn add_order(&mut self, base: SpecVersion, version: SpecVersion) -> Arc<Order> {
+    pub fn add_order(
+        &mut self,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
+    ) -> Arc<Order> {
         let order = Arc::new(Order::new(self.orders.len(), base, version));
         self.orders.push(order.clone());
         order
@@ -108,7 +112,7 @@
     }
 
     /// The newest version acknowledged.
-    pub fn newest_acknowledged(&self) -> SpecVersion {
+    pub fn newest_acknowledged(&self) -> ConfigurationVersion {
         self.acknowledged.last_key_value().map(|(version, _)| *version).unwrap_or_default()
     }
 
@@ -118,16 +122,16 @@
     }
 
     /// Looks at a node after a step of it, before which it was at a place, serving or not.
-    pub fn see_node(&mut self, id: NodeId, machine: &ControlMachine, before: (Place, bool)) {
+    pub fn see_node(&mut self, id: NodeId, machine: &ControlMachine, before: (LogPosition, bool)) {
         let Some(record) = machine.record() else { return };
         self.see_record(record);
         if !machine.is_serving() {
             return;
         }
         self.see_primary(id, record.epoch, machine);
-        let (place, served) = before;
+        let (position, served) = before;
         if !served {
-            self.see_beginning(machine, machine.copy().position().sequence != place.sequence);
+            self.see_beginning(machine, machine.copy().position().sequence != position.sequence);
         }
     }
 
@@ -136,7 +140,8 @@
         let copy = machine.copy();
         let added: BTreeSet<&str> = copy.last_changed_keys().filter(|_| has_added).collect();
         let taken = self.orders.iter().filter(|order| order.is_taken(copy.rows()));
-        let taken = taken.filter(|order| !added.contains(spec_key(order.version).as_str()));
+        let taken =
+            taken.filter(|order| !added.contains(configuration_key(order.version).as_str()));
         let taken: Vec<usize> = taken.map(|order| order.number).collect();
         taken.into_iter().for_each(|number| self.take(number));
     }
@@ -222,7 +227,7 @@
 
     /// Something that was read says that an order is in force; the asking began when the newest
     /// version acknowledged was `since`.
-    pub fn see_read(&mut self, whose: &str, read: Option<usize>, since: SpecVersion) {
+    pub fn see_read(&mut self, whose: &str, read: Option<usize>, since: ConfigurationVersion) {
         let version = read.and_then(|number| self.orders.get(number)).map(|order| order.version);
         if version.unwrap_or_default() < since {
             let text = format!("{whose} was shown {version:?}; {since} was acknowledged before");
@@ -238,8 +243,8 @@
         &mut self,
         whose: &str,
         rows: &BTreeMap<String, bytes::Bytes>,
-        before: Option<SpecVersion>,
-        since: SpecVersion,
+        before: Option<ConfigurationVersion>,
+        since: ConfigurationVersion,
     ) {
         let version = super::order::in_force(rows);
         if version < before {
--- a/fleet-simulator/src/model/order.rs
+++ b/fleet-simulator/src/model/order.rs
@@ -1,9 +1,11 @@
 //! The configurations that operators order, and the rows that each must put in force.
 
 use std::collections::BTreeMap;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::Command;
-use topazyard_wire::state::{IN_FORCE, InForceRow, ROUTES, SpecRow, route_key, spec_key};
+use topazyard_wire::state::{
+    ConfigurationRow, IN_FORCE, InForceRow, ROUTES, configuration_key, route_key,
+};
 
 /// Routes of each configuration; those with an even number differ from order to order.
 const ROUTES_EACH: usize = 5;
@@ -13,9 +15,9 @@
     /// Its number among all orders.
     pub number: usize,
     /// The version it builds on.
-    pub base: SpecVersion,
+    pub base: ConfigurationVersion,
     /// Its own version.
-    pub version: SpecVersion,
+    pub version: ConfigurationVersion,
     text: String,
     source: bytes::Bytes,
     routes: BTreeMap<String, bytes::Bytes>,
@@ -30,11 +32,11 @@
 
 impl Order {
     /// The order of that number.
-    pub fn new(number: usize, base: SpecVersion, version: SpecVersion) -> Self {
+    pub fn new(number: usize, base: ConfigurationVersion, version: ConfigurationVersion) -> Self {
         let routes: Vec<_> = (0..ROUTES_EACH).map(|route| route_of(number, route)).collect();
         let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
         let text = bundle.to_string();
-        let read = topazyard_spec::Bundle::read(&text).map(|bundle| bundle.routes);
+        let read = topazyard_spec::Configuration::read(&text).map(|bundle| bundle.routes);
         let routes = read
             .unwrap_or_default()
             .into_iter()
@@ -46,7 +48,7 @@
 
     /// The command that gives it.
     pub fn command(&self) -> Command {
-        Command::TakeSpec {
+        Command::ApplyConfiguration {
             base: self.base,
             version: self.version,
             text: self.text.clone(),
@@ -56,8 +58,9 @@
 
     /// Whether the rows hold it as taken.
     pub fn is_taken(&self, rows: &BTreeMap<String, bytes::Bytes>) -> bool {
-        let row = rows.get(&spec_key(self.version));
-        let row: Option<SpecRow> = row.and_then(|value| topazyard_wire::rows::decode(value));
+        let row = rows.get(&configuration_key(self.version));
+        let row: Option<ConfigurationRow> =
+            row.and_then(|value| topazyard_wire::rows::decode(value));
         row.is_some_and(|row| row.source.as_ref() == Some(&self.source))
     }
 
@@ -86,7 +89,7 @@
 }
 
 /// The version in force by the rows, if one is.
-pub fn in_force(rows: &BTreeMap<String, bytes::Bytes>) -> Option<SpecVersion> {
+pub fn in_force(rows: &BTreeMap<String, bytes::Bytes>) -> Option<ConfigurationVersion> {
     let row: InForceRow = topazyard_wire::rows::decode(rows.get(IN_FORCE)?)?;
     Some(row.version)
 }
--- a/fleet-simulator/src/model/people.rs
+++ b/fleet-simulator/src/model/people.rs
@@ -3,7 +3,7 @@
 use super::order::Order;
 use std::sync::Arc;
 use topazyard_replication::FeedFollower;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 
 /// What an operator asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// What.
     pub asked: Asked,
     /// The newest version acknowledged when it began.
-    pub since: SpecVersion,
+    pub since: ConfigurationVersion,
     /// When it reached the node, among all events.
     pub arrived: Option<u64>,
 }
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Operator {
     /// The newest version that it knows to be in force.
-    pub knows: SpecVersion,
+    pub knows: ConfigurationVersion,
     /// The order that it has no clear answer to.
     pub open: Option<Arc<Order>>,
 }
@@ -45,7 +45,7 @@
     pub follower: FeedFollower,
     /// The newest version acknowledged at each moment at which it asked: an asking that was given up
     /// may still be answered, and then confirms what it was asked for.
-    pub since: std::collections::BTreeMap<topazyard_types::MonotonicMs, SpecVersion>,
+    pub since: std::collections::BTreeMap<topazyard_types::MonotonicMs, ConfigurationVersion>,
     /// When its last asking reached each node, among all events.
     pub arrived: std::collections::BTreeMap<usize, u64>,
 }
@@ -54,8 +54,8 @@
     /// A reader that asks these.
     pub fn new(number: usize, sources: Vec<std::net::SocketAddr>) -> Self {
         let address = ([127, 0, 0, 1], 3_000 + number as u16).into();
-        let life = topazyard_types::Life((number as u64 + 1) << 40);
-        let follower = FeedFollower::new(sources, life);
+        let boot_id = topazyard_types::BootId((number as u64 + 1) << 40);
+        let follower = FeedFollower::new(sources, boot_id);
         Self { address, follower, since: Default::default(), arrived: Default::default() }
     }
 }
--- a/fleet-simulator/src/model/world.rs
+++ b/fleet-simulator/src/model/world.rs
@@ -11,7 +11,7 @@
 use super::{Action, Party, Settings, fingerprint};
 use std::sync::Arc;
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// How much time passes when nothing else happens: a few of these make every timeout run out, the
 /// primary's before the backup's.
@@ -133,7 +133,7 @@
     }
 
     /// The newest version acknowledged.
-    pub fn newest_acknowledged(&self) -> topazyard_types::SpecVersion {
+    pub fn newest_acknowledged(&self) -> topazyard_types::ConfigurationVersion {
         self.judge.newest_acknowledged()
     }
 
@@ -222,7 +222,7 @@
             name: Some(format!("n{number}")),
             address: node.address,
             http: None,
-            duty: Duty::Control,
+            role: MemberRole::Control,
             zone: format!("zone-{number}").as_str().into(),
         };
         let bounds = topazyard_spec::Bounds {
@@ -236,7 +236,7 @@
             chance: (node.lives << 40) + ((number as u64) << 32) + 1,
             loaded: node.disk.synced.clone(),
             bounds,
-            may_found: self.founding,
+            may_bootstrap: self.founding,
         };
         let (machine, effects) = topazyard_control::ControlMachine::new(start, self.now);
         node.machine = Some(machine);
--- a/fleet-simulator/src/model/world/apply.rs
+++ b/fleet-simulator/src/model/world/apply.rs
@@ -6,7 +6,7 @@
 use crate::model::node::Node;
 use crate::model::people::{Asked, Asking};
 use crate::model::{Action, Letter, Party};
-use topazyard_types::{DurationMs, SpecVersion};
+use topazyard_types::{ConfigurationVersion, DurationMs};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::Health;
 use topazyard_wire::message::operate::{Operate, Query};
@@ -178,7 +178,7 @@
             return false;
         }
         let base = self.operators[operator].knows;
-        let order = self.judge.add_order(base, SpecVersion(base.0 + 1 + skip));
+        let order = self.judge.add_order(base, ConfigurationVersion(base.0 + 1 + skip));
         self.operators[operator].open = Some(order);
         self.resend(operator, node)
     }
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/carry.rs
@@ -7,12 +7,12 @@
 use crate::model::people::Asked;
 use crate::model::{Party, Plant};
 use topazyard_control::{ControlCall, ControlTask};
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::control::CoreMessage;
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::message::operate::OperateOutcome;
-use topazyard_wire::message::replica::{Follows, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Input, Machine as _, Message};
 
 pub(super) type ControlEffect = Effect<OperateOutcome, ControlTask>;
@@ -93,7 +93,8 @@
             record.backups.clear();
         }
         let Some(party) = self.party_at(to) else { return };
-        if let (Message::Feed(FeedMessage::News { .. }), Party::Reader(reader)) = (&message, party)
+        if let (Message::Feed(FeedMessage::Update { .. }), Party::Reader(reader)) =
+            (&message, party)
         {
             let asked = self.readers[reader].arrived.get(&number).copied();
             self.check_alone(number, asked, "confirmed a reader's asking");
@@ -139,8 +140,8 @@
             }
             (
                 Some(Plant::ForgetVotesAndForgeSteps),
-                ReplicaBody::Digests { round, sequence, of: Follows::AsBackup, .. },
-            ) => ReplicaBody::InStep { round: *round, sequence: *sequence },
+                ReplicaBody::Digests { round, sequence, of: FollowerRole::Backup, .. },
+            ) => ReplicaBody::InSync { round: *round, sequence: *sequence },
             _ => return,
         };
         let message = Message::Replica(ReplicaMessage { body, ..sent.clone() });
@@ -195,7 +196,7 @@
             // The address may have gone to another machine meanwhile.
             Payload::Frame { to, .. } if self.nodes[number].address != to => {}
             Payload::Frame { sender, from, message, .. } => {
-                let is_asking = matches!(message, Message::Feed(FeedMessage::Ask { .. }));
+                let is_asking = matches!(message, Message::Feed(FeedMessage::Request { .. }));
                 if let (Party::Reader(reader), true) = (party, is_asking) {
                     let event = self.next_event();
                     self.readers[reader].arrived.insert(number, event);
@@ -233,18 +234,22 @@
     }
 
     /// The planted fault of a reader that is shown the first view again.
-    fn plant_news(&mut self, shown: Option<SpecVersion>, message: FeedMessage) -> FeedMessage {
-        let FeedMessage::News { nonce, place, matter } = message else { return message };
-        if let Matter::View(rows) = &matter {
+    fn plant_news(
+        &mut self,
+        shown: Option<ConfigurationVersion>,
+        message: FeedMessage,
+    ) -> FeedMessage {
+        let FeedMessage::Update { nonce, position, content } = message else { return message };
+        if let UpdateContent::Snapshot(rows) = &content {
             self.planted.view.get_or_insert_with(|| rows.iter().cloned().collect());
         }
-        let matter = match &self.planted.view {
+        let content = match &self.planted.view {
             Some(rows) if crate::model::order::in_force(rows) < shown => {
-                Matter::View(rows.clone().into_iter().collect())
+                UpdateContent::Snapshot(rows.clone().into_iter().collect())
             }
-            _ => matter,
+            _ => content,
         };
-        FeedMessage::News { nonce, place, matter }
+        FeedMessage::Update { nonce, position, content }
     }
 
     fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperateOutcome) {
--- a/fleet-simulator/src/people/batches.rs
+++ b/fleet-simulator/src/people/batches.rs
@@ -5,7 +5,7 @@
 use crate::world::{Caller, Event, Plant, World};
 use topazyard_relay::{RelayCall, RelayReturn};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
-use topazyard_wire::message::batch::{BatchCall, BatchReturn, Item, ItemEnd};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, ItemEnd};
 
 /// What a client asked of its batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -138,14 +138,14 @@
                     body: work.body.clone(),
                     repeatable: work.repeatable,
                     cost: Tokens(work.cost),
-                    directions: None,
+                    routing: None,
                 });
                 RelayCall::Submit(id, items.collect())
             }
             Asked::Read => RelayCall::Batch(BatchCall::Read(id), limit),
             Asked::List => {
                 let after = self.people.batches[batch].page.len() as u32;
-                RelayCall::Batch(BatchCall::Returns { batch: id, after }, limit)
+                RelayCall::Batch(BatchCall::ItemResults { batch: id, after }, limit)
             }
             Asked::Recall(item) => {
                 RelayCall::Batch(BatchCall::Recall(id, ItemNumber(*item)), limit)
@@ -179,8 +179,8 @@
         let time = self.time;
         if matches!(asked, Asked::Read | Asked::List) {
             let told = match &value {
-                RelayReturn::Batch(BatchReturn::Unknown) => ReadTold::Unknown,
-                RelayReturn::Batch(BatchReturn::Standing(_) | BatchReturn::Returns(_)) => {
+                RelayReturn::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
+                RelayReturn::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
                     ReadTold::Given
                 }
                 _ => ReadTold::Refused,
@@ -195,20 +195,20 @@
         self.batch_answered(shard);
     }
 
-    fn note_batch_told(&mut self, batch: usize, asked: &Asked, value: BatchReturn) {
+    fn note_batch_told(&mut self, batch: usize, asked: &Asked, value: BatchResponse) {
         let time = self.time;
         match (asked, value) {
-            (Asked::Submit, BatchReturn::Accepted(_)) => {
+            (Asked::Submit, BatchResponse::Accepted(_)) => {
                 self.history.batches[batch].accepted.get_or_insert(time);
             }
-            (Asked::List, BatchReturn::Returns(returns)) => self.listed(batch, &returns),
-            (Asked::Recall(item), BatchReturn::Recalled) => {
+            (Asked::List, BatchResponse::ItemResults(returns)) => self.listed(batch, &returns),
+            (Asked::Recall(item), BatchResponse::Recalled) => {
                 self.history.batches[batch].recalls.push((time, *item, true));
             }
-            (Asked::Recall(item), BatchReturn::TooLate { .. }) => {
+            (Asked::Recall(item), BatchResponse::TooLate { .. }) => {
                 self.history.batches[batch].recalls.push((time, *item, false));
             }
-            (Asked::End, BatchReturn::Standing(_)) => {
+            (Asked::End, BatchResponse::Status(_)) => {
                 self.history.batches[batch].ended.get_or_insert(time);
             }
             _ => {}
@@ -216,12 +216,14 @@
     }
 
     /// A page of the list: an empty one ends the list, and the next is read from the start.
-    fn listed(&mut self, batch: usize, returns: &[topazyard_wire::message::batch::ItemReturn]) {
+    fn listed(&mut self, batch: usize, returns: &[topazyard_wire::message::batch::ItemResult]) {
         let changes = self.plant == Some(Plant::ChangeReturn) && self.draw(0..30) == 0;
         let client = &mut self.people.batches[batch];
         for item_return in returns {
             let (text, body) = match &item_return.end {
-                ItemEnd::Whole { status, body } => (format!("whole {status}"), Some(body.clone())),
+                ItemEnd::Complete { status, body } => {
+                    (format!("whole {status}"), Some(body.clone()))
+                }
                 ItemEnd::OutcomeUnknown => ("outcome unknown".to_owned(), None),
                 ItemEnd::Recalled => ("recalled".to_owned(), None),
                 ItemEnd::Ended => ("ended".to_owned(), None),
--- a/fleet-simulator/src/people/configurations/contents.rs
+++ b/fleet-simulator/src/people/configurations/contents.rs
@@ -1,7 +1,7 @@
 //! What stands in a numbered configuration: lanes as ever, and routes that come, change and go.
 
 use crate::world::World;
-use topazyard_spec::{Bundle, Patch};
+use topazyard_spec::{Configuration, Patch};
 use topazyard_types::Digest;
 
 /// What is wrong with an invalid configuration.
@@ -43,9 +43,9 @@
 impl Content {
     /// The content that a text comes to.
     fn of(text: String, patch: Option<String>) -> Self {
-        let fingerprint = Bundle::read(&text).ok().map(|bundle| {
+        let fingerprint = Configuration::read(&text).ok().map(|bundle| {
             let routes = bundle.routes.clone();
-            fingerprint(&Bundle { routes: Vec::new(), ..bundle }, routes.iter())
+            fingerprint(&Configuration { routes: Vec::new(), ..bundle }, routes.iter())
         });
         Self { source: text.into(), fingerprint, patch }
     }
@@ -83,7 +83,7 @@
     /// of the others are added, replaced or removed. None where the other is no sound bundle.
     pub(super) fn changed_content(&mut self, before: &[u8]) -> Option<Content> {
         let order = self.history.orders.len();
-        let bundle = Bundle::read(std::str::from_utf8(before).ok()?).ok()?;
+        let bundle = Configuration::read(std::str::from_utf8(before).ok()?).ok()?;
         let mut upserted = vec![route("only", &format!("/{order}/"), "main", 1, 1_000)];
         let mut removed = Vec::new();
         for number in 0..CHANGING_ROUTES {
@@ -122,7 +122,7 @@
 
 /// What tells a configuration apart: the bundle without its routes, and its routes in any order.
 pub(crate) fn fingerprint<'a>(
-    bundle: &Bundle,
+    bundle: &Configuration,
     routes: impl Iterator<Item = &'a topazyard_spec::Route>,
 ) -> Digest {
     let rest = serde_json::to_vec(bundle).unwrap_or_default();
--- a/fleet-simulator/src/people/configurations/sending.rs
+++ b/fleet-simulator/src/people/configurations/sending.rs
@@ -5,7 +5,7 @@
 use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
 use crate::people::Doing;
 use crate::world::{Caller, Kind, NodeIndex, Plant, World};
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, Operate, SourcePatch};
 
 /// After how long without an answer an operator goes on to another node.
@@ -75,23 +75,23 @@
 
 /// What an order asks of control.
 fn command_of(order: &OrderSeen) -> Command {
-    let (base, version) = (SpecVersion(order.base), SpecVersion(order.number));
+    let (base, version) = (ConfigurationVersion(order.base), ConfigurationVersion(order.number));
     match &order.patch {
-        None => Command::TakeSpec {
+        None => Command::ApplyConfiguration {
             base,
             version,
             text: String::from_utf8_lossy(&order.source).into_owned(),
             source: order.source.clone(),
         },
         // What is read back is the bundle itself, so both are changed alike.
-        Some(patch) => Command::PatchSpec {
+        Some(patch) => Command::PatchConfiguration {
             base,
             version,
             patch: patch.clone(),
             source: SourcePatch {
                 order: patch.clone().into(),
                 patch: patch.clone(),
-                most_bytes: MOST_SOURCE_BYTES,
+                max_bytes: MOST_SOURCE_BYTES,
             },
         },
     }
--- a/fleet-simulator/src/people/operators.rs
+++ b/fleet-simulator/src/people/operators.rs
@@ -4,8 +4,8 @@
 use super::Doing;
 use crate::history::{SpecRead, SpecSeen, Us};
 use crate::world::{Caller, Event, Kind, World};
-use topazyard_types::SpecVersion;
-use topazyard_wire::api::Ran;
+use topazyard_types::ConfigurationVersion;
+use topazyard_wire::api::Execution;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 
 /// A step of a spec.
@@ -131,12 +131,12 @@
             return;
         }
         let Some(control) = self.draw_node(Kind::Control) else { return };
-        let version = SpecVersion(self.history.specs[spec].version.unwrap_or(0));
+        let version = ConfigurationVersion(self.history.specs[spec].version.unwrap_or(0));
         let step = self.people.specs[spec].step;
         let request = match step {
-            Step::Look => Operate::Query(Query::ListSpecs),
-            Step::Submit(base) => Operate::Command(Command::SubmitSpec {
-                base: SpecVersion(base),
+            Step::Look => Operate::Query(Query::ListConfigurations),
+            Step::Submit(base) => Operate::Command(Command::SubmitConfiguration {
+                base: ConfigurationVersion(base),
                 text: self.bundle(spec),
             }),
             Step::Sign => {
@@ -182,7 +182,7 @@
                 match (step, status, error.ran) {
                     // Surely nothing happened, or asking again is harmless.
                     (Step::Look, ..) | (_, 503, _) | (Step::Sign | Step::RollOut, 504, _) => {}
-                    (_, _, Ran::MayHaveRun) => self.give_spec_up(spec),
+                    (_, _, Execution::MayHaveRun) => self.give_spec_up(spec),
                     // Refused: it must never take effect.
                     _ => self.give_spec_up(spec),
                 }
@@ -218,7 +218,7 @@
         }
         self.after(1_000_000, Event::Person(Doing::ReadSpec));
         if let Some(control) = self.draw_node(Kind::Control) {
-            let request = Operate::Query(Query::ReadSpec(None));
+            let request = Operate::Query(Query::ReadConfiguration(None));
             let asked = Doing::SpecAsked(self.time);
             self.call_control(control, request, Caller::Person(asked));
         }
--- a/fleet-simulator/src/world/mod.rs
+++ b/fleet-simulator/src/world/mod.rs
@@ -87,7 +87,7 @@
     pub(crate) bounds: topazyard_spec::Bounds,
     /// What waited in each shard when it was last weighed, and at which place.
     pub(crate) weighed:
-        std::collections::BTreeMap<topazyard_types::ShardId, (topazyard_types::Place, u64)>,
+        std::collections::BTreeMap<topazyard_types::ShardId, (topazyard_types::LogPosition, u64)>,
     /// What each relay last had in force, by its place in the history.
     pub(crate) last_in_force: std::collections::BTreeMap<NodeIndex, usize>,
     /// Bugs planted to show that the checker can fail.
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, Plant, World};
 use topazyard_wire::message::counter::CounterBody;
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 
 /// Which ways are cut, and how lossy the rest is.
 #[derive(Debug, Default)]
@@ -66,8 +66,8 @@
 
 /// Spoils a frame as the planted bug would; gives whether it is lost.
 fn spoil(plant: Plant, message: &mut topazyard_wire::Message) -> bool {
-    if let topazyard_wire::Message::Feed(FeedMessage::News { matter, .. }) = message {
-        spoil_news(plant, matter);
+    if let topazyard_wire::Message::Feed(FeedMessage::Update { content, .. }) = message {
+        spoil_news(plant, content);
     }
     let topazyard_wire::Message::Counter(message) = message else { return false };
     match (plant, &mut message.body) {
@@ -82,7 +82,7 @@
     false
 }
 
-fn spoil_news(plant: Plant, matter: &mut Matter) {
+fn spoil_news(plant: Plant, content: &mut UpdateContent) {
     use topazyard_wire::rows::{decode, encode};
     use topazyard_wire::state::{IN_FORCE, InForceRow, ROUTES};
     let mapped = |value: &mut bytes::Bytes| {
@@ -91,19 +91,19 @@
             *value = encode(&InForceRow { text, ..row });
         }
     };
-    match (plant, matter) {
-        (Plant::KeepOldSpec, Matter::Changes(changes)) => {
+    match (plant, content) {
+        (Plant::KeepOldSpec, UpdateContent::Changes(changes)) => {
             changes.retain(|change| change.key != IN_FORCE && !change.key.starts_with(ROUTES));
         }
-        (Plant::LoseRoute, Matter::Changes(changes)) => {
+        (Plant::LoseRoute, UpdateContent::Changes(changes)) => {
             let of_route = changes.iter().position(|change| change.key.starts_with(ROUTES));
             of_route.map(|at| changes.remove(at));
         }
-        (Plant::MapAll, Matter::Changes(changes)) => {
+        (Plant::MapAll, UpdateContent::Changes(changes)) => {
             let of_spec = changes.iter_mut().filter(|change| change.key == IN_FORCE);
             of_spec.filter_map(|change| change.value.as_mut()).for_each(mapped);
         }
-        (Plant::MapAll, Matter::View(rows)) => {
+        (Plant::MapAll, UpdateContent::Snapshot(rows)) => {
             let of_spec = rows.iter_mut().filter(|(key, _)| key == IN_FORCE);
             of_spec.for_each(|(_, value)| mapped(value));
         }
@@ -118,11 +118,11 @@
         Message::Core(_) => "core",
         Message::Replica(_) => "replica",
         Message::Feed(_) => "feed",
-        Message::Wish(_) => "wish",
+        Message::ShardChangeRequest(_) => "wish",
         Message::Operate(_) => "operate",
         Message::Counter(_) => "counter",
         Message::Batch(_) => "batch",
-        Message::Told(..) => "told",
+        Message::ShardRecord(..) => "told",
         Message::Confirm(_) => "confirm",
     }
 }
--- a/fleet-simulator/src/world/nodes/in_force.rs
+++ b/fleet-simulator/src/world/nodes/in_force.rs
@@ -12,7 +12,7 @@
         let node = &self.nodes[index.0];
         let Body::Relay(machine) = &node.body else { return };
         let Some(view) = machine.in_force(now) else { return };
-        let Some((version, bundle)) = &view.spec else { return };
+        let Some((version, bundle)) = &view.configuration else { return };
         let seen = InForceSeen {
             relay: node.name.clone(),
             life: node.life,
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -14,7 +14,7 @@
 use topazyard_types::{CallId, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::driver::DiskStart;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// Names a process in the world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -159,17 +159,17 @@
                 fresh
             }
         };
-        let duty = match node.kind {
-            Kind::Control => Duty::Control,
-            Kind::Storage => Duty::Storage,
-            Kind::Agent | Kind::Relay => Duty::Edge,
+        let role = match node.kind {
+            Kind::Control => MemberRole::Control,
+            Kind::Storage => MemberRole::Storage,
+            Kind::Agent | Kind::Relay => MemberRole::Edge,
         };
         let member = Member {
             id: node.id,
             name: Some(format!("node-{}", node.id)),
             address: node.address,
             http: None,
-            duty,
+            role,
             zone: topazyard_types::ZoneName(format!("zone-{}", node.zone)),
         };
         let loaded = node.disk.synced.clone();
@@ -182,16 +182,30 @@
         let body = match kind {
             Kind::Control => {
                 let resources = topazyard_spec::Resources::default();
-                let start =
-                    DiskStart { member, seeds, chance, loaded, bounds, resources, may_found: true };
+                let start = DiskStart {
+                    member,
+                    seeds,
+                    chance,
+                    loaded,
+                    bounds,
+                    resources,
+                    may_bootstrap: true,
+                };
                 let (machine, effects) = ControlMachine::new(start, now);
                 first = effects;
                 Body::Control(Box::new(machine))
             }
             Kind::Storage => {
                 let resources = topazyard_spec::Resources::default();
-                let start =
-                    DiskStart { member, seeds, chance, loaded, bounds, resources, may_found: true };
+                let start = DiskStart {
+                    member,
+                    seeds,
+                    chance,
+                    loaded,
+                    bounds,
+                    resources,
+                    may_bootstrap: true,
+                };
                 Body::Storage(Box::new(StorageMachine::new(start)))
             }
             Kind::Agent => {
--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/watch.rs
@@ -70,7 +70,8 @@
                 _ => None,
             });
             let Some(copy) = copies.max_by_key(|copy| copy.position()) else { continue };
-            let weighed = self.weighed.get(&shard).filter(|(place, _)| *place == copy.position());
+            let weighed =
+                self.weighed.get(&shard).filter(|(position, _)| *position == copy.position());
             let waiting = match weighed {
                 Some((_, waiting)) => *waiting,
                 None => topazyard_storage::batches::waiting_cost(copy).0,
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -8,7 +8,7 @@
 use topazyard_relay::prompt::{Chart, Failure, Next, State};
 use topazyard_relay::{RelayCall, RelayReturn};
 use topazyard_types::{DurationMs, EngineName};
-use topazyard_wire::api::{ApiError, Ran};
+use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::message::batch::{Run, RunEnd};
 
 /// A prompt on its way through a relay.
@@ -132,7 +132,7 @@
     fn answer_error(&mut self, at: usize, engine_use: EngineUse, error: &ApiError) {
         let mut ran = error.ran;
         if self.plant == Some(Plant::SayNotRun) {
-            ran = Ran::NotRun;
+            ran = Execution::NotRun;
         }
         let mute = self.plant == Some(Plant::MuteRefusals);
         let says_when = error.code.retry_after_s().is_some() && !mute;
@@ -382,7 +382,7 @@
             }
             ItemEvent::Whole(_, piece) => {
                 let body = format!("return of work {} run {}", piece.work, piece.run);
-                self.end_item(at, RunEnd::Whole { status: 200, body: body.into() });
+                self.end_item(at, RunEnd::Complete { status: 200, body: body.into() });
             }
             ItemEvent::Broken(_) => self.end_item(at, RunEnd::Unknown),
             ItemEvent::Late(_) => {
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -4,7 +4,9 @@
 use crate::roll::{KnownMember, Roll};
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
 use topazyard_types::{DurationMs, Incarnation, MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{Duty, Member, MembershipMessage, News, Standing};
+use topazyard_wire::message::membership::{
+    Member, MemberRole, MemberStatus, MemberUpdate, MembershipMessage,
+};
 
 /// How often a member probes another.
 const PROBE_EVERY: DurationMs = DurationMs(400);
@@ -49,7 +51,7 @@
 /// What one node knows of the fleet.
 #[derive(Debug, Clone)]
 pub struct Membership {
-    own: News,
+    own: MemberUpdate,
     roll: Roll,
     gossip: Gossip,
     seeds: Vec<std::net::SocketAddr>,
@@ -68,15 +70,16 @@
     /// ```
     /// use topazyard_membership::Membership;
     /// use topazyard_types::{MonotonicMs, NodeId};
-    /// use topazyard_wire::message::membership::{Duty, Member};
+    /// use topazyard_wire::message::membership::{MemberRole, Member};
     /// let own = Member { id: NodeId(1), name: None, address: "127.0.0.1:1".parse().unwrap(),
-    ///     http: None, duty: Duty::Control, zone: "north".into() };
+    ///     http: None, role: MemberRole::Control, zone: "north".into() };
     /// let mut membership = Membership::new(own, vec!["127.0.0.1:2".parse().unwrap()], 7);
     /// assert_eq!(membership.tick(MonotonicMs(1_000)).len(), 1); // asks its seed for the roster
     /// ```
     pub fn new(own: Member, seeds: Vec<std::net::SocketAddr>, seed: u64) -> Self {
         use rand::SeedableRng as _;
-        let own = News { member: own, incarnation: Incarnation(0), standing: Standing::Alive };
+        let own =
+            MemberUpdate { member: own, incarnation: Incarnation(0), status: MemberStatus::Alive };
         Self {
             own,
             roll: Roll::default(),
@@ -86,7 +89,7 @@
             turn: Vec::new(),
             probe: None,
             errands: Vec::new(),
-            last_nonce: topazyard_types::Life(seed).first_number(),
+            last_nonce: topazyard_types::BootId(seed).first_number(),
             last_probe: MonotonicMs(0),
             last_join: None,
         }
@@ -108,24 +111,24 @@
     }
 
     /// How a member stands, if it is known.
-    pub fn status(&self, id: NodeId) -> Option<Standing> {
+    pub fn status(&self, id: NodeId) -> Option<MemberStatus> {
         if id == self.own.member.id {
-            return Some(Standing::Alive);
+            return Some(MemberStatus::Alive);
         }
-        self.roll.members.get(&id).map(|known| known.latest.standing)
+        self.roll.members.get(&id).map(|known| known.latest.status)
     }
 
     /// Where the members of a duty take frames.
-    pub fn addresses(&self, duty: Duty) -> impl Iterator<Item = std::net::SocketAddr> {
+    pub fn addresses(&self, role: MemberRole) -> impl Iterator<Item = std::net::SocketAddr> {
         self.present()
-            .filter(move |known| known.latest.member.duty == duty)
+            .filter(move |known| known.latest.member.role == role)
             .map(|known| known.latest.member.address)
     }
 
     /// Probes a member next, as somebody has cause to doubt it.
     pub fn probe_next(&mut self, id: NodeId) {
         let is_probed = self.probe.as_ref().is_some_and(|probe| probe.target == id);
-        let is_alive = self.status(id) == Some(Standing::Alive);
+        let is_alive = self.status(id) == Some(MemberStatus::Alive);
         if is_alive && !is_probed && self.turn.last() != Some(&id) {
             self.turn.push(id);
         }
@@ -144,10 +147,10 @@
         self.last_nonce
     }
 
-    fn news_to_send(&mut self) -> Vec<News> {
-        let mut news = self.gossip.next();
-        news.push(self.own.clone());
-        news
+    fn news_to_send(&mut self) -> Vec<MemberUpdate> {
+        let mut updates = self.gossip.next();
+        updates.push(self.own.clone());
+        updates
     }
 
     /// Time has passed.
@@ -172,7 +175,7 @@
         }
         self.last_join = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.roll.members.values().filter(|k| k.latest.standing == Standing::Removed);
+        let lost = self.roll.members.values().filter(|k| k.latest.status == MemberStatus::Removed);
         let mut ask: Vec<std::net::SocketAddr> =
             self.seeds.iter().copied().chain(lost.map(|k| k.latest.member.address)).collect();
         ask.retain(|address| *address != own_address);
@@ -180,7 +183,7 @@
             ask = ask.choose(&mut self.rng).copied().into_iter().collect();
         }
         out.extend(
-            ask.into_iter().map(|to| (to, MembershipMessage::Join { news: self.own.clone() })),
+            ask.into_iter().map(|to| (to, MembershipMessage::Join { update: self.own.clone() })),
         );
     }
 
@@ -192,7 +195,7 @@
         let target = loop {
             let Some(id) = self.turn.pop() else { return };
             match self.roll.members.get(&id) {
-                Some(known) if known.latest.standing != Standing::Removed => {
+                Some(known) if known.latest.status != MemberStatus::Removed => {
                     break known.latest.clone();
                 }
                 _ => {}
@@ -207,12 +210,12 @@
             sent: now,
             others_asked: false,
         });
-        let mut news = self.news_to_send();
+        let mut updates = self.news_to_send();
         // A suspect is told, so that it can refute.
-        if target.standing == Standing::Suspect {
-            news.push(target);
+        if target.status == MemberStatus::Suspect {
+            updates.push(target);
         }
-        out.push((address, MembershipMessage::Probe { nonce, news }));
+        out.push((address, MembershipMessage::Probe { nonce, updates }));
     }
 
     fn follow_up_probe(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
@@ -221,8 +224,8 @@
         let waited = now.since(probe.sent);
         if waited >= SUSPECT_AFTER {
             self.probe = None;
-            if let Some(news) = self.roll.restand(target, Standing::Suspect, now) {
-                self.gossip.spread(news, self.roll.members.len());
+            if let Some(update) = self.roll.restand(target, MemberStatus::Suspect, now) {
+                self.gossip.spread(update, self.roll.members.len());
             }
         } else if waited >= SECOND_OPINION && !probe.others_asked {
             probe.others_asked = true;
@@ -230,14 +233,14 @@
                 .roll
                 .present()
                 .map(|known| &known.latest)
-                .filter(|news| news.member.id != target && news.standing == Standing::Alive)
-                .map(|news| news.member.address)
+                .filter(|update| update.member.id != target && update.status == MemberStatus::Alive)
+                .map(|update| update.member.address)
                 .collect();
             let chosen: Vec<_> = others.choose_multiple(&mut self.rng, OPINIONS).copied().collect();
             out.extend(
                 chosen
                     .into_iter()
-                    .map(|to| (to, MembershipMessage::ProbeFor { nonce, target: address })),
+                    .map(|to| (to, MembershipMessage::IndirectProbe { nonce, target: address })),
             );
         }
     }
@@ -248,17 +251,17 @@
             .members
             .values()
             .filter(|k| {
-                k.latest.standing == Standing::Suspect && now.since(k.since) >= REMOVE_AFTER
+                k.latest.status == MemberStatus::Suspect && now.since(k.since) >= REMOVE_AFTER
             })
             .map(|known| known.latest.member.id)
             .collect();
         for id in due {
-            if let Some(news) = self.roll.restand(id, Standing::Removed, now) {
-                self.gossip.spread(news, self.roll.members.len());
+            if let Some(update) = self.roll.restand(id, MemberStatus::Removed, now) {
+                self.gossip.spread(update, self.roll.members.len());
             }
         }
         self.roll.members.retain(|_, known| {
-            known.latest.standing != Standing::Removed || now.since(known.since) < REMEMBER
+            known.latest.status != MemberStatus::Removed || now.since(known.since) < REMEMBER
         });
     }
 
@@ -271,22 +274,22 @@
     ) -> Vec<Outgoing> {
         let mut out = Vec::new();
         match message {
-            MembershipMessage::Probe { nonce, news } => {
-                self.take_news(news, now);
-                let news = self.news_to_send();
-                out.push((from, MembershipMessage::ProbeReturn { nonce, news }));
+            MembershipMessage::Probe { nonce, updates } => {
+                self.take_news(updates, now);
+                let updates = self.news_to_send();
+                out.push((from, MembershipMessage::ProbeAck { nonce, updates }));
             }
-            MembershipMessage::ProbeReturn { nonce, news } => {
-                self.take_news(news, now);
+            MembershipMessage::ProbeAck { nonce, updates } => {
+                self.take_news(updates, now);
                 self.probe.take_if(|probe| probe.nonce == nonce);
                 if let Some(at) = self.errands.iter().position(|errand| errand.nonce == nonce) {
                     let errand = self.errands.swap_remove(at);
-                    let news = self.news_to_send();
+                    let updates = self.news_to_send();
                     let nonce = errand.asker_nonce;
-                    out.push((errand.asker, MembershipMessage::ProbeReturn { nonce, news }));
+                    out.push((errand.asker, MembershipMessage::ProbeAck { nonce, updates }));
                 }
             }
-            MembershipMessage::ProbeFor { nonce, target } => {
+            MembershipMessage::IndirectProbe { nonce, target } => {
                 let own_nonce = self.next_nonce();
                 self.errands.push(Errand {
                     nonce: own_nonce,
@@ -294,46 +297,47 @@
                     asker_nonce: nonce,
                     sent: now,
                 });
-                let news = self.news_to_send();
-                out.push((target, MembershipMessage::Probe { nonce: own_nonce, news }));
+                let updates = self.news_to_send();
+                out.push((target, MembershipMessage::Probe { nonce: own_nonce, updates }));
             }
-            MembershipMessage::Join { news } => {
-                self.take_news(vec![news], now);
-                let mut news: Vec<News> =
+            MembershipMessage::Join { update } => {
+                self.take_news(vec![update], now);
+                let mut updates: Vec<MemberUpdate> =
                     self.roll.members.values().map(|known| known.latest.clone()).collect();
-                news.push(self.own.clone());
-                out.push((from, MembershipMessage::Roster { news }));
+                updates.push(self.own.clone());
+                out.push((from, MembershipMessage::MemberList { updates }));
             }
-            MembershipMessage::Roster { news } => self.take_news(news, now),
+            MembershipMessage::MemberList { updates } => self.take_news(updates, now),
         }
         out
     }
 
-    fn take_news(&mut self, all: Vec<News>, now: MonotonicMs) {
-        for news in all {
-            if news.member.id == self.own.member.id {
-                self.refute_if_doubted(&news);
+    fn take_news(&mut self, all: Vec<MemberUpdate>, now: MonotonicMs) {
+        for update in all {
+            if update.member.id == self.own.member.id {
+                self.refute_if_doubted(&update);
                 continue;
             }
-            if !self.roll.take(&news, now) {
+            if !self.roll.take(&update, now) {
                 continue;
             }
-            if news.standing == Standing::Alive {
-                for id in self.roll.overtaken_by(&news) {
-                    if let Some(gone) = self.roll.restand(id, Standing::Removed, now) {
+            if update.status == MemberStatus::Alive {
+                for id in self.roll.overtaken_by(&update) {
+                    if let Some(gone) = self.roll.restand(id, MemberStatus::Removed, now) {
                         self.gossip.spread(gone, self.roll.members.len());
                     }
                 }
             }
-            self.gossip.spread(news, self.roll.members.len());
+            self.gossip.spread(update, self.roll.members.len());
         }
     }
 
     /// News that doubts this node is refuted under a higher incarnation.
-    fn refute_if_doubted(&mut self, news: &News) {
-        let doubted = news.standing != Standing::Alive || news.incarnation > self.own.incarnation;
-        if doubted && news.incarnation >= self.own.incarnation {
-            self.own.incarnation = Incarnation(news.incarnation.0 + 1);
+    fn refute_if_doubted(&mut self, update: &MemberUpdate) {
+        let doubted =
+            update.status != MemberStatus::Alive || update.incarnation > self.own.incarnation;
+        if doubted && update.incarnation >= self.own.incarnation {
+            self.own.incarnation = Incarnation(update.incarnation.0 + 1);
             self.gossip.spread(self.own.clone(), self.roll.members.len());
         }
     }
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/roll.rs
@@ -1,20 +1,20 @@
 //! What is known of each member.
 
 use topazyard_types::{MonotonicMs, NodeId};
-use topazyard_wire::message::membership::{News, Standing};
+use topazyard_wire::message::membership::{MemberStatus, MemberUpdate};
 
 /// A member as it is known here.
 #[derive(Debug, Clone)]
 pub struct KnownMember {
     /// The newest news of it.
-    pub latest: News,
+    pub latest: MemberUpdate,
     /// Since when it stands so.
     pub since: MonotonicMs,
 }
 
 /// Whether news goes before what is known.
-pub(crate) fn is_newer(news: &News, known: &News) -> bool {
-    (news.incarnation, news.standing) > (known.incarnation, known.standing)
+pub(crate) fn is_newer(update: &MemberUpdate, known: &MemberUpdate) -> bool {
+    (update.incarnation, update.status) > (known.incarnation, known.status)
 }
 
 /// All members known, in the order in which they were learned.
@@ -25,27 +25,28 @@
 
 impl Roll {
     /// Takes news; gives whether it was new.
-    pub(crate) fn take(&mut self, news: &News, now: MonotonicMs) -> bool {
-        if let Some(known) = self.members.get_mut(&news.member.id) {
-            if !is_newer(news, &known.latest) {
+    pub(crate) fn take(&mut self, update: &MemberUpdate, now: MonotonicMs) -> bool {
+        if let Some(known) = self.members.get_mut(&update.member.id) {
+            if !is_newer(update, &known.latest) {
                 return false;
             }
-            *known = KnownMember { latest: news.clone(), since: now };
+            *known = KnownMember { latest: update.clone(), since: now };
         } else {
-            self.members.insert(news.member.id, KnownMember { latest: news.clone(), since: now });
+            self.members
+                .insert(update.member.id, KnownMember { latest: update.clone(), since: now });
         }
         true
     }
 
     /// Members at the same address under another id: an address has one process at a time.
-    pub(crate) fn overtaken_by(&self, news: &News) -> Vec<NodeId> {
+    pub(crate) fn overtaken_by(&self, update: &MemberUpdate) -> Vec<NodeId> {
         self.members
             .values()
             .map(|known| &known.latest)
             .filter(|other| {
-                other.member.address == news.member.address
-                    && other.member.id != news.member.id
-                    && other.standing != Standing::Removed
+                other.member.address == update.member.address
+                    && other.member.id != update.member.id
+                    && other.status != MemberStatus::Removed
             })
             .map(|other| other.member.id)
             .collect()
@@ -55,20 +56,20 @@
     pub(crate) fn restand(
         &mut self,
         id: NodeId,
-        standing: Standing,
+        status: MemberStatus,
         now: MonotonicMs,
-    ) -> Option<News> {
+    ) -> Option<MemberUpdate> {
         let known = self.members.get_mut(&id)?;
-        if known.latest.standing >= standing {
+        if known.latest.status >= status {
             return None;
         }
-        known.latest.standing = standing;
+        known.latest.status = status;
         known.since = now;
         Some(known.latest.clone())
     }
 
     /// Members that are not removed.
     pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
-        self.members.values().filter(|known| known.latest.standing != Standing::Removed)
+        self.members.values().filter(|known| known.latest.status != MemberStatus::Removed)
     }
 }
--- a/libraries/topazyard-replication/src/copy.rs
+++ b/libraries/topazyard-replication/src/copy.rs
@@ -1,6 +1,6 @@
 //! One copy of a group's rows, with a digest kept for each of its ranges.
 
-use topazyard_types::{Digest, Epoch, Place, Sequence};
+use topazyard_types::{Digest, Epoch, LogPosition, Sequence};
 use topazyard_wire::RowChange;
 
 /// Into how many ranges a copy is split for comparing.
@@ -17,8 +17,8 @@
 pub struct Copy {
     rows: std::collections::BTreeMap<String, bytes::Bytes>,
     digests: Vec<Digest>,
-    place: Place,
-    batches: std::collections::VecDeque<(Place, Vec<RowChange>)>,
+    position: LogPosition,
+    batches: std::collections::VecDeque<(LogPosition, Vec<RowChange>)>,
     batches_bytes: usize,
     most_batches: usize,
 }
@@ -26,11 +26,12 @@
 /// Tells the rows by their digests: a copy may hold megabytes.
 impl std::fmt::Debug for Copy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let places: Vec<Place> = self.batches.iter().map(|(place, _)| *place).collect();
+        let positions: Vec<LogPosition> =
+            self.batches.iter().map(|(position, _)| *position).collect();
         f.debug_struct("Copy")
-            .field("place", &self.place)
+            .field("place", &self.position)
             .field("digests", &self.digests)
-            .field("batches", &places)
+            .field("batches", &positions)
             .finish_non_exhaustive()
     }
 }
@@ -45,7 +46,7 @@
         Self {
             rows: std::collections::BTreeMap::new(),
             digests: vec![Digest::default(); RANGE_COUNT],
-            place: Place::default(),
+            position: LogPosition::default(),
             batches: std::collections::VecDeque::new(),
             batches_bytes: 0,
             most_batches: REMEMBERED,
@@ -80,9 +81,9 @@
     /// assert_eq!(Copy::from_rows(rows).digests(), copy.digests());
     /// ```
     pub fn from_rows(mut rows: std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let place = rows.remove(PLACE_KEY);
-        let place = place.and_then(|value| topazyard_wire::rows::decode(&value));
-        let mut copy = Self { place: place.unwrap_or_default(), ..Self::default() };
+        let position = rows.remove(PLACE_KEY);
+        let position = position.and_then(|value| topazyard_wire::rows::decode(&value));
+        let mut copy = Self { position: position.unwrap_or_default(), ..Self::default() };
         for (key, value) in rows {
             copy.set(key, Some(value));
         }
@@ -109,11 +110,11 @@
     ///
     /// ```
     /// use topazyard_replication::Copy;
-    /// use topazyard_types::{Epoch, Place, Sequence};
+    /// use topazyard_types::{Epoch, LogPosition, Sequence};
     /// let mut copy = Copy::default();
     /// copy.keep_only_last_batch();
     /// (1..=3).for_each(|n| drop(copy.apply(Epoch(1), Sequence(n), Vec::new())));
-    /// let second = Place { epoch: Epoch(1), sequence: Sequence(2) };
+    /// let second = LogPosition { epoch: Epoch(1), sequence: Sequence(2) };
     /// assert_eq!(copy.changes_after(second), None);
     /// ```
     pub fn keep_only_last_batch(&mut self) {
@@ -130,9 +131,9 @@
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
-        self.place = Place { epoch, sequence };
+        self.position = LogPosition { epoch, sequence };
         self.batches_bytes += bytes_of(&changes);
-        self.batches.push_back((self.place, changes.clone()));
+        self.batches.push_back((self.position, changes.clone()));
         // The last one is always known: what it touched may be in doubt.
         while self.batches.len() > 1
             && (self.batches.len() > self.most_batches || self.batches_bytes > REMEMBERED_BYTES)
@@ -141,7 +142,7 @@
             self.batches_bytes -= bytes_of(&old);
         }
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.place));
+        written.push(RowChange::put(PLACE_KEY, &self.position));
         written
     }
 
@@ -151,7 +152,7 @@
             rows.iter().map(|(key, _)| key.as_str()).collect();
         let in_range = self.rows.keys().filter(|key| range_of(key) == range);
         let gone: Vec<RowChange> =
-            in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::gone).collect();
+            in_range.filter(|key| !keep.contains(key.as_str())).map(RowChange::delete).collect();
         let differs =
             |(key, value): &(String, bytes::Bytes)| self.rows.get(key.as_str()) != Some(value);
         let put = rows.into_iter().filter(differs);
@@ -162,7 +163,7 @@
     /// Becomes equal to another copy by these changes, in one step: on disk as in memory this copy
     /// is either the old one whole or the new one whole. Gives the rows to write, the new place
     /// among them; they belong in one write.
-    pub fn replace(&mut self, place: Place, changes: Vec<RowChange>) -> Vec<RowChange> {
+    pub fn replace(&mut self, position: LogPosition, changes: Vec<RowChange>) -> Vec<RowChange> {
         for change in &changes {
             self.set(change.key.clone(), change.value.clone());
         }
@@ -170,15 +171,15 @@
             self.batches.clear();
             self.batches_bytes = 0;
         }
-        self.place = place;
+        self.position = position;
         let mut written = changes;
-        written.push(RowChange::put(PLACE_KEY, &self.place));
+        written.push(RowChange::put(PLACE_KEY, &self.position));
         written
     }
 
     /// How far this copy is.
-    pub fn position(&self) -> Place {
-        self.place
+    pub fn position(&self) -> LogPosition {
+        self.position
     }
 
     /// The digest of each range.
@@ -225,11 +226,11 @@
     }
 
     /// The changes after a place, if this copy remembers all of them.
-    pub fn changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
-        if after == self.place {
+    pub fn changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
+        if after == self.position {
             return Some(Vec::new());
         }
-        let from = self.batches.iter().position(|(place, _)| *place == after)?;
+        let from = self.batches.iter().position(|(position, _)| *position == after)?;
         let later = self.batches.iter().skip(from + 1);
         Some(later.flat_map(|(_, changes)| changes.iter().cloned()).collect())
     }
--- a/libraries/topazyard-replication/src/epoch/propose.rs
+++ b/libraries/topazyard-replication/src/epoch/propose.rs
@@ -1,6 +1,6 @@
 //! The proposer: a member of the old replica that asks the old witnesses for the next record.
 
-use topazyard_types::{DurationMs, Life, MonotonicMs, NodeId};
+use topazyard_types::{BootId, DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{Ballot, CoreMessage, EpochRecord};
 
 /// After how long without a decision a higher ballot is called.
@@ -44,7 +44,7 @@
     /// Begins to ask for `wanted` after `base`.
     pub fn begin(
         me: NodeId,
-        life: Life,
+        boot_id: BootId,
         base: EpochRecord,
         wanted: EpochRecord,
         now: MonotonicMs,
@@ -53,7 +53,7 @@
             me,
             base,
             wanted,
-            ballot: Ballot { round: 0, proposer: me, life },
+            ballot: Ballot { round: 0, proposer: me, boot_id },
             begun: now,
             stage: Stage::Preparing { promised: Default::default(), accepted: None },
         };
@@ -133,7 +133,7 @@
                 }
                 ProposalStep::Decided(record.clone())
             }
-            (CoreMessage::Outbid { epoch, promised }, _) if *epoch == next => {
+            (CoreMessage::Rejected { epoch, promised }, _) if *epoch == next => {
                 // The next tick calls a ballot above the one that outbid this.
                 self.ballot.round = self.ballot.round.max(promised.round);
                 self.begun = self.begun.max(MonotonicMs(now.0.saturating_sub(AGAIN.0 / 2)));
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -94,7 +94,7 @@
         }
         let epoch = base.epoch.next();
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote.0 = ballot;
@@ -114,7 +114,7 @@
         }
         let epoch = record.epoch;
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote = (ballot, Some((ballot, record)));
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -3,10 +3,10 @@
 //! A snapshot that comes in parts is applied once all of them are there, and confirms nothing: the
 //! changes after it are asked for at once.
 
-use topazyard_types::{DurationMs, Life, MonotonicMs};
+use topazyard_types::{BootId, DurationMs, MonotonicMs};
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter, SnapshotPart};
+use topazyard_wire::message::feed::{FeedMessage, Health, SnapshotPart, UpdateContent};
 
 /// How often a follower asks.
 pub const REQUEST_INTERVAL: DurationMs = DurationMs(200);
@@ -68,12 +68,12 @@
     /// Follows from any of these; they say where the primary is.
     ///
     /// ```
-    /// use topazyard_types::Life;
+    /// use topazyard_types::BootId;
     /// let sources = vec!["127.0.0.1:9000".parse().unwrap()];
-    /// let follower = topazyard_replication::FeedFollower::new(sources, Life(1));
+    /// let follower = topazyard_replication::FeedFollower::new(sources, BootId(1));
     /// assert!(follower.confirmed_at().is_none());
     /// ```
-    pub fn new(sources: Vec<std::net::SocketAddr>, life: Life) -> Self {
+    pub fn new(sources: Vec<std::net::SocketAddr>, boot_id: BootId) -> Self {
         let mut copy = crate::Copy::default();
         copy.keep_only_last_batch();
         Self {
@@ -86,7 +86,7 @@
             waits: false,
             unanswered: 0,
             last_asked: None,
-            last_nonce: life.first_number(),
+            last_nonce: boot_id.first_number(),
             confirmed: None,
             heard: None,
             fetch: None,
@@ -154,9 +154,9 @@
         self.last_asked = Some(now);
         let after = self.copy.position();
         let part = self.fetch.as_ref().and_then(crate::snapshot::Fetch::wanted);
-        let heard = self.heard.map(|at| now.since(at));
+        let last_response_age = self.heard.map(|at| now.since(at));
         let nonce = self.last_nonce;
-        Some((to, FeedMessage::Ask { nonce, after, part, heard, health: health() }))
+        Some((to, FeedMessage::Request { nonce, after, part, last_response_age, health: health() }))
     }
 
     /// The node to ask next, which is another one than the leader that was just silent.
@@ -197,10 +197,10 @@
     /// Takes a return from a node.
     pub fn receive(&mut self, from: std::net::SocketAddr, message: FeedMessage) -> FollowOutcome {
         match message {
-            FeedMessage::News { nonce, place, matter } => {
+            FeedMessage::Update { nonce, position, content } => {
                 let Some(asked) = self.take_asked(nonce) else { return FollowOutcome::Unchanged };
                 // Never back: a lower place comes from a node that was overtaken.
-                if place < self.copy.position() {
+                if position < self.copy.position() {
                     self.leader = None;
                     return FollowOutcome::Unchanged;
                 }
@@ -210,16 +210,16 @@
                 self.waits = false;
                 self.unanswered = 0;
                 self.heard = Some(asked.at);
-                let changes = match matter {
-                    Matter::Part(part) => return self.take_part(place, &part),
-                    Matter::Changes(changes) => changes,
-                    Matter::View(rows) => self.changes_to(rows),
+                let changes = match content {
+                    UpdateContent::Part(part) => return self.take_part(position, &part),
+                    UpdateContent::Changes(changes) => changes,
+                    UpdateContent::Snapshot(rows) => self.changes_to(rows),
                 };
                 self.fetch = None;
                 self.confirmed = Some(asked.at);
-                self.apply(place, changes)
+                self.apply(position, changes)
             }
-            FeedMessage::Elsewhere { nonce, primary, .. } => {
+            FeedMessage::Redirect { nonce, primary, .. } => {
                 let is_newest = self.asked.back().is_some_and(|asked| asked.nonce == nonce);
                 if is_newest {
                     self.asked.pop_back();
@@ -233,16 +233,20 @@
                 }
                 FollowOutcome::Unchanged
             }
-            FeedMessage::Ask { .. } => FollowOutcome::Unchanged,
+            FeedMessage::Request { .. } => FollowOutcome::Unchanged,
         }
     }
 
     /// Takes a part of a snapshot, and the snapshot once it is whole. What comes next, another part
     /// or the changes after it, is asked for at once.
-    fn take_part(&mut self, place: topazyard_types::Place, part: &SnapshotPart) -> FollowOutcome {
-        let fetch = self.fetch.take().filter(|fetch| fetch.fits(place, part));
-        let fetch = fetch.or_else(|| crate::snapshot::Fetch::begin(place, part));
-        let Some(mut fetch) = fetch.filter(|fetch| fetch.fits(place, part)) else {
+    fn take_part(
+        &mut self,
+        position: topazyard_types::LogPosition,
+        part: &SnapshotPart,
+    ) -> FollowOutcome {
+        let fetch = self.fetch.take().filter(|fetch| fetch.fits(position, part));
+        let fetch = fetch.or_else(|| crate::snapshot::Fetch::begin(position, part));
+        let Some(mut fetch) = fetch.filter(|fetch| fetch.fits(position, part)) else {
             return FollowOutcome::Unchanged;
         };
         fetch.add(part);
@@ -254,7 +258,7 @@
         let Some(rows) = fetch.rows() else { return FollowOutcome::Unchanged };
         self.last_asked = None;
         let changes = self.changes_to(rows);
-        self.apply(place, changes)
+        self.apply(position, changes)
     }
 
     /// The changes that make the copy hold these rows and no others.
@@ -262,21 +266,25 @@
         let keep: std::collections::BTreeSet<&str> =
             rows.iter().map(|(key, _)| key.as_str()).collect();
         let old = self.copy.rows().keys().filter(|key| !keep.contains(key.as_str()));
-        let gone: Vec<RowChange> = old.map(RowChange::gone).collect();
+        let gone: Vec<RowChange> = old.map(RowChange::delete).collect();
         let put = rows.into_iter().map(|(key, value)| RowChange { key, value: Some(value) });
         gone.into_iter().chain(put).collect()
     }
 
-    fn apply(&mut self, place: topazyard_types::Place, changes: Vec<RowChange>) -> FollowOutcome {
-        let is_repeated = place == self.copy.position();
+    fn apply(
+        &mut self,
+        position: topazyard_types::LogPosition,
+        changes: Vec<RowChange>,
+    ) -> FollowOutcome {
+        let is_repeated = position == self.copy.position();
         if changes.is_empty() && is_repeated {
             return FollowOutcome::Unchanged;
         }
         // Of two askings that were both returned the later brings what is here already.
         let before = is_repeated.then(|| self.copy.digests().to_vec());
-        self.copy.apply(place.epoch, place.sequence, changes);
+        self.copy.apply(position.epoch, position.sequence, changes);
         let is_same = before.is_none_or(|digests| digests == self.copy.digests());
-        invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={place}"));
+        invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={position}"));
         FollowOutcome::Changed
     }
 }
--- a/libraries/topazyard-replication/src/replica/follow.rs
+++ b/libraries/topazyard-replication/src/replica/follow.rs
@@ -1,7 +1,7 @@
 //! The follower's side: a backup, or a learner that is to become one.
 
 use super::{MOST_UNSYNCED, Replica, ReplicaOutput, Role, Sender, Uncommitted};
-use topazyard_types::{Digest, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{Digest, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::replica::{RangePart, ReplicaBody};
 
 /// What a follower keeps of its primary.
@@ -184,7 +184,7 @@
         let repeated = follow.last_append == Some(round);
         let fits = if changes.is_empty() { sequence == held } else { sequence == held.next() };
         if !in_step || !(fits || repeated) {
-            self.send(from.address, ReplicaBody::OutOfStep, out);
+            self.send(from.address, ReplicaBody::OutOfSync, out);
             return;
         }
         if repeated && follow.appends.iter().any(|(_, _, waiting)| *waiting == round) {
@@ -236,7 +236,7 @@
         let changes = compared.fetched.into_values().flat_map(|range| range.changes).collect();
         self.check_keeps_committed(sequence);
         // Written even if nothing changed: the disk works in order, so all before it is synced too.
-        let rows = self.copy.replace(Place { epoch: self.epoch, sequence }, changes);
+        let rows = self.copy.replace(LogPosition { epoch: self.epoch, sequence }, changes);
         match self.write(rows, now, out) {
             Some(write) => {
                 if let Role::Follower(follow) = &mut self.role {
@@ -279,7 +279,7 @@
             follow.last_append = None;
             follow.in_step_since = Some(round);
         }
-        self.send(primary, ReplicaBody::InStep { round, sequence }, out);
+        self.send(primary, ReplicaBody::InSync { round, sequence }, out);
     }
 
     pub(super) fn follow_written(&mut self, number: u64, out: &mut Vec<ReplicaOutput>) {
--- a/libraries/topazyard-replication/src/replica/lead.rs
+++ b/libraries/topazyard-replication/src/replica/lead.rs
@@ -6,7 +6,7 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::CoreNode;
-use topazyard_wire::message::replica::{Follows, Part, RangePart, ReplicaBody};
+use topazyard_wire::message::replica::{FollowerRole, Part, RangePart, ReplicaBody};
 
 /// After how long an append is sent again.
 const APPEND_AGAIN: DurationMs = DurationMs(100);
@@ -193,7 +193,7 @@
     fn begin_comparison(
         &mut self,
         with: CoreNode,
-        of: Follows,
+        of: FollowerRole,
         now: MonotonicMs,
         out: &mut Vec<ReplicaOutput>,
     ) -> Option<Comparison> {
@@ -220,7 +220,7 @@
                 .map(|(at, backup)| (at, backup.node))
                 .collect();
             for (at, node) in due {
-                let begun = self.begin_comparison(node, Follows::AsBackup, now, out);
+                let begun = self.begin_comparison(node, FollowerRole::Backup, now, out);
                 if let Role::Primary(lead) = &mut self.role
                     && let BackupState::Comparing(comparison, _) = &mut lead.backups[at].state
                 {
@@ -267,7 +267,7 @@
             }
         }
         for (at, node) in due {
-            let begun = self.begin_comparison(node, Follows::AsLearner, now, out);
+            let begun = self.begin_comparison(node, FollowerRole::Learner, now, out);
             if let Role::Primary(lead) = &mut self.role
                 && let Learning::Fetching(comparison) | Learning::LastRound(comparison, _) =
                     &mut lead.learners[at].learning
@@ -294,7 +294,7 @@
                 }
                 self.finish_batch(out);
             }
-            (ReplicaBody::OutOfStep, Some(at), _)
+            (ReplicaBody::OutOfSync, Some(at), _)
                 if lead.phase != Phase::Stopped && lead.backups[at].is_in_step() =>
             {
                 lead.backups[at].state = BackupState::Comparing(None, now);
@@ -313,10 +313,10 @@
                     self.send_range(from.address, round, range, rows, out);
                 }
             }
-            (ReplicaBody::InStep { round, sequence }, Some(at), _) => {
+            (ReplicaBody::InSync { round, sequence }, Some(at), _) => {
                 self.backup_in_step(at, round, sequence, out);
             }
-            (ReplicaBody::InStep { round, sequence }, _, Some(at)) => {
+            (ReplicaBody::InSync { round, sequence }, _, Some(at)) => {
                 self.learner_in_step(at, round, sequence, now, out);
             }
             _ => {}
--- a/libraries/topazyard-replication/src/replica/mod.rs
+++ b/libraries/topazyard-replication/src/replica/mod.rs
@@ -10,7 +10,7 @@
 mod parts;
 mod progress;
 
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Sequence};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange, WriteToken};
@@ -115,11 +115,11 @@
     ///
     /// ```
     /// use topazyard_replication::{Copy, Replica};
-    /// use topazyard_types::Life;
-    /// let replica = Replica::new(topazyard_wire::Group::Control, true, Copy::default(), Life(1));
+    /// use topazyard_types::BootId;
+    /// let replica = Replica::new(topazyard_wire::Group::Control, true, Copy::default(), BootId(1));
     /// assert!(!replica.is_serving());
     /// ```
-    pub fn new(group: Group, durable: bool, copy: crate::Copy, life: Life) -> Self {
+    pub fn new(group: Group, durable: bool, copy: crate::Copy, boot_id: BootId) -> Self {
         Self {
             group,
             durable,
@@ -130,7 +130,7 @@
             holds_learner: false,
             settled: false,
             last_write: 0,
-            last_round: life.first_number(),
+            last_round: boot_id.first_number(),
             writes: std::collections::BTreeMap::new(),
             synced_copies: 0,
             committed: Sequence::default(),
--- a/libraries/topazyard-replication/src/snapshot.rs
+++ b/libraries/topazyard-replication/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot of a copy's rows for a follower, in parts of which each fits in a small frame.
 
-use topazyard_types::Place;
-use topazyard_wire::message::feed::{PartWanted, SnapshotPart};
+use topazyard_types::LogPosition;
+use topazyard_wire::message::feed::{PartRequest, SnapshotPart};
 
 /// How many bytes a follower is answered at once, at the most. Many followers ask at the same time,
 /// as after a restart of all, and what they are sent waits in memory.
@@ -15,7 +15,7 @@
 /// The rows at one place, encoded once for all followers.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
-    place: Place,
+    position: LogPosition,
     bytes: bytes::Bytes,
 }
 
@@ -29,13 +29,13 @@
     /// assert_eq!((part.part, part.parts), (0, 1));
     /// assert!(snapshot.part(1).is_none());
     /// ```
-    pub fn of(place: Place, rows: &Vec<Row>) -> Self {
-        Self { place, bytes: topazyard_wire::rows::encode(rows) }
+    pub fn of(position: LogPosition, rows: &Vec<Row>) -> Self {
+        Self { position, bytes: topazyard_wire::rows::encode(rows) }
     }
 
     /// The place of its rows.
-    pub fn position(&self) -> Place {
-        self.place
+    pub fn position(&self) -> LogPosition {
+        self.position
     }
 
     /// A part, if it has so many. The parts share the bytes of the snapshot.
@@ -51,7 +51,7 @@
 /// The parts of one snapshot that a follower has so far.
 #[derive(Debug, Clone)]
 pub(crate) struct Fetch {
-    place: Place,
+    position: LogPosition,
     parts: u32,
     next: u32,
     bytes: Vec<u8>,
@@ -59,14 +59,14 @@
 
 impl Fetch {
     /// Begins with the first part of a snapshot.
-    pub(crate) fn begin(place: Place, first: &SnapshotPart) -> Option<Self> {
+    pub(crate) fn begin(position: LogPosition, first: &SnapshotPart) -> Option<Self> {
         let fits = first.part == 0 && (1..=MOST_PARTS).contains(&first.parts);
-        fits.then(|| Self { place, parts: first.parts, next: 0, bytes: Vec::new() })
+        fits.then(|| Self { position, parts: first.parts, next: 0, bytes: Vec::new() })
     }
 
     /// Whether this is the part that comes next.
-    pub(crate) fn fits(&self, place: Place, part: &SnapshotPart) -> bool {
-        let is_next = (self.place, self.parts, self.next) == (place, part.parts, part.part);
+    pub(crate) fn fits(&self, position: LogPosition, part: &SnapshotPart) -> bool {
+        let is_next = (self.position, self.parts, self.next) == (position, part.parts, part.part);
         is_next && part.bytes.len() <= PART_BYTES
     }
 
@@ -77,9 +77,9 @@
     }
 
     /// Which part is lacking next; none once the snapshot is whole.
-    pub(crate) fn wanted(&self) -> Option<PartWanted> {
+    pub(crate) fn wanted(&self) -> Option<PartRequest> {
         let is_whole = self.next == self.parts;
-        (!is_whole).then_some(PartWanted { place: self.place, part: self.next })
+        (!is_whole).then_some(PartRequest { position: self.position, part: self.next })
     }
 
     /// The rows of a whole snapshot, if they can be read.
--- a/libraries/topazyard-replication/tests/comparing.rs
+++ b/libraries/topazyard-replication/tests/comparing.rs
@@ -2,9 +2,9 @@
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{BootId, Epoch, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
-use topazyard_wire::message::replica::{Follows, RangePart, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::replica::{FollowerRole, RangePart, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange};
 
 const NOW: MonotonicMs = MonotonicMs(10_000);
@@ -57,8 +57,8 @@
 impl Filling {
     fn new(source: Copy, learner: Copy) -> Self {
         let mut filling = Self {
-            primary: Replica::new(Group::Control, true, source, Life(4 << 40)),
-            learner: Replica::new(Group::Control, true, learner, Life(9 << 40)),
+            primary: Replica::new(Group::Control, true, source, BootId(4 << 40)),
+            learner: Replica::new(Group::Control, true, learner, BootId(9 << 40)),
             writes: Vec::new(),
             at_learner: Default::default(),
             is_ready: false,
@@ -212,7 +212,7 @@
 /// A frame of the primary's former life fits the sequence by chance, and is not of this life.
 #[test]
 fn a_batch_of_a_former_life_of_the_primary_is_not_taken() {
-    let mut backup = Replica::new(Group::Control, false, copy_of(1), Life(9 << 40));
+    let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
     let held = copy_of(1);
@@ -220,13 +220,13 @@
         round: 7 << 40,
         sequence: Sequence(1),
         digests: held.digests().to_vec(),
-        of: Follows::AsBackup,
+        of: FollowerRole::Backup,
     };
     let out = backup.receive(from(1), message(digests), NOW);
     let in_step = |output: &ReplicaOutput| {
         matches!(
             output,
-            ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::InStep { .. }, .. })
+            ReplicaOutput::Send(_, ReplicaMessage { body: ReplicaBody::InSync { .. }, .. })
         )
     };
     assert!(out.iter().any(in_step), "{out:?}");
@@ -237,7 +237,7 @@
     };
     backup.receive(from(1), message(late), NOW);
     assert_eq!(backup.copy().rows(), held.rows());
-    assert_eq!(backup.copy().position(), Place { epoch: Epoch(1), sequence: Sequence(1) });
+    assert_eq!(backup.copy().position(), LogPosition { epoch: Epoch(1), sequence: Sequence(1) });
     let next = ReplicaBody::Append {
         round: (7 << 40) + 1,
         sequence: Sequence(2),
@@ -250,7 +250,7 @@
 /// Digests that come again late must not keep a backup from following.
 #[test]
 fn digests_that_come_twice_do_not_stop_a_backup() {
-    let mut backup = Replica::new(Group::Control, false, copy_of(1), Life(9 << 40));
+    let mut backup = Replica::new(Group::Control, false, copy_of(1), BootId(9 << 40));
     backup.become_follower(Epoch(1), NodeId(1), NOW);
     let message = |body| ReplicaMessage { group: Group::Control, epoch: Epoch(1), body };
     let append = |round: u64, sequence: u64| ReplicaBody::Append {
@@ -262,7 +262,7 @@
         round: 100,
         sequence: Sequence(1),
         digests: copy_of(1).digests().to_vec(),
-        of: Follows::AsBackup,
+        of: FollowerRole::Backup,
     };
     backup.receive(from(1), message(digests.clone()), NOW);
     backup.receive(from(1), message(append(101, 2)), NOW);
--- a/libraries/topazyard-replication/tests/durability.rs
+++ b/libraries/topazyard-replication/tests/durability.rs
@@ -2,9 +2,9 @@
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Sequence};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::control::CoreNode;
-use topazyard_wire::message::replica::{Follows, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange};
 
 const NOW: MonotonicMs = MonotonicMs(10_000);
@@ -34,10 +34,10 @@
 /// A backup that has synced being in step, and has taken a batch that its disk has not synced.
 /// Gives that write too.
 fn with_unsynced_batch() -> (Replica, u64) {
-    let mut replica = Replica::new(Group::Control, true, Copy::default(), Life(2 << 40));
+    let mut replica = Replica::new(Group::Control, true, Copy::default(), BootId(2 << 40));
     replica.become_follower(Epoch(1), NodeId(FORMER), NOW);
     let digests = Copy::default().digests().to_vec();
-    let (sequence, of) = (Sequence(0), Follows::AsBackup);
+    let (sequence, of) = (Sequence(0), FollowerRole::Backup);
     let compared =
         hear(&mut replica, FORMER, 1, ReplicaBody::Digests { round: 1, sequence, digests, of });
     writes(&compared).into_iter().for_each(|number| drop(replica.write_synced(number)));
@@ -81,7 +81,7 @@
 #[test]
 fn a_successor_shows_nothing_that_its_own_disk_has_not_synced() {
     let (mut successor, unsynced) = with_unsynced_batch();
-    let mut backup = Replica::new(Group::Control, true, Copy::default(), Life(3 << 40));
+    let mut backup = Replica::new(Group::Control, true, Copy::default(), BootId(3 << 40));
     backup.become_follower(Epoch(2), NodeId(SUCCESSOR), NOW);
     let followers = Followers { backups: vec![node(BACKUP)], learners: vec![], may_serve: true };
     let first = successor.become_primary(Epoch(2), followers, NOW);
--- a/libraries/topazyard-replication/tests/epochs.rs
+++ b/libraries/topazyard-replication/tests/epochs.rs
@@ -2,7 +2,7 @@
 
 use topazyard_replication::Witness;
 use topazyard_replication::epoch::{Proposal, ProposalStep};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId};
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
 
 fn node(id: u64) -> CoreNode {
@@ -50,8 +50,8 @@
         let mut lives = [10_u64, 20];
         let records = [wanted(1, 3), wanted(2, 3)];
         let begin = |who: usize, lives: &[u64; 2], now, record: &EpochRecord| {
-            let (me, life) = (NodeId(who as u64 + 1), Life(lives[who]));
-            Proposal::begin(me, life, first(), record.clone(), now)
+            let (me, boot_id) = (NodeId(who as u64 + 1), BootId(lives[who]));
+            Proposal::begin(me, boot_id, first(), record.clone(), now)
         };
         let mut proposals: Vec<(Proposal, CoreMessage)> =
             (0..2).map(|who| begin(who, &lives, now, &records[who])).collect();
@@ -95,7 +95,7 @@
     let mut witness = Witness::default();
     witness.learn(&first());
     witness.learn(&wanted(2, 3));
-    let (_, message) = Proposal::begin(NodeId(1), Life(1), first(), wanted(1, 3), MonotonicMs(0));
+    let (_, message) = Proposal::begin(NodeId(1), BootId(1), first(), wanted(1, 3), MonotonicMs(0));
     assert_eq!(answer(&mut witness, &message), None);
 }
 
@@ -112,11 +112,11 @@
     let ballot = |round| topazyard_wire::message::control::Ballot {
         round,
         proposer: NodeId(1),
-        life: Life(1),
+        boot_id: BootId(1),
     };
     let (changes, _) = witness.prepare(&first(), ballot(5)).expect("an answer");
     keep(changes);
     let mut again = Witness::from_rows(&rows);
     let refused = again.accept(&first(), ballot(4), wanted(1, 3));
-    assert!(matches!(refused, Some((_, CoreMessage::Outbid { .. }))));
+    assert!(matches!(refused, Some((_, CoreMessage::Rejected { .. }))));
 }
--- a/libraries/topazyard-replication/tests/invariants.rs
+++ b/libraries/topazyard-replication/tests/invariants.rs
@@ -1,11 +1,11 @@
 //! Each invariant that this library checks, seen violated.
 
 use topazyard_replication::{FeedFollower, Witness};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{BootId, Epoch, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{Invariant, violations};
 use topazyard_wire::message::control::{CoreNode, EpochRecord};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 
 fn record(primary: u64) -> EpochRecord {
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 9_000 + primary as u16));
@@ -27,16 +27,16 @@
 fn follow(follower: &mut FeedFollower, now: u64, value: u8) {
     let health = Health::Edge { ready: true, waiting: 0, refused: 0 };
     let asked = follower.tick(MonotonicMs(now), || health);
-    let Some((to, FeedMessage::Ask { nonce, .. })) = asked else { panic!("nothing was asked") };
-    let place = Place { epoch: Epoch(1), sequence: Sequence(7) };
-    let matter = Matter::Changes(vec![RowChange::put("row", &value)]);
-    follower.receive(to, FeedMessage::News { nonce, place, matter });
+    let Some((to, FeedMessage::Request { nonce, .. })) = asked else { panic!("nothing was asked") };
+    let position = LogPosition { epoch: Epoch(1), sequence: Sequence(7) };
+    let content = UpdateContent::Changes(vec![RowChange::put("row", &value)]);
+    follower.receive(to, FeedMessage::Update { nonce, position, content });
 }
 
 #[test]
 fn two_states_at_one_place_of_the_feed_are_a_violation() {
     let sources = vec![std::net::SocketAddr::from(([127, 0, 0, 1], 9_000))];
-    let mut follower = FeedFollower::new(sources, Life(1));
+    let mut follower = FeedFollower::new(sources, BootId(1));
     follow(&mut follower, 1_000, 5);
     follow(&mut follower, 2_000, 5);
     assert_eq!(violations(Invariant::FeedPlaceHasOneState), 0);
--- a/libraries/topazyard-replication/tests/looking.rs
+++ b/libraries/topazyard-replication/tests/looking.rs
@@ -1,8 +1,8 @@
 //! How a follower finds the control primary, with the others' words put in by hand.
 
 use topazyard_replication::{FeedFollower, follower::FollowOutcome};
-use topazyard_types::{Epoch, Life, MonotonicMs, Place, Sequence};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
+use topazyard_types::{BootId, Epoch, LogPosition, MonotonicMs, Sequence};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 
 type Address = std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     /// A follower that has just started and knows three control nodes.
     fn new() -> Self {
         let sources = vec![at(1), at(2), at(3)];
-        let follower = FeedFollower::new(sources, Life(1));
+        let follower = FeedFollower::new(sources, BootId(1));
         Self { follower, now: MonotonicMs(100_000), asked: Vec::new() }
     }
 
@@ -30,7 +30,8 @@
         while self.now.0 < until {
             self.now.0 += 5;
             let health = || Health::Edge { ready: true, waiting: 0, refused: 0 };
-            if let Some((to, FeedMessage::Ask { nonce, .. })) = self.follower.tick(self.now, health)
+            if let Some((to, FeedMessage::Request { nonce, .. })) =
+                self.follower.tick(self.now, health)
             {
                 self.asked.push((to, self.now, nonce));
             }
@@ -38,13 +39,13 @@
     }
 
     fn hear_news(&mut self, from: Address, nonce: u64, sequence: u64) -> FollowOutcome {
-        let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
-        let matter = Matter::Changes(Vec::new());
-        self.follower.receive(from, FeedMessage::News { nonce, place, matter })
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
+        let content = UpdateContent::Changes(Vec::new());
+        self.follower.receive(from, FeedMessage::Update { nonce, position, content })
     }
 
     fn hear_elsewhere(&mut self, from: Address, nonce: u64, primary: Option<Address>) {
-        let message = FeedMessage::Elsewhere { nonce, epoch: Epoch(1), primary };
+        let message = FeedMessage::Redirect { nonce, epoch: Epoch(1), primary };
         self.follower.receive(from, message);
     }
 }
--- a/libraries/topazyard-replication/tests/replicas.rs
+++ b/libraries/topazyard-replication/tests/replicas.rs
@@ -2,7 +2,7 @@
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Group, RowChange};
@@ -30,7 +30,8 @@
 
 impl Two {
     fn new(durable: bool) -> Self {
-        let replica = |life| Replica::new(Group::Control, durable, Copy::default(), Life(life));
+        let replica =
+            |boot_id| Replica::new(Group::Control, durable, Copy::default(), BootId(boot_id));
         let mut two =
             Self { primary: replica(4 << 30), backup: replica(9 << 30), committed: Vec::new() };
         two.backup.become_follower(Epoch(1), NodeId(1), NOW);
@@ -105,19 +106,19 @@
     let out = two.primary.become_primary(Epoch(2), backed_by(2), NOW);
     two.backup.become_follower(Epoch(2), NodeId(1), NOW);
     two.run(true, out, NOW);
-    let place = two.backup.copy().position();
+    let position = two.backup.copy().position();
     let late = ReplicaMessage {
         group: Group::Control,
         epoch: Epoch(1),
         body: ReplicaBody::Append {
             round: 1,
-            sequence: place.sequence.next(),
+            sequence: position.sequence.next(),
             changes: vec![RowChange::put("late", &1_u8)],
         },
     };
     let from = Sender { id: NodeId(1), address: node(1).address };
     assert!(two.backup.receive(from, late, NOW).is_empty());
-    assert_eq!(two.backup.copy().position(), place);
+    assert_eq!(two.backup.copy().position(), position);
 }
 
 #[test]
@@ -127,7 +128,7 @@
     // The primary restarts with the same epoch; its disk had synced the change.
     let rows = two.primary.copy().rows().clone();
     let copy = Copy::from_rows(rows);
-    two.primary = Replica::new(Group::Control, true, copy, Life(77 << 30));
+    two.primary = Replica::new(Group::Control, true, copy, BootId(77 << 30));
     two.primary.become_primary(Epoch(1), backed_by(2), NOW);
     assert!(two.primary.submit(2, vec![RowChange::put("b", &1_u8)]));
     // Every confirmation that the backup could still owe the former life arrives now.
@@ -152,8 +153,8 @@
             Copy::from_rows(rows.collect())
         };
         let mut two = Two::new(true);
-        two.primary = Replica::new(Group::Control, true, copy(ours), Life(3 << 30));
-        two.backup = Replica::new(Group::Control, true, copy(theirs), Life(5 << 30));
+        two.primary = Replica::new(Group::Control, true, copy(ours), BootId(3 << 30));
+        two.backup = Replica::new(Group::Control, true, copy(theirs), BootId(5 << 30));
         two.backup.become_follower(Epoch(1), NodeId(1), NOW);
         let out = two.primary.become_primary(Epoch(1), backed_by(2), NOW);
         two.run(true, out, NOW);
@@ -166,7 +167,7 @@
 fn a_learner_is_ready_only_with_everything_and_stops_the_primary() {
     let mut two = Two::new(true);
     two.submit(1, "a", true);
-    let mut learner = Replica::new(Group::Control, true, Copy::default(), Life(6 << 30));
+    let mut learner = Replica::new(Group::Control, true, Copy::default(), BootId(6 << 30));
     learner.become_follower(Epoch(2), NodeId(1), NOW);
     two.backup.become_idle(Epoch(2));
     let mut out = two.primary.become_primary(Epoch(2), filling(3), NOW);
--- a/libraries/topazyard-replication/tests/several.rs
+++ b/libraries/topazyard-replication/tests/several.rs
@@ -2,7 +2,7 @@
 
 use topazyard_replication::replica::Sender;
 use topazyard_replication::{Copy, Followers, Replica, ReplicaOutput};
-use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId};
+use topazyard_types::{BootId, DurationMs, Epoch, MonotonicMs, NodeId};
 use topazyard_wire::message::control::CoreNode;
 use topazyard_wire::{Group, RowChange};
 
@@ -27,7 +27,8 @@
 
 impl Fleet {
     fn new(backups: u64, learners: u64, may_serve: bool) -> Self {
-        let replica = |id: u64| Replica::new(Group::Control, true, Copy::default(), Life(id << 30));
+        let replica =
+            |id: u64| Replica::new(Group::Control, true, Copy::default(), BootId(id << 30));
         let last = PRIMARY + backups + learners;
         let mut fleet = Self {
             nodes: (PRIMARY..=last).map(|id| (id, replica(id))).collect(),
@@ -155,7 +156,7 @@
     let rows = fleet.node(3).copy().rows().clone();
     fleet
         .nodes
-        .insert(3, Replica::new(Group::Control, true, Copy::from_rows(rows), Life(77 << 30)));
+        .insert(3, Replica::new(Group::Control, true, Copy::from_rows(rows), BootId(77 << 30)));
     fleet.node(3).become_follower(Epoch(1), NodeId(PRIMARY), NOW);
     fleet.stalled.insert(3);
     fleet.submit(1, "a");
@@ -184,7 +185,7 @@
     let mut fleet = Fleet::new(1, 2, false);
     assert!(fleet.learners_ready);
     assert_eq!(fleet.node(PRIMARY).filled_learners(), [NodeId(3), NodeId(4)]);
-    let replica = |id: u64| Replica::new(Group::Control, true, Copy::default(), Life(id << 30));
+    let replica = |id: u64| Replica::new(Group::Control, true, Copy::default(), BootId(id << 30));
     fleet.nodes = (1..=3).map(|id| (id, replica(id))).collect();
     fleet.learners_ready = false;
     fleet.cut.insert(3);
--- a/libraries/topazyard-spec/src/bundle.rs
+++ b/libraries/topazyard-spec/src/bundle.rs
@@ -1,18 +1,18 @@
 //! The operators' versioned bundle: lanes, pools, batch ceilings and weight bounds.
 
-use topazyard_types::{LaneName, ModelName, PoolName, Tokens};
+use topazyard_types::{ModelName, ModelRouteName, PoolName, Tokens};
 
 /// Everything operators decide, rolled out as one.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Bundle {
+pub struct Configuration {
     /// Pools of engines, each with one token budget.
     #[garde(length(min = 1, max = 64), dive)]
     pub pools: Vec<Pool>,
     /// Lanes, tried in order: the first that takes a request's kind and model maps it.
     #[garde(length(max = 4096), dive)]
     #[serde(default)]
-    pub lanes: Vec<Lane>,
+    pub lanes: Vec<ModelRoute>,
     /// Which pools requests to a host and path go to. A bundle has lanes, routes or both.
     #[garde(length(max = 65_536), dive)]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -76,13 +76,13 @@
 /// Which requests a lane takes, where they may go and what they are worth.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Lane {
+pub struct ModelRoute {
     /// Its name.
     #[garde(custom(crate::names::short_name))]
-    pub name: LaneName,
+    pub name: ModelRouteName,
     /// Which kind of work it takes.
     #[garde(skip)]
-    pub kind: LaneKind,
+    pub kind: ModelRouteKind,
     /// The models it takes.
     #[garde(length(min = 1, max = 256), inner(custom(crate::names::short_name)))]
     pub models: Vec<ModelName>,
@@ -98,7 +98,7 @@
 /// The kinds of work a lane can take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LaneKind {
+pub enum ModelRouteKind {
     /// Live prompts only.
     Live,
     /// Batch items only.
@@ -183,7 +183,7 @@
     }
 }
 
-impl crate::faults::CrossCheck for Bundle {
+impl crate::faults::CrossCheck for Configuration {
     fn cross_check(&self, faults: &mut Vec<crate::Fault>) {
         crate::faults::names_once("pools", self.pools.iter().map(|p| p.name.0.as_str()), faults);
         crate::faults::names_once("lanes", self.lanes.iter().map(|l| l.name.0.as_str()), faults);
@@ -233,13 +233,13 @@
     }
 }
 
-impl Bundle {
+impl Configuration {
     /// Reads a bundle, or gives every fault with its place.
     ///
     /// ```
     /// let text = r#"{"pools":[{"name":"main"}],
     ///     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// let bundle = topazyard_spec::Bundle::read(text)?;
+    /// let bundle = topazyard_spec::Configuration::read(text)?;
     /// assert_eq!(bundle.pools[0].limit_tokens, topazyard_types::Tokens(40_000));
     /// # Ok::<(), topazyard_spec::ReadError>(())
     /// ```
@@ -265,7 +265,7 @@
     /// ```
     /// # let text = r#"{"pools":[{"name":"main"}],
     /// #     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// # let bundle = topazyard_spec::Bundle::read(text).unwrap();
+    /// # let bundle = topazyard_spec::Configuration::read(text).unwrap();
     /// assert!(bundle.pool(&"main".into()).is_some());
     /// ```
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
@@ -277,14 +277,14 @@
     /// ```
     /// # let text = r#"{"pools":[{"name":"main"}],
     /// #     "lanes":[{"name":"checks","kind":"live","models":["m"],"pool":"main"}]}"#;
-    /// # let bundle = topazyard_spec::Bundle::read(text).unwrap();
-    /// use topazyard_spec::LaneKind;
-    /// assert!(bundle.lane_for(LaneKind::Live, &"m".into()).is_some());
-    /// assert!(bundle.lane_for(LaneKind::Batch, &"m".into()).is_none());
+    /// # let bundle = topazyard_spec::Configuration::read(text).unwrap();
+    /// use topazyard_spec::ModelRouteKind;
+    /// assert!(bundle.model_route_for(ModelRouteKind::Live, &"m".into()).is_some());
+    /// assert!(bundle.model_route_for(ModelRouteKind::Batch, &"m".into()).is_none());
     /// ```
-    pub fn lane_for(&self, kind: LaneKind, model: &ModelName) -> Option<&Lane> {
+    pub fn model_route_for(&self, kind: ModelRouteKind, model: &ModelName) -> Option<&ModelRoute> {
         self.lanes.iter().find(|lane| {
-            (lane.kind == kind || lane.kind == LaneKind::Both) && lane.models.contains(model)
+            (lane.kind == kind || lane.kind == ModelRouteKind::Both) && lane.models.contains(model)
         })
     }
 }
--- a/libraries/topazyard-spec/src/lib.rs
+++ b/libraries/topazyard-spec/src/lib.rs
@@ -9,7 +9,9 @@
 pub mod routes;
 pub mod settings;
 
-pub use bundle::{BatchLimits, Bundle, EngineShape, Lane, LaneKind, Pool, WeightBounds};
+pub use bundle::{
+    BatchLimits, Configuration, EngineShape, ModelRoute, ModelRouteKind, Pool, WeightBounds,
+};
 pub use engines::{Engine, EngineList, EngineState};
 pub use faults::{Fault, FaultReason, ReadError};
 pub use patch::Patch;
--- a/libraries/topazyard-spec/src/routes.rs
+++ b/libraries/topazyard-spec/src/routes.rs
@@ -142,7 +142,7 @@
     }
 }
 
-pub(crate) fn cross_check(bundle: &crate::Bundle, faults: &mut Vec<crate::Fault>) {
+pub(crate) fn cross_check(bundle: &crate::Configuration, faults: &mut Vec<crate::Fault>) {
     crate::faults::names_once("routes", bundle.routes.iter().map(|r| r.name.0.as_str()), faults);
     let pools: std::collections::BTreeSet<&PoolName> =
         bundle.pools.iter().map(|pool| &pool.name).collect();
--- a/libraries/topazyard-spec/src/settings/check.rs
+++ b/libraries/topazyard-spec/src/settings/check.rs
@@ -32,7 +32,7 @@
     /// What the process may use.
     pub resources: crate::Resources,
     /// Whether an empty data folder may be the beginning of a new fleet.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// How to read them again.
     pub reread: Reread,
 }
@@ -109,7 +109,7 @@
 
 impl NodeSettings {
     /// Where frames are listened for.
-    pub fn frames_at(&self) -> std::net::SocketAddr {
+    pub fn listen_address(&self) -> std::net::SocketAddr {
         self.listen.unwrap_or(self.address)
     }
 
@@ -166,7 +166,7 @@
             beside: settings.beside.map(|text| address("beside", &text)).transpose()?,
             bounds: crate::Bounds::default(),
             resources: crate::Resources::default(),
-            may_found: true,
+            may_bootstrap: true,
             reread: Reread::by(move || Self::check(again.clone()).ok()),
         })
     }
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// It is missing.
-    pub fn need_http(&self) -> Result<std::net::SocketAddr, SettingsError> {
+    pub fn require_http(&self) -> Result<std::net::SocketAddr, SettingsError> {
         self.http.ok_or(SettingsError::Missing("http"))
     }
 
@@ -183,7 +183,7 @@
     ///
     /// # Errors
     /// It is missing.
-    pub fn need_data(&self) -> Result<std::path::PathBuf, SettingsError> {
+    pub fn require_data(&self) -> Result<std::path::PathBuf, SettingsError> {
         self.data.clone().ok_or(SettingsError::Missing("data"))
     }
 
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     /// It is missing.
-    pub fn need_beside(&self) -> Result<std::net::SocketAddr, SettingsError> {
+    pub fn require_beside(&self) -> Result<std::net::SocketAddr, SettingsError> {
         self.beside.ok_or(SettingsError::Missing("beside"))
     }
 }
--- a/libraries/topazyard-spec/tests/patching.rs
+++ b/libraries/topazyard-spec/tests/patching.rs
@@ -1,19 +1,19 @@
 //! Partial changes of a bundle: what they make of it, and each kind that is refused.
 
-use topazyard_spec::{Bundle, Fault, FaultReason, Patch, ReadError};
+use topazyard_spec::{Configuration, Fault, FaultReason, Patch, ReadError};
 
 fn route(name: &str, prefix: &str, pool: &str) -> serde_json::Value {
     serde_json::json!({ "name": name, "host": "a.example", "path_prefix": prefix, "kind": "safe",
         "pools": [{ "pool": pool, "weight": 1 }], "timeout_ms": 500, "max_attempts": 1 })
 }
 
-fn bundle() -> Bundle {
+fn bundle() -> Configuration {
     let text = serde_json::json!({ "pools": [{ "name": "main" }, { "name": "other" }],
         "routes": [route("a", "/a/", "main"), route("b", "/b/", "main"), route("c", "/c/", "other")] });
-    Bundle::read(&text.to_string()).expect("a sound bundle")
+    Configuration::read(&text.to_string()).expect("a sound bundle")
 }
 
-fn patched(patch: serde_json::Value) -> Result<Bundle, ReadError> {
+fn patched(patch: serde_json::Value) -> Result<Configuration, ReadError> {
     bundle().patched(&Patch::read(&patch.to_string())?)
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-fn names(bundle: &Bundle) -> Vec<&str> {
+fn names(bundle: &Configuration) -> Vec<&str> {
     bundle.routes.iter().map(|route| route.name.0.as_str()).collect()
 }
 
--- a/libraries/topazyard-spec/tests/reading.rs
+++ b/libraries/topazyard-spec/tests/reading.rs
@@ -1,7 +1,7 @@
 //! Declarations: every fault with its place, and no panic whatever is written.
 
 use topazyard_spec::{
-    Bundle, EngineList, FaultReason, NodeSettings, ReadError, Settings, SettingsError,
+    Configuration, EngineList, FaultReason, NodeSettings, ReadError, Settings, SettingsError,
 };
 
 #[test]
@@ -9,7 +9,7 @@
     let text = r#"{"pools":[{"name":"main","limit_tokens":0},{"name":"main"}],
         "lanes":[{"name":"","kind":"live","models":[],"pool":"other"}],
         "weights":{"live_floor_percent":80,"live_start_percent":50,"live_ceiling_percent":90}}"#;
-    let Err(ReadError::Faults(faults)) = Bundle::read(text) else { panic!("taken") };
+    let Err(ReadError::Faults(faults)) = Configuration::read(text) else { panic!("taken") };
     let places: Vec<&str> = faults.iter().map(|fault| fault.place.as_str()).collect();
     for place in [
         "pools[0].limit_tokens",
@@ -27,7 +27,7 @@
 #[test]
 fn unknown_fields_are_faults() {
     let text = r#"{"pools":[{"name":"main","limit":5}],"lanes":[]}"#;
-    assert!(matches!(Bundle::read(text), Err(ReadError::Faults(_))));
+    assert!(matches!(Configuration::read(text), Err(ReadError::Faults(_))));
     let text = r#"{"engines":[],"more":1}"#;
     assert!(matches!(EngineList::read(text), Err(ReadError::Faults(_))));
 }
@@ -36,7 +36,7 @@
 fn any_text_is_a_declaration_or_a_typed_error() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(3_000).for_each(|bytes| {
         let text = String::from_utf8_lossy(bytes);
-        assert!(Bundle::read(&text).is_err());
+        assert!(Configuration::read(&text).is_err());
         if let Ok(list) = EngineList::read(&text) {
             assert!(list.engines.len() <= 4_096);
         }
@@ -75,7 +75,7 @@
             "lanes":[{{"name":"l","kind":"{kind}","models":["m"],"pool":"main"}}],
             "{limits}":{{"waiting_ceiling_tokens":1000,"max_items":7,"max_item_bytes":1000}}}}"#
         );
-        Bundle::read(&text).expect("a spec")
+        Configuration::read(&text).expect("a spec")
     };
     let older = spec("parcel", "parcels");
     assert_eq!(older.batches.max_items, 7);
--- a/libraries/topazyard-types/src/ids.rs
+++ b/libraries/topazyard-types/src/ids.rs
@@ -34,7 +34,7 @@
 );
 crate::name_type!(
     /// A lane's name in the spec.
-    LaneName
+    ModelRouteName
 );
 crate::name_type!(
     /// A model's name.
@@ -52,16 +52,16 @@
 crate::number_type!(
     /// One run of a process, drawn anew at each start. What a process numbers within its life
     /// starts from here, so that an answer to a former life at the same address fits nothing.
-    Life, u64
+    BootId, u64
 );
 
-impl Life {
+impl BootId {
     /// The number before the first that a process gives out in this life. Two lives' numbers
     /// lie so far apart that they never meet.
     ///
     /// ```
-    /// use topazyard_types::ids::Life;
-    /// assert_ne!(Life(7 << 40).first_number(), Life(9 << 40).first_number());
+    /// use topazyard_types::ids::BootId;
+    /// assert_ne!(BootId(7 << 40).first_number(), BootId(9 << 40).first_number());
     /// ```
     pub fn first_number(self) -> u64 {
         // Half the numbers stay free above, so that counting on never wraps.
@@ -117,15 +117,15 @@
 
 /// {0:?} is not a batch id
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
-pub struct NotABatchId(pub String);
+pub struct InvalidBatchId(pub String);
 
-impl std::error::Error for NotABatchId {}
+impl std::error::Error for InvalidBatchId {}
 
 impl std::str::FromStr for BatchId {
-    type Err = NotABatchId;
+    type Err = InvalidBatchId;
 
-    fn from_str(text: &str) -> Result<Self, NotABatchId> {
-        let refuse = || NotABatchId(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, InvalidBatchId> {
+        let refuse = || InvalidBatchId(text.to_owned());
         let (shard, number) = text.split_once('-').ok_or_else(refuse)?;
         let shard = ShardId(shard.parse().map_err(|_| refuse())?);
         let known = !shard.is_counter() && shard.0 <= ShardId::BATCH_SHARDS && number.len() == 16;
--- a/libraries/topazyard-types/src/lib.rs
+++ b/libraries/topazyard-types/src/lib.rs
@@ -10,12 +10,12 @@
 
 pub use digest::Digest;
 pub use ids::{
-    BatchId, CallId, EngineName, FleetId, HoldId, ItemNumber, LaneName, Life, ModelName, NodeId,
-    PoolName, RouteName, ShardId, ZoneName,
+    BatchId, BootId, CallId, EngineName, FleetId, HoldId, ItemNumber, ModelName, ModelRouteName,
+    NodeId, PoolName, RouteName, ShardId, ZoneName,
 };
 pub use times::{DurationMs, MonotonicMs};
 pub use tokens::Tokens;
-pub use versions::{Epoch, Incarnation, Place, Sequence, SpecVersion};
+pub use versions::{ConfigurationVersion, Epoch, Incarnation, LogPosition, Sequence};
 
 /// Declares a number type of its own with the usual derives.
 #[macro_export]
--- a/libraries/topazyard-types/src/versions.rs
+++ b/libraries/topazyard-types/src/versions.rs
@@ -10,7 +10,7 @@
 );
 crate::number_type!(
     /// A version of the operators' bundle.
-    SpecVersion, u64
+    ConfigurationVersion, u64
 );
 crate::number_type!(
     /// A member's own count of how often it had to refute a suspicion.
@@ -55,14 +55,14 @@
     serde::Serialize,
     serde::Deserialize,
 )]
-pub struct Place {
+pub struct LogPosition {
     /// The epoch in which the change was made.
     pub epoch: Epoch,
     /// Its number.
     pub sequence: Sequence,
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for LogPosition {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}.{}", self.epoch, self.sequence)
     }
--- a/libraries/topazyard-wire/src/api.rs
+++ b/libraries/topazyard-wire/src/api.rs
@@ -3,7 +3,7 @@
 /// Whether refused work may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Execution {
     /// Surely not: no byte can have reached an engine.
     NotRun,
     /// It may have.
@@ -127,7 +127,7 @@
     /// The stable code.
     pub code: Code,
     /// Whether the work may have run.
-    pub ran: Ran,
+    pub ran: Execution,
     /// The code in words, with what it is about.
     pub message: String,
     /// The field at fault, if one is.
@@ -140,21 +140,27 @@
     /// An error about work that surely did not run.
     ///
     /// ```
-    /// use topazyard_wire::api::{ApiError, Code, Ran};
-    /// assert_eq!(ApiError::not_run(Code::Budget).ran, Ran::NotRun);
+    /// use topazyard_wire::api::{ApiError, Code, Execution};
+    /// assert_eq!(ApiError::not_run(Code::Budget).ran, Execution::NotRun);
     /// ```
     pub fn not_run(code: Code) -> Self {
-        Self { code, ran: Ran::NotRun, message: code.to_string(), field: None, faults: Vec::new() }
+        Self {
+            code,
+            ran: Execution::NotRun,
+            message: code.to_string(),
+            field: None,
+            faults: Vec::new(),
+        }
     }
 
     /// An error about work that may have run.
     ///
     /// ```
-    /// use topazyard_wire::api::{ApiError, Code, Ran};
-    /// assert_eq!(ApiError::may_have_run(Code::EngineFailed).ran, Ran::MayHaveRun);
+    /// use topazyard_wire::api::{ApiError, Code, Execution};
+    /// assert_eq!(ApiError::may_have_run(Code::EngineFailed).ran, Execution::MayHaveRun);
     /// ```
     pub fn may_have_run(code: Code) -> Self {
-        Self { ran: Ran::MayHaveRun, ..Self::not_run(code) }
+        Self { ran: Execution::MayHaveRun, ..Self::not_run(code) }
     }
 
     /// The same, naming the field at fault.
@@ -173,10 +179,10 @@
     ///
     /// ```
     /// use topazyard_wire::api::{ApiError, Code};
-    /// let error = ApiError::of_read(topazyard_spec::Bundle::read("{").unwrap_err());
+    /// let error = ApiError::from_read_error(topazyard_spec::Configuration::read("{").unwrap_err());
     /// assert_eq!(error.code, Code::Malformed);
     /// ```
-    pub fn of_read(error: topazyard_spec::ReadError) -> Self {
+    pub fn from_read_error(error: topazyard_spec::ReadError) -> Self {
         match error {
             topazyard_spec::ReadError::NotJson { line, column } => {
                 Self::not_run(Code::Malformed).at(format!("line {line} column {column}"))
--- a/libraries/topazyard-wire/src/driver/disked.rs
+++ b/libraries/topazyard-wire/src/driver/disked.rs
@@ -2,7 +2,7 @@
 
 use super::{Place, StartError};
 use crate::disk::{DiskError, OpenFile};
-use crate::message::membership::{Duty, Member};
+use crate::message::membership::{Member, MemberRole};
 
 /// From what a node with a disk starts.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// What the process may use.
     pub resources: topazyard_spec::Resources,
     /// Whether an empty disk may be the beginning of a new fleet.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
 }
 
 /// How long to wait before a data folder whose disk is full is opened again.
@@ -33,11 +33,11 @@
 /// Settings that are missing, a folder that can't be used, or a log that can't be started.
 pub async fn start_with_disk(
     settings: &topazyard_spec::NodeSettings,
-    duty: Duty,
+    role: MemberRole,
 ) -> Result<(DiskStart, Place, OpenFile), StartError> {
-    let folder = settings.need_data()?;
+    let folder = settings.require_data()?;
     crate::log::start(Some(folder.clone())).map_err(|_| StartError::Log)?;
-    open_with_room(settings.http, || open_start(settings, &folder, duty)).await
+    open_with_room(settings.http, || open_start(settings, &folder, role)).await
 }
 
 /// Opens something, again and again while its disk is full, and answers callers meanwhile.
@@ -102,7 +102,7 @@
 fn open_start(
     settings: &topazyard_spec::NodeSettings,
     folder: &std::path::Path,
-    duty: Duty,
+    role: MemberRole,
 ) -> Result<(DiskStart, Place, OpenFile), StartError> {
     let disk = crate::disk::open(folder)?;
     let node = super::settled_id(&disk)?;
@@ -111,7 +111,7 @@
         name: settings.name.clone(),
         address: settings.address,
         http: settings.http,
-        duty,
+        role,
         zone: settings.zone.clone(),
     };
     let place = Place { fleet: settings.fleet, node, address: settings.address };
@@ -123,7 +123,7 @@
         loaded: disk.loaded,
         bounds: settings.bounds.clone(),
         resources: settings.resources.clone(),
-        may_found: settings.may_found,
+        may_bootstrap: settings.may_bootstrap,
     };
     let file = OpenFile { folder: folder.to_owned(), database: disk.database };
     Ok((start, place, file))
--- a/libraries/topazyard-wire/src/http/inward.rs
+++ b/libraries/topazyard-wire/src/http/inward.rs
@@ -131,10 +131,10 @@
 /// The body is larger than the limit, broke off, or took too long.
 pub async fn read_body(
     body: hyper::body::Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<bytes::Bytes, crate::ApiError> {
     let limit = std::time::Duration::from_millis(BODY_MS);
-    let limited = http_body_util::Limited::new(body, most_bytes);
+    let limited = http_body_util::Limited::new(body, max_bytes);
     let Ok(collected) = tokio::time::timeout(limit, limited.collect()).await else {
         return Err(crate::ApiError::not_run(crate::api::Code::Malformed).at("body"));
     };
--- a/libraries/topazyard-wire/src/lib.rs
+++ b/libraries/topazyard-wire/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod rows;
 pub mod state;
 
-pub use api::{ApiError, Ran};
+pub use api::{ApiError, Execution};
 pub use machine::{Effect, Input, Machine, WriteToken};
 pub use message::{Frame, Message};
 pub use rows::{Group, RowChange};
--- a/libraries/topazyard-wire/src/message/batch.rs
+++ b/libraries/topazyard-wire/src/message/batch.rs
@@ -23,10 +23,10 @@
     /// Asked by a relay.
     Call(BatchCall),
     /// Returned to it.
-    Return(BatchReturn),
+    Response(BatchResponse),
     /// A read that its primary leaves unanswered, asked of every node that holds a copy. Whoever
     /// can't be sure says nothing.
-    Aside(BatchCall),
+    ReplicaRead(BatchCall),
 }
 
 /// One item as handed in.
@@ -41,12 +41,12 @@
     /// Its estimated cost.
     pub cost: Tokens,
     /// Where a route directs it. An item without directions goes where its model's lane says.
-    pub directions: Option<Directions>,
+    pub routing: Option<ItemRouting>,
 }
 
 /// How a routed item is sent to its engine. Such items may always run again.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Directions {
+pub struct ItemRouting {
     /// The caller's own id of the item.
     pub id: String,
     /// The path at the engine.
@@ -59,7 +59,7 @@
 
 /// The terms of a batch of routed items, as they stood when it was handed in.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Terms {
+pub struct RoutedBatchTerms {
     /// The route that directs its items.
     pub route: RouteName,
     /// The host that its requests name.
@@ -78,7 +78,7 @@
     /// Its id.
     pub batch: BatchId,
     /// Its terms.
-    pub terms: Terms,
+    pub terms: RoutedBatchTerms,
     /// Its items, each with directions.
     pub items: Vec<Item>,
     /// The ceiling on the route's waiting tokens by the spec in force at the relay; 0 for none.
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RunEnd {
     /// The engine's whole return.
-    Whole {
+    Complete {
         /// The engine's status.
         status: u16,
         /// The engine's body, byte for byte.
@@ -123,7 +123,7 @@
     /// It may have run.
     Unknown,
     /// A routed item's stream is complete.
-    Done {
+    StreamComplete {
         /// The data of all its events, parted by line feeds.
         text: String,
     },
@@ -132,7 +132,7 @@
     /// The engine said that the routed item can never be done.
     Impossible,
     /// A routed item's stream broke off after these events.
-    Broken(Progress),
+    Interrupted(Progress),
 }
 
 /// What a relay may ask.
@@ -150,7 +150,7 @@
     /// Take a batch of routed items; the same id again changes nothing.
     SubmitRouted(RoutedBatch),
     /// A batch's results after a position.
-    Results {
+    RoutedResults {
         /// The batch.
         batch: BatchId,
         /// Positions up to this are known; 0 asks from the first.
@@ -166,7 +166,7 @@
     /// How does the batch stand?
     Read(BatchId),
     /// Its returns after a position.
-    Returns {
+    ItemResults {
         /// The batch.
         batch: BatchId,
         /// Positions up to this are known; 0 asks from the first.
@@ -195,7 +195,7 @@
 
 /// How a batch stands.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct BatchStanding {
+pub struct BatchStatus {
     /// Its id.
     pub batch: BatchId,
     /// Its items.
@@ -215,7 +215,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum ItemEnd {
     /// The engine's whole return.
-    Whole {
+    Complete {
         /// The engine's status.
         status: u16,
         /// The engine's body.
@@ -233,7 +233,7 @@
 
 /// A final return at its fixed position.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct ItemReturn {
+pub struct ItemResult {
     /// Its position, from 1.
     pub position: u32,
     /// Of which item.
@@ -259,21 +259,21 @@
 
 /// What a shard's primary returns.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum BatchReturn {
+pub enum BatchResponse {
     /// Accepted and synced on both, now or before.
-    Accepted(BatchStanding),
+    Accepted(BatchStatus),
     /// The batch ceiling is reached: come back later.
     CeilingReached,
     /// How it stands.
-    Standing(BatchStanding),
+    Status(BatchStatus),
     /// Returns in order.
-    Returns(Vec<ItemReturn>),
+    ItemResults(Vec<ItemResult>),
     /// A batch's results.
-    Results {
+    RoutedResults {
         /// Items of the batch.
         total: u32,
         /// Results in order.
-        results: Vec<ItemReturn>,
+        results: Vec<ItemResult>,
     },
     /// The body of an item, byte for byte.
     Body(bytes::Bytes),
@@ -291,7 +291,7 @@
     /// Whether the run may start.
     MayStart(bool),
     /// Noted.
-    Noted,
+    Acknowledged,
     /// I don't lead this shard, or can't yet.
-    NotHere,
+    NotPrimary,
 }
--- a/libraries/topazyard-wire/src/message/confirm.rs
+++ b/libraries/topazyard-wire/src/message/confirm.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ConfirmMessage {
     /// From a storage node to a control node: which shard records stand?
-    AskRecords {
+    RequestRecords {
         /// Marks the answer.
         nonce: u64,
     },
@@ -22,21 +22,21 @@
         epochs: Vec<(ShardId, Epoch)>,
     },
     /// From a control backup to a witness: have you accepted no epoch after this one?
-    AskEpoch {
+    CheckEpoch {
         /// Marks the answer.
         nonce: u64,
         /// The epoch that the asking node knows.
         epoch: Epoch,
     },
     /// The answer, given only where the witness has accepted none.
-    EpochStands {
+    EpochCurrent {
         /// Of which question.
         nonce: u64,
         /// The epoch asked about.
         epoch: Epoch,
     },
     /// From one backup of a shard to another: have you synced the shard's copy up to there?
-    AskSynced {
+    CheckSynced {
         /// The shard.
         shard: ShardId,
         /// The epoch in which both follow.
--- a/libraries/topazyard-wire/src/message/control.rs
+++ b/libraries/topazyard-wire/src/message/control.rs
@@ -1,6 +1,6 @@
 //! Epochs of the control replica, and wishes of shard primaries.
 
-use topazyard_types::{Epoch, Life, NodeId, ShardId};
+use topazyard_types::{BootId, Epoch, NodeId, ShardId};
 
 /// A core node by id and address.
 #[derive(
@@ -38,7 +38,7 @@
     /// assert!(record.is_member(NodeId(2)) && !record.is_member(NodeId(3)));
     /// ```
     pub fn is_member(&self, id: NodeId) -> bool {
-        self.turn(id).is_some()
+        self.rank(id).is_some()
     }
 
     /// In which turn a member may ask for the next epoch: the primary comes first.
@@ -49,10 +49,10 @@
     /// # let node = |id| CoreNode { id: NodeId(id), address: "127.0.0.1:1".parse().unwrap() };
     /// let record = EpochRecord { epoch: Epoch(1), primary: node(1), backups: vec![node(2)],
     ///     witnesses: vec![node(1)] };
-    /// assert_eq!(record.turn(NodeId(2)), Some(1));
-    /// assert_eq!(record.turn(NodeId(3)), None);
+    /// assert_eq!(record.rank(NodeId(2)), Some(1));
+    /// assert_eq!(record.rank(NodeId(3)), None);
     /// ```
-    pub fn turn(&self, id: NodeId) -> Option<usize> {
+    pub fn rank(&self, id: NodeId) -> Option<usize> {
         let mut members = std::iter::once(&self.primary).chain(&self.backups);
         members.position(|node| node.id == id)
     }
@@ -91,7 +91,7 @@
     /// Who called it.
     pub proposer: NodeId,
     /// In which of the proposer's lives: one that restarted may want another record.
-    pub life: Life,
+    pub boot_id: BootId,
 }
 
 /// What core nodes say about epochs. A message names the epoch record it builds on.
@@ -102,7 +102,7 @@
         /// The newest record decided, as far as the sender knows.
         record: Option<EpochRecord>,
         /// Core nodes the sender has lately heard.
-        heard: Vec<CoreNode>,
+        reachable: Vec<CoreNode>,
         /// The sender's zone.
         zone: topazyard_types::ZoneName,
         /// Whether its disk takes writes: without them it can neither vote nor hold a copy.
@@ -143,7 +143,7 @@
     /// The sender is about to end: others may stand in its place at once.
     Leaving,
     /// Refused: a higher ballot was promised.
-    Outbid {
+    Rejected {
         /// The epoch that is being decided.
         epoch: Epoch,
         /// The ballot promised.
@@ -203,18 +203,18 @@
 
 /// A shard primary's wish for another record.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct ShardWish {
+pub struct ShardChangeRequest {
     /// The shard.
     pub shard: ShardId,
     /// The epoch the wish is made in; any other makes it void.
     pub epoch: Epoch,
     /// What is wished.
-    pub wish: Wish,
+    pub change: ShardChange,
 }
 
 /// What a shard primary may wish.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Wish {
+pub enum ShardChange {
     /// These backups don't confirm: let them go. Nothing is answered from now on.
     DropBackups(Vec<NodeId>),
     /// The learners hold all: make them backups. Nothing is answered from now on.
--- a/libraries/topazyard-wire/src/message/counter.rs
+++ b/libraries/topazyard-wire/src/message/counter.rs
@@ -1,6 +1,6 @@
 //! Holds on the token budget.
 
-use topazyard_types::{DurationMs, EngineName, Epoch, HoldId, Life, PoolName, ShardId, Tokens};
+use topazyard_types::{BootId, DurationMs, EngineName, Epoch, HoldId, PoolName, ShardId, Tokens};
 
 /// A message to or from the counter's primary, under its epoch.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -27,7 +27,7 @@
 }
 
 /// The most engines that a hold may name.
-pub const MOST_ENGINES: usize = 8;
+pub const MAX_ENGINES: usize = 8;
 
 /// A hold, named by the relay that asks and its own rising id.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -40,17 +40,17 @@
     pub cost: Tokens,
     /// For what.
     pub kind: HoldKind,
-    /// While it is asked for: engines that it may use, the best first, [`MOST_ENGINES`] at most. Once
+    /// While it is asked for: engines that it may use, the best first, [`MAX_ENGINES`] at most. Once
     /// it is granted: the one that it uses. Empty where its engine is not chosen with it.
     pub engines: Vec<EngineName>,
     /// The terms of the spec in force at the relay, whose word of control is fresh: the counter
     /// may know an older one.
-    pub terms: Terms,
+    pub terms: HoldTerms,
 }
 
 /// What a hold is checked against, and how long it stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Terms {
+pub struct HoldTerms {
     /// The budget's limit.
     pub limit: Tokens,
     /// The part of it that holds of this kind may take.
@@ -84,7 +84,7 @@
         /// Holds that were granted: they stand even where the counter has lost them.
         holds: Vec<Hold>,
         /// Holds asked for and not yet answered: they stand where the counter has them.
-        asked: Vec<HoldId>,
+        pending: Vec<HoldId>,
         /// By pool: what my requests held of my blocks, in the mean since the last renewal.
         used: Vec<(PoolName, Tokens)>,
     },
@@ -100,13 +100,13 @@
         /// The shard's epoch.
         shard_epoch: Epoch,
         /// The life of the shard's primary.
-        life: Life,
+        boot_id: BootId,
         /// Rises with each report of that life.
         number: u64,
         /// The cost that waits there: it stands, whatever the ceiling.
         total: Tokens,
         /// The cost asked for besides: checked against the ceiling and added, in one.
-        asked: Tokens,
+        requested: Tokens,
         /// The ceiling by the spec in force at the relay that handed the batch in.
         ceiling: Tokens,
     },
@@ -120,5 +120,5 @@
         granted: bool,
     },
     /// I don't lead the counter, or can't yet.
-    NotHere,
+    NotPrimary,
 }
--- a/libraries/topazyard-wire/src/message/feed.rs
+++ b/libraries/topazyard-wire/src/message/feed.rs
@@ -1,34 +1,34 @@
 //! The numbered feed of control state.
 
-use topazyard_types::{Epoch, Place, ShardId};
+use topazyard_types::{Epoch, LogPosition, ShardId};
 
 /// What a follower and the control primary say.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum FeedMessage {
     /// What comes after this place?
-    Ask {
+    Request {
         /// Marks the return; freshness counts from when it was sent.
         nonce: u64,
         /// The place read so far.
-        after: Place,
+        after: LogPosition,
         /// The part of a snapshot that the asking node lacks next, while it fetches one.
-        part: Option<PartWanted>,
+        part: Option<PartRequest>,
         /// How old the last return is that the asking node got, if it got any.
-        heard: Option<topazyard_types::DurationMs>,
+        last_response_age: Option<topazyard_types::DurationMs>,
         /// How the asking node fares.
         health: Health,
     },
     /// All up to `place`, confirmed by the replica after the asking.
-    News {
+    Update {
         /// Of which asking.
         nonce: u64,
         /// The place reached.
-        place: Place,
+        position: LogPosition,
         /// The changes since, or everything.
-        matter: Matter,
+        content: UpdateContent,
     },
     /// Ask there.
-    Elsewhere {
+    Redirect {
         /// Of which asking.
         nonce: u64,
         /// The epoch the sender knows.
@@ -40,9 +40,9 @@
 
 /// The part of a snapshot that a follower lacks next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct PartWanted {
+pub struct PartRequest {
     /// The place of the snapshot.
-    pub place: Place,
+    pub position: LogPosition,
     /// The part, counted from 0.
     pub part: u32,
 }
@@ -60,11 +60,11 @@
 
 /// What a return of the feed brings.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Matter {
+pub enum UpdateContent {
     /// The changes since the place asked for.
     Changes(Vec<crate::RowChange>),
     /// Everything: the place asked for is too old or unknown.
-    View(Vec<(String, bytes::Bytes)>),
+    Snapshot(Vec<(String, bytes::Bytes)>),
     /// A part of everything, where that is too large for one return. It was confirmed when the
     /// snapshot was made, and says nothing of what was acknowledged since.
     Part(SnapshotPart),
--- a/libraries/topazyard-wire/src/message/membership.rs
+++ b/libraries/topazyard-wire/src/message/membership.rs
@@ -7,7 +7,7 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Duty {
+pub enum MemberRole {
     /// Keeps control state.
     Control,
     /// Keeps shards.
@@ -28,7 +28,7 @@
     /// Where it serves HTTP, if it does.
     pub http: Option<std::net::SocketAddr>,
     /// What it does.
-    pub duty: Duty,
+    pub role: MemberRole,
     /// Its failure zone.
     pub zone: ZoneName,
 }
@@ -38,7 +38,7 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum MemberStatus {
     /// It returns probes.
     Alive,
     /// Neither we nor those asked for a second opinion hear it.
@@ -49,13 +49,13 @@
 
 /// News of a member.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct News {
+pub struct MemberUpdate {
     /// Of whom.
     pub member: Member,
     /// Under which of the member's own incarnations.
     pub incarnation: Incarnation,
     /// How it stands.
-    pub standing: Standing,
+    pub status: MemberStatus,
 }
 
 /// What members say.
@@ -66,17 +66,17 @@
         /// Marks the return.
         nonce: u64,
         /// News on the way.
-        news: Vec<News>,
+        updates: Vec<MemberUpdate>,
     },
     /// I am.
-    ProbeReturn {
+    ProbeAck {
         /// Of which probe.
         nonce: u64,
         /// News on the way.
-        news: Vec<News>,
+        updates: Vec<MemberUpdate>,
     },
     /// Probe that member for me.
-    ProbeFor {
+    IndirectProbe {
         /// Marks the return.
         nonce: u64,
         /// Whom to probe.
@@ -85,11 +85,11 @@
     /// Tell me of everyone.
     Join {
         /// News of the one that joins.
-        news: News,
+        update: MemberUpdate,
     },
     /// Everyone I know.
-    Roster {
+    MemberList {
         /// News of each.
-        news: Vec<News>,
+        updates: Vec<MemberUpdate>,
     },
 }
--- a/libraries/topazyard-wire/src/message/mod.rs
+++ b/libraries/topazyard-wire/src/message/mod.rs
@@ -44,7 +44,7 @@
     /// The numbered feed of control state.
     Feed(feed::FeedMessage),
     /// A shard primary's wish for another record.
-    Wish(control::ShardWish),
+    ShardChangeRequest(control::ShardChangeRequest),
     /// An operator's call passed on.
     Operate(operate::OperateMessage),
     /// Holds on the budget.
@@ -52,7 +52,7 @@
     /// Batches.
     Batch(batch::BatchMessage),
     /// A shard's record, passed on to a holder that has not heard of it.
-    Told(topazyard_types::ShardId, control::ShardRecord),
+    ShardRecord(topazyard_types::ShardId, control::ShardRecord),
     /// Confirming a copy for a read while primaries are silent.
     Confirm(confirm::ConfirmMessage),
 }
@@ -79,7 +79,7 @@
     /// let frame = Frame {
     ///     version: FRAME_VERSION, fleet: FleetId(7), sender: NodeId(1),
     ///     address: "127.0.0.1:9000".parse().unwrap(),
-    ///     message: Message::Membership(MembershipMessage::Probe { nonce: 1, news: vec![] }),
+    ///     message: Message::Membership(MembershipMessage::Probe { nonce: 1, updates: vec![] }),
     /// };
     /// assert_eq!(Frame::decode(&frame.encode(), FleetId(7)), Ok(frame.clone()));
     /// assert!(Frame::decode(&frame.encode(), FleetId(8)).is_err());
--- a/libraries/topazyard-wire/src/message/operate.rs
+++ b/libraries/topazyard-wire/src/message/operate.rs
@@ -1,19 +1,19 @@
 //! What operators and the platform ask of control: commands and queries apart.
 
-use topazyard_types::{NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, NodeId};
 
 /// An operator's call passed on between control nodes.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum OperateMessage {
     /// Asked of the primary.
-    Ask {
+    Request {
         /// Marks the return.
         id: u64,
         /// What is asked.
         request: Operate,
     },
     /// Returned by it.
-    Answer {
+    Response {
         /// Of which asking.
         id: u64,
         /// What came of it.
@@ -52,38 +52,38 @@
     /// The change, as a [`topazyard_spec::Patch`] in JSON.
     pub patch: String,
     /// The largest source that the adapter takes, in bytes.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// What changes state.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub enum Command {
     /// Submit a bundle that builds on a version.
-    SubmitSpec {
+    SubmitConfiguration {
         /// The version it builds on; 0 for the first.
-        base: SpecVersion,
+        base: ConfigurationVersion,
         /// The bundle as JSON.
         text: String,
     },
     /// Sign a submitted version off.
     SignOff {
         /// Which.
-        version: SpecVersion,
+        version: ConfigurationVersion,
         /// Who signs.
         by: String,
     },
     /// Put a signed version in force.
     RollOut {
         /// Which.
-        version: SpecVersion,
+        version: ConfigurationVersion,
     },
     /// Check a bundle, take it and put it in force in one step, under a version that the operator
     /// gave. Said again with the same source it is acknowledged again.
-    TakeSpec {
+    ApplyConfiguration {
         /// The version in force that it builds on; 0 for the first.
-        base: SpecVersion,
+        base: ConfigurationVersion,
         /// Its own version, above the one in force.
-        version: SpecVersion,
+        version: ConfigurationVersion,
         /// The bundle as JSON.
         text: String,
         /// What an outer adapter made it from; it is read back byte for byte.
@@ -92,16 +92,16 @@
     /// Submit the bundle that a partial change makes of a version.
     SubmitPatch {
         /// The version it builds on.
-        base: SpecVersion,
+        base: ConfigurationVersion,
         /// The change, as a [`topazyard_spec::Patch`] in JSON.
         patch: String,
     },
-    /// Change the spec in force in part, under the terms of [`Command::TakeSpec`].
-    PatchSpec {
+    /// Change the spec in force in part, under the terms of [`Command::ApplyConfiguration`].
+    PatchConfiguration {
         /// The version in force that it builds on.
-        base: SpecVersion,
+        base: ConfigurationVersion,
         /// Its own version, above the one in force.
-        version: SpecVersion,
+        version: ConfigurationVersion,
         /// The change of the bundle, as a [`topazyard_spec::Patch`] in JSON.
         patch: String,
         /// The change of the source that is read back.
@@ -141,12 +141,12 @@
     /// ```
     /// use topazyard_wire::message::operate::Command;
     /// assert!(Command::RetireNamed("storage-1".into()).must_be_fresh());
-    /// assert!(!Command::SubmitSpec { base: Default::default(), text: "{}".into() }.must_be_fresh());
+    /// assert!(!Command::SubmitConfiguration { base: Default::default(), text: "{}".into() }.must_be_fresh());
     /// ```
     pub fn must_be_fresh(&self) -> bool {
         match self {
-            Self::SubmitSpec { .. } | Self::TakeSpec { .. } => false,
-            Self::SubmitPatch { .. } | Self::PatchSpec { .. } => false,
+            Self::SubmitConfiguration { .. } | Self::ApplyConfiguration { .. } => false,
+            Self::SubmitPatch { .. } | Self::PatchConfiguration { .. } => false,
             // This node's own duties: said again, or under an epoch.
             Self::ListEngines(_) | Self::SetWeight { .. } => false,
             Self::SignOff { .. }
@@ -167,7 +167,12 @@
     /// assert!(!Command::RetireNamed("storage-1".into()).is_configuration());
     /// ```
     pub fn is_configuration(&self) -> bool {
-        matches!(self, Self::TakeSpec { .. } | Self::PatchSpec { .. } | Self::RollOut { .. })
+        matches!(
+            self,
+            Self::ApplyConfiguration { .. }
+                | Self::PatchConfiguration { .. }
+                | Self::RollOut { .. }
+        )
     }
 }
 
@@ -175,11 +180,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Query {
     /// The spec in force, or a version.
-    ReadSpec(Option<SpecVersion>),
-    /// The source of the newest spec taken by [`Command::TakeSpec`].
+    ReadConfiguration(Option<ConfigurationVersion>),
+    /// The source of the newest spec taken by [`Command::ApplyConfiguration`].
     ReadSource,
     /// All versions and how they stand.
-    ListSpecs,
+    ListConfigurations,
     /// The engine list.
     ListEngines,
     /// Storage nodes and shards.
--- a/libraries/topazyard-wire/src/message/replica.rs
+++ b/libraries/topazyard-wire/src/message/replica.rs
@@ -15,11 +15,11 @@
 
 /// What a node is to the primary that it is compared with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Follows {
+pub enum FollowerRole {
     /// A backup that the record of the epoch names: what it confirms may be answered.
-    AsBackup,
+    Backup,
     /// A learner: nothing is answered on its word, and the epoch may not be decided yet.
-    AsLearner,
+    Learner,
 }
 
 /// Which part of something that is sent in several frames.
@@ -49,7 +49,9 @@
     pub fn is_for_backups(&self) -> bool {
         matches!(
             self,
-            Self::Append { .. } | Self::Synced { .. } | Self::Digests { of: Follows::AsBackup, .. }
+            Self::Append { .. }
+                | Self::Synced { .. }
+                | Self::Digests { of: FollowerRole::Backup, .. }
         )
     }
 }
@@ -72,7 +74,7 @@
         round: u64,
     },
     /// I can't follow: compare us.
-    OutOfStep,
+    OutOfSync,
     /// Compare with these digests, one a range.
     Digests {
         /// Marks the returns.
@@ -82,7 +84,7 @@
         /// A digest of each range.
         digests: Vec<Digest>,
         /// What the other node is to the sender in this epoch.
-        of: Follows,
+        of: FollowerRole,
     },
     /// These ranges differ.
     Differ {
@@ -94,7 +96,7 @@
     /// What a range holds, or a part of it.
     Range(RangePart),
     /// No range differs, and all is synced.
-    InStep {
+    InSync {
         /// Of which comparison.
         round: u64,
         /// The sequence held.
--- a/libraries/topazyard-wire/src/rows.rs
+++ b/libraries/topazyard-wire/src/rows.rs
@@ -25,9 +25,9 @@
     /// A row taken away.
     ///
     /// ```
-    /// assert_eq!(topazyard_wire::RowChange::gone("engine/e1").value, None);
+    /// assert_eq!(topazyard_wire::RowChange::delete("engine/e1").value, None);
     /// ```
-    pub fn gone(key: impl Into<String>) -> Self {
+    pub fn delete(key: impl Into<String>) -> Self {
         Self { key: key.into(), value: None }
     }
 }
--- a/libraries/topazyard-wire/src/state.rs
+++ b/libraries/topazyard-wire/src/state.rs
@@ -1,6 +1,6 @@
 //! The rows of the control state, and the view that followers decode from them.
 
-use topazyard_types::{EngineName, NodeId, PoolName, ShardId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, EngineName, NodeId, PoolName, ShardId};
 
 /// The row of the spec in force.
 pub const IN_FORCE: &str = "in-force";
@@ -17,7 +17,7 @@
 /// The share of what the engines hold that is let in: 80 to 85 % of the knee, as the source says.
 pub const KNEE_PERCENT: u64 = 85;
 /// Rows of submitted specs start so; the feed leaves them out.
-pub const SPECS: &str = "spec/";
+pub const CONFIGURATIONS: &str = "spec/";
 /// Rows that remember which orders were taken start so; the feed leaves them out.
 pub const ORDERS: &str = "order/";
 /// The row of the newest version among the orders that are no longer remembered; the feed leaves it
@@ -29,16 +29,16 @@
 /// The key of a submitted spec; keys rise with the versions.
 ///
 /// ```
-/// use topazyard_types::SpecVersion;
-/// use topazyard_wire::state::spec_key;
-/// assert!(spec_key(SpecVersion(9)) < spec_key(SpecVersion(10)));
+/// use topazyard_types::ConfigurationVersion;
+/// use topazyard_wire::state::configuration_key;
+/// assert!(configuration_key(ConfigurationVersion(9)) < configuration_key(ConfigurationVersion(10)));
 /// ```
-pub fn spec_key(version: SpecVersion) -> String {
-    format!("{SPECS}{:020}", version.0)
+pub fn configuration_key(version: ConfigurationVersion) -> String {
+    format!("{CONFIGURATIONS}{:020}", version.0)
 }
 
 /// The key of the row that remembers orders from a version on; keys rise with the versions.
-pub fn orders_key(first: SpecVersion) -> String {
+pub fn orders_key(first: ConfigurationVersion) -> String {
     format!("{ORDERS}{:020}", first.0)
 }
 
@@ -50,7 +50,7 @@
 /// assert!(!is_fed(ORDERS_FORGOTTEN) && !is_fed("spec/1") && !is_fed("order/1"));
 /// ```
 pub fn is_fed(key: &str) -> bool {
-    !(key.starts_with(SPECS) || key.starts_with(ORDERS) || key == ORDERS_FORGOTTEN)
+    !(key.starts_with(CONFIGURATIONS) || key.starts_with(ORDERS) || key == ORDERS_FORGOTTEN)
 }
 
 /// The key of an engine.
@@ -81,7 +81,7 @@
 /// How far a spec has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum SpecStage {
+pub enum ConfigurationStage {
     /// Handed in and checked.
     Submitted,
     /// Signed off.
@@ -92,13 +92,13 @@
 
 /// A submitted spec.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct SpecRow {
+pub struct ConfigurationRow {
     /// Its version.
-    pub version: SpecVersion,
+    pub version: ConfigurationVersion,
     /// The version it builds on.
-    pub base: SpecVersion,
+    pub base: ConfigurationVersion,
     /// How far it has come.
-    pub stage: SpecStage,
+    pub stage: ConfigurationStage,
     /// Who signed it off.
     pub signed_by: Option<String>,
     /// The bundle as it was handed in.
@@ -109,9 +109,9 @@
 
 /// An order that was taken: a digest tells it from another under the same version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct TakenOrder {
+pub struct AcceptedOrder {
     /// The version that it made.
-    pub version: SpecVersion,
+    pub version: ConfigurationVersion,
     /// The digest of what came.
     pub digest: topazyard_types::Digest,
 }
@@ -120,14 +120,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct OrdersRow {
     /// The orders.
-    pub orders: Vec<TakenOrder>,
+    pub orders: Vec<AcceptedOrder>,
 }
 
 /// The spec in force.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct InForceRow {
     /// Its version.
-    pub version: SpecVersion,
+    pub version: ConfigurationVersion,
     /// The bundle without its routes, which have rows of their own.
     pub text: String,
 }
@@ -164,9 +164,9 @@
 
 /// What a follower knows of the control state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FleetView {
+pub struct FleetSnapshot {
     /// The spec in force.
-    pub spec: Option<(SpecVersion, topazyard_spec::Bundle)>,
+    pub configuration: Option<(ConfigurationVersion, topazyard_spec::Configuration)>,
     /// The routes of the spec in force.
     pub routes: RouteTable,
     /// The platform's engines.
@@ -183,12 +183,12 @@
     key.strip_prefix(prefix)
 }
 
-impl FleetView {
+impl FleetSnapshot {
     /// Decodes a view from rows; rows of no known kind are passed over.
     ///
     /// ```
-    /// let view = topazyard_wire::state::FleetView::read(&Default::default());
-    /// assert!(view.spec.is_none());
+    /// let view = topazyard_wire::state::FleetSnapshot::read(&Default::default());
+    /// assert!(view.configuration.is_none());
     /// ```
     pub fn read(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
         let mut view = Self::default();
@@ -204,7 +204,8 @@
             let row: InForceRow = decode(value)?;
             // It was checked before it was taken; one that can't be read is not in force. Without
             // its routes it may lack what a whole bundle must have.
-            self.spec = serde_json::from_str(&row.text).ok().map(|bundle| (row.version, bundle));
+            self.configuration =
+                serde_json::from_str(&row.text).ok().map(|bundle| (row.version, bundle));
         } else if suffix(key, ROUTES).is_some() {
             self.routes.insert(decode(value)?);
         } else if let Some(name) = suffix(key, ENGINES) {
@@ -234,12 +235,12 @@
     /// where prompts are short.
     ///
     /// ```
-    /// # use topazyard_wire::state::FleetView;
-    /// let pool = topazyard_spec::Bundle::read(r#"{"pools":[{"name":"m",
+    /// # use topazyard_wire::state::FleetSnapshot;
+    /// let pool = topazyard_spec::Configuration::read(r#"{"pools":[{"name":"m",
     ///     "engine":{"slots":4,"kv_tokens":4000}}],"lanes":[{"name":"l","kind":"live",
     ///     "models":["m"],"pool":"m"}]}"#).unwrap().pools.remove(0);
-    /// assert_eq!(FleetView::charge(&pool, topazyard_types::Tokens(20)).0, 1_000);
-    /// assert_eq!(FleetView::charge(&pool, topazyard_types::Tokens(1_500)).0, 1_500);
+    /// assert_eq!(FleetSnapshot::charge(&pool, topazyard_types::Tokens(20)).0, 1_000);
+    /// assert_eq!(FleetSnapshot::charge(&pool, topazyard_types::Tokens(1_500)).0, 1_500);
     /// ```
     pub fn charge(
         pool: &topazyard_spec::Pool,
@@ -252,8 +253,8 @@
     /// The part of a pool's budget that batch items may hold.
     ///
     /// ```
-    /// use topazyard_wire::state::{FleetView, WeightRow};
-    /// let mut view = FleetView::default();
+    /// use topazyard_wire::state::{FleetSnapshot, WeightRow};
+    /// let mut view = FleetSnapshot::default();
     /// view.weights.insert("main".into(), WeightRow { live_percent: 70 });
     /// let part = view.item_part(&"main".into(), topazyard_types::Tokens(1_000));
     /// assert_eq!(part, topazyard_types::Tokens(300));
--- a/libraries/topazyard-wire/tests/frames.rs
+++ b/libraries/topazyard-wire/tests/frames.rs
@@ -12,7 +12,7 @@
         fleet: FLEET,
         sender: NodeId(5),
         address: std::net::SocketAddr::from(([127, 0, 0, 1], 9)),
-        message: Message::Membership(MembershipMessage::Probe { nonce: 3, news: Vec::new() }),
+        message: Message::Membership(MembershipMessage::Probe { nonce: 3, updates: Vec::new() }),
     }
 }
 
@@ -56,7 +56,7 @@
             let key = kinds[usize::from(*kind) % kinds.len()].to_owned();
             (key, bytes::Bytes::from(value.clone()))
         });
-        let view = topazyard_wire::state::FleetView::read(&rows.collect());
+        let view = topazyard_wire::state::FleetSnapshot::read(&rows.collect());
         assert!(view.shards.len() <= 1);
     });
 }
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP for operators and the platform.
 
-use topazyard_types::{NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
@@ -11,7 +11,7 @@
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmitBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     bundle: &'a serde_json::value::RawValue,
 }
@@ -19,7 +19,7 @@
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PatchBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     patch: &'a serde_json::value::RawValue,
 }
@@ -66,7 +66,7 @@
 /// use topazyard_control::http::parse_request;
 /// use topazyard_wire::message::operate::{Operate, Query};
 /// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(asked, Ok(Operate::Query(Query::ReadSpec(None))));
+/// assert_eq!(asked, Ok(Operate::Query(Query::ReadConfiguration(None))));
 /// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
@@ -80,7 +80,7 @@
         ("POST", ["specs"]) => {
             let submit: SubmitBody<'_> = read_json(body)?;
             let text = submit.bundle.get().to_owned();
-            command(Command::SubmitSpec { base: submit.base, text })
+            command(Command::SubmitConfiguration { base: submit.base, text })
         }
         ("PATCH", ["specs"]) => {
             let change: PatchBody<'_> = read_json(body)?;
@@ -97,9 +97,9 @@
         ("POST", ["specs", version, "roll-out"]) => {
             command(Command::RollOut { version: version_of(version)? })
         }
-        ("GET", ["specs"]) => query(Query::ListSpecs),
-        ("GET", ["specs", "in-force"]) => query(Query::ReadSpec(None)),
-        ("GET", ["specs", version]) => query(Query::ReadSpec(Some(version_of(version)?))),
+        ("GET", ["specs"]) => query(Query::ListConfigurations),
+        ("GET", ["specs", "in-force"]) => query(Query::ReadConfiguration(None)),
+        ("GET", ["specs", version]) => query(Query::ReadConfiguration(Some(version_of(version)?))),
         ("PUT", ["engines"]) => {
             let text = std::str::from_utf8(body)
                 .map_err(|_| ApiError::not_run(Code::Malformed).at("body"))?;
@@ -122,9 +122,9 @@
     })
 }
 
-fn version_of(text: &str) -> Result<SpecVersion, ApiError> {
+fn version_of(text: &str) -> Result<ConfigurationVersion, ApiError> {
     let malformed = |_| ApiError::not_run(Code::Malformed).at("version");
-    text.parse().map(SpecVersion).map_err(malformed)
+    text.parse().map(ConfigurationVersion).map_err(malformed)
 }
 
 fn node_of(text: &str) -> Result<NodeId, ApiError> {
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -2,13 +2,14 @@
 
 use super::ControlMachine;
 use super::orders::{OrderStatus, outcome_unknown};
-use topazyard_types::{Digest, MonotonicMs, NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, Digest, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::operate::{Command, SourcePatch};
 use topazyard_wire::state::{
-    ENGINES, FleetView, IN_FORCE, InForceRow, ROUTES, SPECS, SpecRow, SpecStage, StorageRow,
-    StorageStage, WeightRow, engine_key, route_key, spec_key, storage_key, weight_key,
+    CONFIGURATIONS, ConfigurationRow, ConfigurationStage, ENGINES, FleetSnapshot, IN_FORCE,
+    InForceRow, ROUTES, StorageRow, StorageStage, WeightRow, configuration_key, engine_key,
+    route_key, storage_key, weight_key,
 };
 
 /// The changes to commit, and the value to return once they are committed.
@@ -36,10 +37,10 @@
 }
 
 /// Applies a patch to the text of a configuration.
-fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
-    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::of_read)?;
-    let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
-    bundle.patched(&patch).map_err(ApiError::of_read)
+fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Configuration, ApiError> {
+    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::from_read_error)?;
+    let bundle = topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
+    bundle.patched(&patch).map_err(ApiError::from_read_error)
 }
 
 /// Applies a patch to the source text that operators read back.
@@ -50,12 +51,12 @@
     let invalid = || ApiError::not_run(Code::InvalidSpec).at("source");
     let before: serde_json::Value =
         before.and_then(|text| serde_json::from_slice(text).ok()).ok_or_else(invalid)?;
-    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::of_read)?;
+    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::from_read_error)?;
     let after = patch
         .apply(&before)
-        .map_err(|faults| ApiError::of_read(topazyard_spec::ReadError::Faults(faults)))?;
+        .map_err(|faults| ApiError::from_read_error(topazyard_spec::ReadError::Faults(faults)))?;
     let after = bytes::Bytes::from(after.to_string());
-    if after.len() as u64 > change.most_bytes {
+    if after.len() as u64 > change.max_bytes {
         return Err(ApiError::not_run(Code::BodyTooLarge).at("source"));
     }
     Ok(after)
@@ -64,14 +65,14 @@
 impl ControlMachine {
     pub(super) fn evaluate(&self, command: &Command, now: MonotonicMs) -> CommandResult {
         match command {
-            Command::SubmitSpec { base, text } => self.submit_spec(*base, text),
+            Command::SubmitConfiguration { base, text } => self.submit_spec(*base, text),
             Command::SignOff { version, by } => self.sign_off(*version, by),
             Command::RollOut { version } => self.roll_out(*version),
-            Command::TakeSpec { base, version, text, source } => {
+            Command::ApplyConfiguration { base, version, text, source } => {
                 self.take_spec(*base, *version, text, source)
             }
             Command::SubmitPatch { base, patch } => self.submit_patch(*base, patch),
-            Command::PatchSpec { base, version, patch, source } => {
+            Command::PatchConfiguration { base, version, patch, source } => {
                 self.patch_spec(*base, *version, patch, source)
             }
             Command::ListEngines(engines) => Ok(self.replace_engines(engines)),
@@ -86,25 +87,32 @@
         }
     }
 
-    pub(super) fn newest_version(&self) -> SpecVersion {
-        let newest = self.replica.copy().with_prefix(SPECS).last();
-        let row = newest.and_then(|(_, value)| topazyard_wire::rows::decode::<SpecRow>(value));
+    pub(super) fn newest_version(&self) -> ConfigurationVersion {
+        let newest = self.replica.copy().with_prefix(CONFIGURATIONS).last();
+        let row =
+            newest.and_then(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value));
         row.map(|row| row.version).unwrap_or_default()
     }
 
     /// Looks up a version. If its text was dropped, how far it got is unknown.
-    fn stored_configuration(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
+    fn stored_configuration(
+        &self,
+        version: ConfigurationVersion,
+    ) -> Result<ConfigurationRow, ApiError> {
         let missing = || match self.may_be_accepted(version) {
             true => outcome_unknown(),
             false => ApiError::not_run(Code::NotFound).at("version"),
         };
-        self.replica.copy().get(&spec_key(version)).ok_or_else(missing)
+        self.replica.copy().get(&configuration_key(version)).ok_or_else(missing)
     }
 
     /// Checks that an order is based on the newest version. An older base is refused for good,
     /// since versions only increase. A newer base may still be committed, or this node lags behind:
     /// an order on it could be accepted later.
-    fn check_base(base: SpecVersion, newest: SpecVersion) -> Result<(), ApiError> {
+    fn check_base(
+        base: ConfigurationVersion,
+        newest: ConfigurationVersion,
+    ) -> Result<(), ApiError> {
         match base.cmp(&newest) {
             std::cmp::Ordering::Equal => Ok(()),
             std::cmp::Ordering::Less => Err(ApiError::not_run(Code::StaleBase).at("base")),
@@ -112,8 +120,8 @@
         }
     }
 
-    fn submit_spec(&self, base: SpecVersion, text: &str) -> CommandResult {
-        let version = SpecVersion(base.0.saturating_add(1));
+    fn submit_spec(&self, base: ConfigurationVersion, text: &str) -> CommandResult {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
         match self.order_status(version, digest) {
@@ -121,15 +129,15 @@
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
-        topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.newest_version())?;
         Ok((self.submission_changes(base, text, digest), done))
     }
 
     /// Applies a patch to the newest version and submits the resulting configuration as its
     /// successor.
-    fn submit_patch(&self, base: SpecVersion, patch: &str) -> CommandResult {
-        let version = SpecVersion(base.0.saturating_add(1));
+    fn submit_patch(&self, base: ConfigurationVersion, patch: &str) -> CommandResult {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submitted_patch(patch);
         match self.order_status(version, digest) {
@@ -144,17 +152,22 @@
     }
 
     /// The changes that submit a configuration as the successor of its base.
-    fn submission_changes(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
-        let version = SpecVersion(base.0.saturating_add(1));
-        let row = SpecRow {
+    fn submission_changes(
+        &self,
+        base: ConfigurationVersion,
+        text: &str,
+        digest: Digest,
+    ) -> Vec<RowChange> {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::Submitted,
+            stage: ConfigurationStage::Submitted,
             signed_by: None,
             text: text.to_owned(),
             source: None,
         };
-        let change = RowChange::put(spec_key(version), &row);
+        let change = RowChange::put(configuration_key(version), &row);
         let mut changes = self.drop_old_texts(&change, self.version_in_force());
         changes.push(change);
         changes.extend(self.remember_order(version, digest));
@@ -165,8 +178,8 @@
     /// its version before is acknowledged again, even after newer ones.
     fn take_spec(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         text: &str,
         source: &bytes::Bytes,
     ) -> CommandResult {
@@ -177,13 +190,14 @@
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
-        let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        let bundle =
+            topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.version_in_force())?;
         self.check_version_increases(version)?;
-        let row = SpecRow {
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
             text: text.to_owned(),
             source: Some(source.clone()),
@@ -195,8 +209,8 @@
     /// activates the result in one step.
     fn patch_spec(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         patch: &str,
         source: &SourcePatch,
     ) -> CommandResult {
@@ -212,10 +226,10 @@
         let bundle = apply_patch(&before.text, patch)?;
         let source = apply_source_patch(before.source.as_deref(), source)?;
         self.check_version_increases(version)?;
-        let row = SpecRow {
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
             text: serde_json::to_string(&bundle).unwrap_or_default(),
             source: Some(source),
@@ -224,15 +238,15 @@
     }
 
     /// The version that a patch is based on.
-    fn patch_base(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
+    fn patch_base(&self, base: ConfigurationVersion) -> Result<ConfigurationRow, ApiError> {
         match base {
-            SpecVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
+            ConfigurationVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
             _ => self.stored_configuration(base),
         }
     }
 
     /// Checks that an order's own version is greater than all versions before it.
-    fn check_version_increases(&self, version: SpecVersion) -> Result<(), ApiError> {
+    fn check_version_increases(&self, version: ConfigurationVersion) -> Result<(), ApiError> {
         if version > self.version_in_force() && version > self.newest_version() {
             return Ok(());
         }
@@ -248,11 +262,11 @@
     /// The changes that accept a version and activate it in one step.
     fn acceptance_changes(
         &self,
-        row: &SpecRow,
-        bundle: topazyard_spec::Bundle,
+        row: &ConfigurationRow,
+        bundle: topazyard_spec::Configuration,
         digest: Digest,
     ) -> Vec<RowChange> {
-        let change = RowChange::put(spec_key(row.version), row);
+        let change = RowChange::put(configuration_key(row.version), row);
         let mut changes = self.drop_old_texts(&change, row.version);
         changes.push(change);
         changes.extend(self.remember_order(row.version, digest));
@@ -264,8 +278,8 @@
     /// followers receive only the routes that changed.
     fn activation_changes(
         &self,
-        version: SpecVersion,
-        mut bundle: topazyard_spec::Bundle,
+        version: ConfigurationVersion,
+        mut bundle: topazyard_spec::Configuration,
     ) -> Vec<RowChange> {
         let routes = std::mem::take(&mut bundle.routes);
         let text = serde_json::to_string(&bundle).unwrap_or_default();
@@ -279,43 +293,49 @@
                 changes.push(change);
             }
         }
-        changes.extend(removed.into_iter().map(RowChange::gone));
+        changes.extend(removed.into_iter().map(RowChange::delete));
         changes
     }
 
-    fn sign_off(&self, version: SpecVersion, by: &str) -> CommandResult {
+    fn sign_off(&self, version: ConfigurationVersion, by: &str) -> CommandResult {
         let row = self.stored_configuration(version)?;
         let done = serde_json::json!({ "version": version, "signed_by": by });
         match row.stage {
-            SpecStage::Submitted => {
-                let signed =
-                    SpecRow { stage: SpecStage::Signed, signed_by: Some(by.to_owned()), ..row };
-                Ok((vec![RowChange::put(spec_key(version), &signed)], done))
+            ConfigurationStage::Submitted => {
+                let signed = ConfigurationRow {
+                    stage: ConfigurationStage::Signed,
+                    signed_by: Some(by.to_owned()),
+                    ..row
+                };
+                Ok((vec![RowChange::put(configuration_key(version), &signed)], done))
             }
             // Repeated by the same person, as after a lost response.
-            SpecStage::Signed | SpecStage::RolledOut if row.signed_by.as_deref() == Some(by) => {
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut
+                if row.signed_by.as_deref() == Some(by) =>
+            {
                 Ok((Vec::new(), done))
             }
-            SpecStage::Signed | SpecStage::RolledOut => {
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut => {
                 Err(ApiError::not_run(Code::WrongState).at("version"))
             }
         }
     }
 
-    fn roll_out(&self, version: SpecVersion) -> CommandResult {
+    fn roll_out(&self, version: ConfigurationVersion) -> CommandResult {
         let row = self.stored_configuration(version)?;
         let in_force_version = self.version_in_force();
         match row.stage {
             // Repeated, as after a lost response, possibly after a newer version was activated.
-            SpecStage::RolledOut => {
+            ConfigurationStage::RolledOut => {
                 let is_in_force = version == in_force_version;
                 let done = serde_json::json!({ "version": version, "in_force": is_in_force });
                 Ok((Vec::new(), done))
             }
-            SpecStage::Signed if version > in_force_version => {
-                let bundle = topazyard_spec::Bundle::read(&row.text).map_err(ApiError::of_read)?;
-                let rolled = SpecRow { stage: SpecStage::RolledOut, ..row };
-                let change = RowChange::put(spec_key(version), &rolled);
+            ConfigurationStage::Signed if version > in_force_version => {
+                let bundle = topazyard_spec::Configuration::read(&row.text)
+                    .map_err(ApiError::from_read_error)?;
+                let rolled = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
+                let change = RowChange::put(configuration_key(version), &rolled);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
                 changes.extend(self.activation_changes(version, bundle));
@@ -329,7 +349,7 @@
     }
 
     fn put_engines(&self, text: &str) -> CommandResult {
-        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::of_read)?;
+        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::from_read_error)?;
         Ok(self.replace_engines(&list.engines))
     }
 
@@ -339,7 +359,7 @@
             engines.iter().map(|engine| engine_key(&engine.name)).collect();
         for (key, _) in self.replica.copy().with_prefix(ENGINES) {
             if !kept_keys.contains(key) {
-                changes.push(RowChange::gone(key));
+                changes.push(RowChange::delete(key));
             }
         }
         for engine in engines {
@@ -364,7 +384,7 @@
 
     fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> CommandResult {
         let row = self.storage(id)?;
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
         if !crate::planner::has_capacity_without(&fleet, &status, id, self.backups() + 1) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
@@ -376,7 +396,7 @@
 
     /// Starts emptying the storage node of that name; it is then retired automatically.
     fn retire_named(&self, name: &str, now: MonotonicMs) -> CommandResult {
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let missing = || ApiError::not_run(Code::NotFound).at("node");
         let id = self.storage_by_name(&fleet, name, now).ok_or_else(missing)?;
         let row = self.storage(id)?;
@@ -399,7 +419,7 @@
     /// heard from last.
     pub(super) fn storage_by_name(
         &self,
-        fleet: &FleetView,
+        fleet: &FleetSnapshot,
         name: &str,
         now: MonotonicMs,
     ) -> Option<NodeId> {
@@ -426,7 +446,7 @@
 
     fn retire_storage(&self, id: NodeId) -> CommandResult {
         let row = self.storage(id)?;
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         if crate::planner::hosted_copies(&fleet, id) > 0 {
             return Err(ApiError::not_run(Code::HoldsCopies).at("node"));
         }
@@ -446,8 +466,8 @@
             return Err(ApiError::not_run(Code::StaleBase).at("epoch"));
         }
         let in_force: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
-        let bundle =
-            in_force.and_then(|row| serde_json::from_str::<topazyard_spec::Bundle>(&row.text).ok());
+        let bundle = in_force
+            .and_then(|row| serde_json::from_str::<topazyard_spec::Configuration>(&row.text).ok());
         let missing = || ApiError::not_run(Code::NotFound).at("pool");
         let bundle = bundle.filter(|bundle| bundle.pool(pool).is_some()).ok_or_else(missing)?;
         let bounds = &bundle.weights;
--- a/programs/topazyard-control/src/machine/configurations.rs
+++ b/programs/topazyard-control/src/machine/configurations.rs
@@ -1,6 +1,6 @@
 //! Outcomes of this node's orders that activate a configuration.
 
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::invariants::{self, Invariant};
 use topazyard_wire::message::operate::OperateOutcome;
 
@@ -11,7 +11,7 @@
     pub acknowledged: u64,
     /// Orders that were refused.
     pub refused: u64,
-    newest: SpecVersion,
+    newest: ConfigurationVersion,
 }
 
 /// Prints only its name: it does not affect what the node does next, and the model checker
@@ -24,7 +24,7 @@
 
 impl Configurations {
     /// Counts the outcome of an order that is answered while the version `in_force` is in force.
-    pub fn record_outcome(&mut self, outcome: &OperateOutcome, in_force: SpecVersion) {
+    pub fn record_outcome(&mut self, outcome: &OperateOutcome, in_force: ConfigurationVersion) {
         match outcome {
             OperateOutcome::Done(_) => {
                 self.acknowledged += 1;
@@ -35,7 +35,7 @@
     }
 
     /// Checks that the version in force is not older than one that was acknowledged before.
-    pub fn check(&mut self, in_force: SpecVersion) {
+    pub fn check(&mut self, in_force: ConfigurationVersion) {
         let newest = self.newest;
         invariants::check(in_force >= newest, Invariant::AcknowledgedConfigurationStays, || {
             format!("acknowledged={newest} in_force={in_force}")
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -41,7 +41,7 @@
     /// Whether this node is a primary or backup that has reason to request the next epoch.
     fn needs_epoch_change(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let Some(turn) = record.turn(self.me.id) else { return false };
+        let Some(turn) = record.rank(self.me.id) else { return false };
         let is_primary = turn == 0;
         let timeout = DurationMs(
             self.timeouts.primary.0 + self.timeouts.per_rank.0 * turn.saturating_sub(1) as u64,
@@ -297,7 +297,7 @@
         effects: &mut Effects,
     ) {
         let Some(record) = self.witness.record() else { return };
-        let Some(turn) = record.turn(sender) else { return };
+        let Some(turn) = record.rank(sender) else { return };
         let requests_epoch = message.epoch == record.epoch.next()
             && matches!(message.body, ReplicaBody::Digests { .. });
         if !requests_epoch || sender == self.me.id || self.disk.is_full() {
@@ -306,7 +306,7 @@
         if let Some(change) = &self.epoch_change {
             // Two members request the epoch: the one of higher rank number yields unless it has
             // already proposed its record to the witnesses.
-            let is_ahead = record.turn(self.me.id).is_none_or(|own| turn < own);
+            let is_ahead = record.rank(self.me.id).is_none_or(|own| turn < own);
             if change.proposal.is_some() || !is_ahead {
                 return;
             }
@@ -338,7 +338,7 @@
             && primary_heard.is_some_and(|at| now.since(at) < self.timeouts.learner)
             && self.peers.receives_from_us(source);
         let is_earlier =
-            record.turn(requester) < record.turn(source) && self.peers.receives_from_us(requester);
+            record.rank(requester) < record.rank(source) && self.peers.receives_from_us(requester);
         is_filling && !is_earlier
     }
 }
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -7,9 +7,9 @@
 use super::{ControlMachine, Effects, Waiting};
 use topazyard_replication::Snapshot;
 use topazyard_replication::snapshot::{PART_BYTES, Row};
-use topazyard_types::{DurationMs, MonotonicMs, NodeId, Place};
+use topazyard_types::{DurationMs, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Matter, PartWanted};
+use topazyard_wire::message::feed::{FeedMessage, PartRequest, UpdateContent};
 use topazyard_wire::state::is_fed;
 use topazyard_wire::{Effect, RowChange};
 
@@ -41,11 +41,13 @@
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
-        let FeedMessage::Ask { nonce, after, part, heard, health } = message else { return };
+        let FeedMessage::Request { nonce, after, part, last_response_age, health } = message else {
+            return;
+        };
         if self.replica.is_serving() {
             // A node that sends but receives nothing counts as silent, since it can't perform any
             // role.
-            if heard.is_some_and(|age| age < RESPONSE_TIMEOUT) {
+            if last_response_age.is_some_and(|age| age < RESPONSE_TIMEOUT) {
                 self.reports.receive(sender, health, now);
             }
             self.submit(Vec::new(), Waiting::Follower { to: from, nonce, after, part });
@@ -53,7 +55,7 @@
         }
         let record = self.witness.record();
         let primary = record.map(|r| r.primary).filter(|primary| primary.id != self.me.id);
-        let message = FeedMessage::Elsewhere {
+        let message = FeedMessage::Redirect {
             nonce,
             epoch: record.map(|record| record.epoch).unwrap_or_default(),
             primary: primary.map(|primary| primary.address),
@@ -65,56 +67,65 @@
         &mut self,
         to: std::net::SocketAddr,
         nonce: u64,
-        after: Place,
-        part: Option<PartWanted>,
+        after: LogPosition,
+        part: Option<PartRequest>,
         effects: &mut Effects,
     ) {
-        let (place, matter) = self.update_after(after, part);
-        let message = FeedMessage::News { nonce, place, matter };
+        let (position, content) = self.update_after(after, part);
+        let message = FeedMessage::Update { nonce, position, content };
         effects.push(Effect::Send { to, message: Message::Feed(message) });
     }
 
     /// The update for a follower, and the position that the follower reaches by it.
-    fn update_after(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
-        if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
-            return (place, matter);
+    fn update_after(
+        &mut self,
+        after: LogPosition,
+        part: Option<PartRequest>,
+    ) -> (LogPosition, UpdateContent) {
+        if let Some((position, content)) = part.and_then(|part| self.next_part(after, part)) {
+            return (position, content);
         }
-        let place = self.replica.copy().position();
+        let position = self.replica.copy().position();
         if let Some(changes) = self.bounded_changes_after(after) {
-            return (place, Matter::Changes(changes));
+            return (position, UpdateContent::Changes(changes));
         }
         let rows = self.feed_rows();
         if size_of_rows(&rows) <= PART_BYTES {
-            return (place, Matter::View(rows));
+            return (position, UpdateContent::Snapshot(rows));
         }
-        let first =
-            |snapshot: &Snapshot| Some((snapshot.position(), Matter::Part(snapshot.part(0)?)));
+        let first = |snapshot: &Snapshot| {
+            Some((snapshot.position(), UpdateContent::Part(snapshot.part(0)?)))
+        };
         let found = self.usable_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
-            let snapshot = Snapshot::of(place, &rows);
+            let snapshot = Snapshot::of(position, &rows);
             let response = first(&snapshot);
             self.keep_snapshot(snapshot);
-            response.unwrap_or((place, Matter::View(rows)))
+            response.unwrap_or((position, UpdateContent::Snapshot(rows)))
         })
     }
 
     /// The next part that a follower lacks of a snapshot that is still kept.
-    fn next_part(&self, after: Place, request: PartWanted) -> Option<(Place, Matter)> {
-        let is_requested = |snapshot: &&Snapshot| snapshot.position() == request.place;
+    fn next_part(
+        &self,
+        after: LogPosition,
+        request: PartRequest,
+    ) -> Option<(LogPosition, UpdateContent)> {
+        let is_requested = |snapshot: &&Snapshot| snapshot.position() == request.position;
         let snapshot = self.snapshots.iter().find(is_requested)?;
         let part = snapshot.part(request.part)?;
-        (request.place > after).then_some((request.place, Matter::Part(part)))
+        (request.position > after).then_some((request.position, UpdateContent::Part(part)))
     }
 
     /// The changes after a position, if all of them are remembered and fit in one response.
-    fn bounded_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
+    fn bounded_changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
         changes.retain(|change| is_fed(&change.key));
         (size_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
     /// The newest snapshot, if it advances the follower and the changes since fit in one response.
-    fn usable_snapshot(&self, after: Place) -> Option<&Snapshot> {
+    fn usable_snapshot(&self, after: LogPosition) -> Option<&Snapshot> {
         let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
         self.bounded_changes_after(newest.position()).map(|_| newest)
     }
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -5,10 +5,10 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::control::{ShardRecord, ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest, ShardRecord};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::membership::{Member, Standing};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::membership::{Member, MemberStatus};
+use topazyard_wire::state::FleetSnapshot;
 
 /// How long a node may be silent before it is suspected and probed out of order.
 const SUSPECT_TIMEOUT: DurationMs = DurationMs(500);
@@ -52,7 +52,7 @@
     /// The status of the storage nodes, as input of the planner.
     pub(super) fn storage_status(
         &self,
-        fleet: &FleetView,
+        fleet: &FleetSnapshot,
         serving_since: MonotonicMs,
         now: MonotonicMs,
     ) -> StorageStatus {
@@ -75,7 +75,7 @@
             // primary than the others, which were never down.
             let isolated_at = self.last_isolated.unwrap_or(serving_since);
             let silence = now.since(last_heard.max(serving_since).max(isolated_at));
-            let suspected = self.membership.status(*id) != Some(Standing::Alive);
+            let suspected = self.membership.status(*id) != Some(MemberStatus::Alive);
             let is_down = silence >= self.timeouts.silent_down
                 || (silence >= self.timeouts.suspected_down && suspected);
             if is_down || self.is_replaced(fleet, *id) {
@@ -94,7 +94,7 @@
 
     /// Whether another node reported later from a storage node's address: the disk is gone, and the
     /// id with it.
-    fn is_replaced(&self, fleet: &FleetView, id: NodeId) -> bool {
+    fn is_replaced(&self, fleet: &FleetSnapshot, id: NodeId) -> bool {
         let Some(row) = fleet.storage.get(&id) else { return false };
         let last_heard = self.reports.by_node.get(&id).map(|report| report.received_at);
         self.reports.by_node.iter().any(|(other, report)| match &report.health {
@@ -119,7 +119,7 @@
     }
 
     /// Keeps the newest change request of a shard primary until no other change is pending.
-    pub(super) fn receive_change_request(&mut self, sender: NodeId, wish: ShardWish) {
+    pub(super) fn receive_change_request(&mut self, sender: NodeId, wish: ShardChangeRequest) {
         let is_shard = topazyard_types::ShardId::all().any(|shard| shard == wish.shard);
         if self.replica.is_serving() && is_shard {
             self.change_requests.insert(wish.shard, (sender, wish));
@@ -136,7 +136,7 @@
         if !self.replica.is_serving() {
             return;
         }
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
         let mut changes = Vec::new();
         for (shard, (sender, wish)) in requests {
@@ -145,7 +145,7 @@
             let is_current =
                 |record: &&ShardRecord| record.epoch == wish.epoch && record.primary.id == sender;
             let Some(record) = record.filter(is_current) else { continue };
-            if let Some(next) = changed_record(&fleet, &status, record, &wish.wish) {
+            if let Some(next) = changed_record(&fleet, &status, record, &wish.change) {
                 let key = topazyard_wire::state::shard_key(shard);
                 changes.push(RowChange::put(key, &next));
             }
@@ -166,14 +166,16 @@
 
 /// The shard record that results from a requested change.
 fn changed_record(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
-    wish: &Wish,
+    wish: &ShardChange,
 ) -> Option<ShardRecord> {
     match wish {
-        Wish::DropBackups(silent) => crate::planner::replace_backups(fleet, status, record, silent),
-        Wish::PromoteLearners => crate::planner::promote_learners(fleet, status, record),
-        Wish::HandOver => crate::planner::hand_over_primary(fleet, status, record),
+        ShardChange::DropBackups(silent) => {
+            crate::planner::replace_backups(fleet, status, record, silent)
+        }
+        ShardChange::PromoteLearners => crate::planner::promote_learners(fleet, status, record),
+        ShardChange::HandOver => crate::planner::hand_over_primary(fleet, status, record),
     }
 }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -23,8 +23,8 @@
 use topazyard_types::{MonotonicMs, NodeId, ShardId};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::invariants::Invariant;
-use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardWish};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardChangeRequest};
+use topazyard_wire::message::membership::MemberRole;
 use topazyard_wire::message::operate::{Operate, OperateOutcome};
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlMachine {
     pub(crate) me: CoreNode,
-    pub(crate) boot_id: topazyard_types::Life,
+    pub(crate) boot_id: topazyard_types::BootId,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
     pub(crate) bounds: topazyard_spec::Bounds,
     pub(crate) timeouts: timeouts::Timeouts,
@@ -105,7 +105,7 @@
     pub(crate) reports: health::NodeReports,
     quorum_reads: quorum_reads::QuorumReads,
     /// The latest change request for each shard and the node that sent it, until it can be handled.
-    change_requests: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
+    change_requests: std::collections::BTreeMap<ShardId, (NodeId, ShardChangeRequest)>,
     tuning: tuning::Tuning,
     engine_list: engine_list::EngineListReader,
     /// The proposal of a new fleet's first epoch record, while this node is proposing it.
@@ -137,8 +137,8 @@
     Follower {
         to: std::net::SocketAddr,
         nonce: u64,
-        after: topazyard_types::Place,
-        part: Option<topazyard_wire::message::feed::PartWanted>,
+        after: topazyard_types::LogPosition,
+        part: Option<topazyard_wire::message::feed::PartRequest>,
     },
     /// A command, with the outcome to return once it is committed.
     Command {
@@ -159,12 +159,12 @@
         let me = CoreNode { id: start.member.id, address: start.member.address };
         // A disk that already holds rows of a fleet must not bootstrap a new one.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
-        let is_new = start.may_found && !held(Group::Control) && !held(Group::Witness);
+        let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
         let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
         let remembered = start.remembered();
         let ask = start.known_control();
-        let boot_id = topazyard_types::Life(start.chance);
+        let boot_id = topazyard_types::BootId(start.chance);
         let mut machine = Self {
             me,
             boot_id,
@@ -422,7 +422,7 @@
         if !self.disk.takes_more() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
+        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
             self.write_own_rows(Group::Node, vec![row], Vec::new(), effects);
         }
     }
@@ -458,7 +458,7 @@
         if self.replica.has_changes_pending() {
             return;
         }
-        let fleet = topazyard_wire::state::FleetView::read(self.replica.copy().rows());
+        let fleet = topazyard_wire::state::FleetSnapshot::read(self.replica.copy().rows());
         let status = self.storage_status(&fleet, serving_since, now);
         let is_responsive =
             |id: &NodeId| status.reachable.contains_key(id) && !status.suspected.contains(id);
@@ -532,14 +532,14 @@
                 Message::Feed(message) => {
                     self.receive_feed(sender, from, message, now, &mut effects)
                 }
-                Message::Wish(wish) => self.receive_change_request(sender, wish),
+                Message::ShardChangeRequest(wish) => self.receive_change_request(sender, wish),
                 Message::Operate(message) => {
                     self.receive_operate(sender, from, message, now, &mut effects);
                 }
                 Message::Confirm(message) => {
                     self.receive_confirm(sender, from, message, now, &mut effects);
                 }
-                Message::Counter(_) | Message::Batch(_) | Message::Told(..) => {}
+                Message::Counter(_) | Message::Batch(_) | Message::ShardRecord(..) => {}
             },
         }
         self.apply_change_requests(now);
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -85,9 +85,9 @@
     error: &ApiError,
 ) -> Option<Effect<OperateOutcome, super::ControlTask>> {
     let order = match command {
-        Command::TakeSpec { base, version, .. } => format!("spec {version} on {base}"),
-        Command::PatchSpec { base, version, .. } => format!("patch {version} on {base}"),
-        Command::SubmitSpec { base, .. } | Command::SubmitPatch { base, .. } => {
+        Command::ApplyConfiguration { base, version, .. } => format!("spec {version} on {base}"),
+        Command::PatchConfiguration { base, version, .. } => format!("patch {version} on {base}"),
+        Command::SubmitConfiguration { base, .. } | Command::SubmitPatch { base, .. } => {
             format!("submission on {base}")
         }
         Command::RetireNamed(name) => format!("retirement of {name}"),
@@ -107,7 +107,7 @@
 }
 
 impl OperationQueue {
-    pub(super) fn new(boot_id: topazyard_types::Life) -> Self {
+    pub(super) fn new(boot_id: topazyard_types::BootId) -> Self {
         Self {
             commands: std::collections::VecDeque::new(),
             unconfirmed: std::collections::BTreeMap::new(),
@@ -164,7 +164,7 @@
                     confirmed: None,
                 };
                 self.operations.forwarded.insert(id, call);
-                let message = Message::Operate(OperateMessage::Ask { id, request });
+                let message = Message::Operate(OperateMessage::Request { id, request });
                 effects.push(Effect::Send { to: primary.address, message });
             }
             _ => self.refuse(origin, Code::NoPrimary, now, effects),
@@ -211,10 +211,10 @@
         effects: &mut Effects,
     ) {
         match message {
-            OperateMessage::Ask { id, request } => {
+            OperateMessage::Request { id, request } => {
                 self.handle_operate(Origin::Forwarded(sender, from, id), request, now, effects);
             }
-            OperateMessage::Answer { id, outcome } => {
+            OperateMessage::Response { id, outcome } => {
                 let call = self.operations.forwarded.get(&id);
                 if call.is_none_or(|call| call.to != sender) {
                     return;
@@ -294,7 +294,7 @@
             Origin::Local(call) => Effect::Return { call, value: outcome },
             Origin::Forwarded(_, to, id) => Effect::Send {
                 to,
-                message: Message::Operate(OperateMessage::Answer { id, outcome }),
+                message: Message::Operate(OperateMessage::Response { id, outcome }),
             },
         });
     }
--- a/programs/topazyard-control/src/machine/orders.rs
+++ b/programs/topazyard-control/src/machine/orders.rs
@@ -6,12 +6,12 @@
 //! acknowledged nor refused.
 
 use super::ControlMachine;
-use topazyard_types::{Digest, SpecVersion};
+use topazyard_types::{ConfigurationVersion, Digest};
 use topazyard_wire::RowChange;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::state::{
-    IN_FORCE, InForceRow, ORDERS, ORDERS_FORGOTTEN, ORDERS_IN_ROW, OrdersRow, SPECS, TakenOrder,
-    orders_key, spec_key,
+    AcceptedOrder, CONFIGURATIONS, IN_FORCE, InForceRow, ORDERS, ORDERS_FORGOTTEN, ORDERS_IN_ROW,
+    OrdersRow, configuration_key, orders_key,
 };
 
 /// How many full texts are kept. Older ones can't be read or signed.
@@ -68,7 +68,11 @@
 
 impl ControlMachine {
     /// What is known about an order that would create, or has created, a version.
-    pub(super) fn order_status(&self, version: SpecVersion, digest: Digest) -> OrderStatus {
+    pub(super) fn order_status(
+        &self,
+        version: ConfigurationVersion,
+        digest: Digest,
+    ) -> OrderStatus {
         match self.remembered_digest(version) {
             Some(accepted) if accepted == digest => OrderStatus::Accepted,
             Some(_) => OrderStatus::NotAccepted,
@@ -78,11 +82,11 @@
     }
 
     /// Whether an order may have created that version, as far as is known.
-    pub(super) fn may_be_accepted(&self, version: SpecVersion) -> bool {
+    pub(super) fn may_be_accepted(&self, version: ConfigurationVersion) -> bool {
         version <= self.forgotten_up_to() || self.remembered_digest(version).is_some()
     }
 
-    fn remembered_digest(&self, version: SpecVersion) -> Option<Digest> {
+    fn remembered_digest(&self, version: ConfigurationVersion) -> Option<Digest> {
         let rows = self.replica.copy().rows();
         let mut up_to = rows.range(ORDERS.to_owned()..=orders_key(version));
         let row: OrdersRow = topazyard_wire::rows::decode(up_to.next_back()?.1)?;
@@ -90,7 +94,7 @@
         order.map(|order| order.digest)
     }
 
-    fn forgotten_up_to(&self) -> SpecVersion {
+    fn forgotten_up_to(&self) -> ConfigurationVersion {
         let copy = self.replica.copy();
         if copy.with_prefix(ORDERS).next().is_none() {
             // Everything accepted so far was accepted by a release that kept no digests.
@@ -100,7 +104,11 @@
     }
 
     /// The changes that remember an order accepted now under the newest version.
-    pub(super) fn remember_order(&self, version: SpecVersion, digest: Digest) -> Vec<RowChange> {
+    pub(super) fn remember_order(
+        &self,
+        version: ConfigurationVersion,
+        digest: Digest,
+    ) -> Vec<RowChange> {
         let last = self.replica.copy().with_prefix(ORDERS).last();
         let is_first = last.is_none();
         let last = last.and_then(|(key, value)| {
@@ -108,7 +116,7 @@
             (row.orders.len() < ORDERS_IN_ROW).then(|| (key.to_owned(), row))
         });
         let (key, mut row) = last.unwrap_or_else(|| (orders_key(version), OrdersRow::default()));
-        row.orders.push(TakenOrder { version, digest });
+        row.orders.push(AcceptedOrder { version, digest });
         let change = RowChange::put(key, &row);
         let mut changes = self.forget_oldest(&change);
         changes.push(change);
@@ -134,7 +142,7 @@
                 break;
             }
             bytes -= row_bytes(key, value);
-            changes.push(RowChange::gone(key));
+            changes.push(RowChange::delete(key));
             let row = topazyard_wire::rows::decode::<OrdersRow>(value).unwrap_or_default();
             forgotten = row.orders.last().map(|order| order.version).or(forgotten);
         }
@@ -147,12 +155,12 @@
     pub(super) fn drop_old_texts(
         &self,
         written: &RowChange,
-        in_force: SpecVersion,
+        in_force: ConfigurationVersion,
     ) -> Vec<RowChange> {
         let value = written.value.as_deref().unwrap_or_default();
-        let kept = [written.key.clone(), spec_key(in_force)];
+        let kept = [written.key.clone(), configuration_key(in_force)];
         let others = || {
-            let rows = self.replica.copy().with_prefix(SPECS);
+            let rows = self.replica.copy().with_prefix(CONFIGURATIONS);
             rows.filter(|(key, _)| *key != written.key)
         };
         let mut count = 1 + others().count();
@@ -171,13 +179,13 @@
             }
             count -= 1;
             bytes -= row_bytes(key, value);
-            changes.push(RowChange::gone(key));
+            changes.push(RowChange::delete(key));
         }
         changes
     }
 
     /// The version in force, or 0 before the first.
-    pub(super) fn version_in_force(&self) -> SpecVersion {
+    pub(super) fn version_in_force(&self) -> ConfigurationVersion {
         let row: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
         row.map(|row| row.version).unwrap_or_default()
     }
