--- a/programs/topazyard-control/src/machine/peers.rs
+++ b/programs/topazyard-control/src/machine/peers.rs
@@ -4,7 +4,7 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 use topazyard_wire::{Effect, Group};
 
 const HEARTBEAT_INTERVAL: DurationMs = DurationMs(250);
@@ -119,18 +119,18 @@
     /// Sends the newest record to the other control nodes.
     fn send_heartbeats(&mut self, now: MonotonicMs, effects: &mut Effects) {
         self.peers.last_heartbeat = now;
-        let heard: Vec<CoreNode> = self.peers.reachable(now).map(|peer| peer.node).collect();
+        let reachable: Vec<CoreNode> = self.peers.reachable(now).map(|peer| peer.node).collect();
         let record = self.witness.record().cloned();
         let mut to: std::collections::BTreeSet<std::net::SocketAddr> =
             self.seeds.iter().copied().collect();
-        to.extend(heard.iter().map(|node| node.address));
-        to.extend(self.membership.addresses(Duty::Control));
+        to.extend(reachable.iter().map(|node| node.address));
+        to.extend(self.membership.addresses(MemberRole::Control));
         to.extend(record.iter().flat_map(|r| r.witnesses.iter().map(|node| node.address)));
         to.remove(&self.me.address);
         for to in to {
             let heartbeat = CoreMessage::Heartbeat {
                 record: record.clone(),
-                heard: heard.clone(),
+                reachable: reachable.clone(),
                 zone: self.membership.own_zone().clone(),
                 takes_writes: !self.disk.is_full(),
             };
@@ -198,7 +198,7 @@
         effects: &mut Effects,
     ) {
         match message {
-            CoreMessage::Heartbeat { record, heard, zone, takes_writes } => {
+            CoreMessage::Heartbeat { record, reachable, zone, takes_writes } => {
                 let known = self.peers.known.get(&sender).map(|known| known.last_writable);
                 let last_writable = if takes_writes { now } else { known.unwrap_or(now) };
                 self.peers.known.retain(|id, other| *id == sender || other.node.address != from);
@@ -208,7 +208,7 @@
                     last_writable,
                     takes_writes,
                     has_no_record: record.is_none(),
-                    receives_from_us: heard.iter().any(|node| node.id == self.me.id),
+                    receives_from_us: reachable.iter().any(|node| node.id == self.me.id),
                     zone,
                 };
                 self.peers.known.insert(sender, peer);
@@ -228,7 +228,9 @@
             CoreMessage::Leaving => self.receive_leaving(sender, now, effects),
             CoreMessage::Promise { .. }
             | CoreMessage::Accepted { .. }
-            | CoreMessage::Outbid { .. } => self.receive_vote(sender, from, &message, now, effects),
+            | CoreMessage::Rejected { .. } => {
+                self.receive_vote(sender, from, &message, now, effects)
+            }
         }
     }
 
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -1,22 +1,23 @@
 //! What each query reads from the committed state.
 
 use super::ControlMachine;
-use topazyard_types::{MonotonicMs, SpecVersion};
+use topazyard_types::{ConfigurationVersion, MonotonicMs};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::feed::Health;
 use topazyard_wire::message::operate::{OperateOutcome, Query};
 use topazyard_wire::state::{
-    FleetView, IN_FORCE, InForceRow, SPECS, SpecRow, StorageStage, spec_key,
+    CONFIGURATIONS, ConfigurationRow, FleetSnapshot, IN_FORCE, InForceRow, StorageStage,
+    configuration_key,
 };
 
 impl ControlMachine {
     pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperateOutcome {
         let found = match query {
-            Query::ReadSpec(version) => self.read_spec(*version),
+            Query::ReadConfiguration(version) => self.read_spec(*version),
             Query::ReadSource => return self.read_source(),
-            Query::ListSpecs => Some(self.list_specs()),
+            Query::ListConfigurations => Some(self.list_specs()),
             Query::ListEngines => {
-                let fleet = FleetView::read(self.replica.copy().rows());
+                let fleet = FleetSnapshot::read(self.replica.copy().rows());
                 Some(serde_json::json!({ "engines": fleet.engines.values().collect::<Vec<_>>() }))
             }
             Query::ListStorage => Some(self.list_storage(now)),
@@ -32,7 +33,7 @@
 
     /// The state of a retirement: `active` or `completed`.
     fn retirement(&self, name: &str, now: MonotonicMs) -> OperateOutcome {
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
         match row.map(|row| row.stage) {
             None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
@@ -45,7 +46,8 @@
     fn read_source(&self) -> OperateOutcome {
         let copy = self.replica.copy();
         let in_force = copy.get::<InForceRow>(IN_FORCE);
-        let row = in_force.and_then(|row| copy.get::<SpecRow>(&spec_key(row.version)));
+        let row =
+            in_force.and_then(|row| copy.get::<ConfigurationRow>(&configuration_key(row.version)));
         let source = row.and_then(|row| String::from_utf8(row.source?.to_vec()).ok());
         match source {
             Some(source) => OperateOutcome::Done(source),
@@ -53,20 +55,20 @@
         }
     }
 
-    fn read_spec(&self, version: Option<SpecVersion>) -> Option<serde_json::Value> {
+    fn read_spec(&self, version: Option<ConfigurationVersion>) -> Option<serde_json::Value> {
         let copy = self.replica.copy();
         let version = match version {
             Some(version) => version,
             None => copy.get::<InForceRow>(IN_FORCE)?.version,
         };
-        let row: SpecRow = copy.get(&spec_key(version))?;
+        let row: ConfigurationRow = copy.get(&configuration_key(version))?;
         let bundle: serde_json::Value = serde_json::from_str(&row.text).ok()?;
         let mut value = Self::describe(&row);
         value["bundle"] = bundle;
         Some(value)
     }
 
-    fn describe(row: &SpecRow) -> serde_json::Value {
+    fn describe(row: &ConfigurationRow) -> serde_json::Value {
         serde_json::json!({
             "version": row.version,
             "base": row.base,
@@ -79,15 +81,15 @@
         let copy = self.replica.copy();
         let in_force: Option<InForceRow> = copy.get(IN_FORCE);
         let specs: Vec<_> = copy
-            .with_prefix(SPECS)
-            .filter_map(|(_, value)| topazyard_wire::rows::decode::<SpecRow>(value))
+            .with_prefix(CONFIGURATIONS)
+            .filter_map(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value))
             .map(|row| Self::describe(&row))
             .collect();
         serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": specs })
     }
 
     fn list_storage(&self, now: MonotonicMs) -> serde_json::Value {
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let nodes: Vec<_> = fleet
             .storage
             .iter()
@@ -134,7 +136,7 @@
     }
 
     fn fleet_state(&self, now: MonotonicMs) -> serde_json::Value {
-        let fleet = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let members: Vec<_> = self
             .membership
             .remembered()
@@ -144,9 +146,9 @@
                     "name": known.latest.member.name,
                     "address": known.latest.member.address,
                     "http": known.latest.member.http,
-                    "duty": known.latest.member.duty,
+                    "duty": known.latest.member.role,
                     "zone": known.latest.member.zone,
-                    "standing": known.latest.standing,
+                    "standing": known.latest.status,
                     "incarnation": known.latest.incarnation,
                 })
             })
@@ -173,7 +175,7 @@
                 "witnesses": record.witnesses.iter().map(|w| w.address).collect::<Vec<_>>(),
             })),
             "place": self.replica.copy().position(),
-            "spec": fleet.spec.as_ref().map(|(version, _)| version),
+            "spec": fleet.configuration.as_ref().map(|(version, _)| version),
             "members": members,
             "relays": relays,
             "engines": fleet.engines.values().collect::<Vec<_>>(),
--- a/programs/topazyard-control/src/machine/quorum_reads.rs
+++ b/programs/topazyard-control/src/machine/quorum_reads.rs
@@ -7,7 +7,7 @@
 //! committed; a node named only by a record in that batch merely waits.
 
 use super::{ControlMachine, Effects};
-use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, DurationMs, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::confirm::ConfirmMessage;
@@ -41,7 +41,7 @@
 }
 
 impl QuorumReads {
-    pub(super) fn new(boot_id: Life) -> Self {
+    pub(super) fn new(boot_id: BootId) -> Self {
         Self { waiting: Vec::new(), round: None, last_nonce: boot_id.first_number() }
     }
 
@@ -64,23 +64,23 @@
         effects: &mut Effects,
     ) {
         match message {
-            ConfirmMessage::AskRecords { nonce } => {
+            ConfirmMessage::RequestRecords { nonce } => {
                 if self.confirmable_record().is_some() {
                     self.quorum_reads.enqueue(from, nonce);
                     self.quorum_read_tick(now, effects);
                 }
             }
-            ConfirmMessage::AskEpoch { nonce, epoch } => {
+            ConfirmMessage::CheckEpoch { nonce, epoch } => {
                 if self.witness.confirms(epoch) {
-                    let reply = ConfirmMessage::EpochStands { nonce, epoch };
+                    let reply = ConfirmMessage::EpochCurrent { nonce, epoch };
                     effects.push(Effect::Send { to: from, message: Message::Confirm(reply) });
                 }
             }
-            ConfirmMessage::EpochStands { nonce, epoch } => {
+            ConfirmMessage::EpochCurrent { nonce, epoch } => {
                 self.count_confirmation(sender, nonce, epoch, now, effects);
             }
             ConfirmMessage::Records { .. }
-            | ConfirmMessage::AskSynced { .. }
+            | ConfirmMessage::CheckSynced { .. }
             | ConfirmMessage::Synced { .. } => {}
         }
     }
@@ -88,7 +88,7 @@
     /// The current record, if this node is a backup in it that holds everything committed.
     fn confirmable_record(&self) -> Option<&EpochRecord> {
         let record = self.witness.record()?;
-        let is_backup = record.turn(self.me.id).is_some_and(|turn| turn > 0);
+        let is_backup = record.rank(self.me.id).is_some_and(|turn| turn > 0);
         (is_backup && self.holds_all_acknowledged(record)).then_some(record)
     }
 
@@ -126,7 +126,7 @@
             requesters: std::mem::take(&mut self.quorum_reads.waiting),
         });
         for witness in witnesses.iter().filter(|witness| witness.id != self.me.id) {
-            let request = ConfirmMessage::AskEpoch { nonce, epoch };
+            let request = ConfirmMessage::CheckEpoch { nonce, epoch };
             effects.push(Effect::Send { to: witness.address, message: Message::Confirm(request) });
         }
         self.count_confirmation(self.me.id, nonce, epoch, now, effects);
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -8,7 +8,7 @@
 use topazyard_wire::Effect;
 use topazyard_wire::message::feed::Health;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// How often the weights are tuned.
 const TUNING_INTERVAL: DurationMs = DurationMs(1_000);
@@ -58,8 +58,8 @@
 
     /// The demand known to the primary.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
-        let fleet = FleetView::read(self.replica.copy().rows());
-        let (_, bundle) = fleet.spec.as_ref()?;
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let (_, bundle) = fleet.configuration.as_ref()?;
         let mut demand = Demand::default();
         for report in self.reports.by_node.values() {
             match &report.health {
--- a/programs/topazyard-control/src/planner.rs
+++ b/programs/topazyard-control/src/planner.rs
@@ -8,7 +8,7 @@
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::membership::Member;
 use topazyard_wire::state::{
-    FleetView, StorageRow, StorageStage, WeightRow, shard_key, storage_key, weight_key,
+    FleetSnapshot, StorageRow, StorageStage, WeightRow, shard_key, storage_key, weight_key,
 };
 
 /// How often placement is looked at.
@@ -111,7 +111,7 @@
 
 /// The record after backups that don't confirm are let go, with whom to fill in their place.
 pub fn replace_backups(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
     silent: &[NodeId],
@@ -123,7 +123,7 @@
 /// The record with learners for all backups that are missing, if so many nodes work. Those that
 /// have just failed come last, though control may still hear them.
 fn with_learners(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
     failed: &[NodeId],
@@ -142,7 +142,7 @@
 /// The record after the primary and a backup change places. While none is heard, one may only be
 /// starting, as after a loss of power: they are let go once all of them are down.
 pub fn hand_over_primary(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -170,7 +170,7 @@
 
 /// The record after its learners become backups, in place of the worst where that makes too many.
 pub fn promote_learners(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -201,7 +201,7 @@
 /// How ill a node is placed in a record, whether as backup or in place of one: unfit, then in the
 /// zone of another copy, then with a slow disk.
 fn rank(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     others: &[CoreNode],
     node: &CoreNode,
@@ -212,14 +212,14 @@
     (is_unfit(fleet, status, node), shares_zone, status.slow.contains(&node.id))
 }
 
-fn is_unfit(fleet: &FleetView, status: &StorageStatus, node: &CoreNode) -> bool {
+fn is_unfit(fleet: &FleetSnapshot, status: &StorageStatus, node: &CoreNode) -> bool {
     status.cannot_write(node.id)
         || fleet.storage.get(&node.id).is_none_or(|row| row.stage != StorageStage::Active)
 }
 
 /// The backup that is placed worst; of several alike the one whose node holds most.
 fn worst_placed_backup(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<CoreNode> {
@@ -231,13 +231,13 @@
 }
 
 /// How many copies a node holds or is being given.
-pub fn hosted_copies(fleet: &FleetView, id: NodeId) -> usize {
+pub fn hosted_copies(fleet: &FleetSnapshot, id: NodeId) -> usize {
     fleet.shards.values().filter(|record| record.holders().any(|node| node.id == id)).count()
 }
 
 /// Whether so many nodes that work would be left to keep shards on if this one were emptied.
 pub fn has_capacity_without(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     id: NodeId,
     needed: usize,
@@ -249,7 +249,7 @@
 }
 
 /// What should change now.
-pub fn plan(fleet: &FleetView, status: &StorageStatus) -> Vec<RowChange> {
+pub fn plan(fleet: &FleetSnapshot, status: &StorageStatus) -> Vec<RowChange> {
     let mut changes = Vec::new();
     register_nodes(fleet, status, &mut changes);
     initialize_weights(fleet, &mut changes);
@@ -276,7 +276,7 @@
 }
 
 /// Takes in storage nodes that are new, and forgets those that are down and hold nothing.
-fn register_nodes(fleet: &FleetView, status: &StorageStatus, changes: &mut Vec<RowChange>) {
+fn register_nodes(fleet: &FleetSnapshot, status: &StorageStatus, changes: &mut Vec<RowChange>) {
     for (id, member) in &status.reachable {
         let known = fleet.storage.get(id);
         if known.is_none_or(|row| row.member != *member) {
@@ -293,14 +293,14 @@
     }
     for id in fleet.storage.keys() {
         if status.down.contains(id) && hosted_copies(fleet, *id) == 0 {
-            changes.push(RowChange::gone(storage_key(*id)));
+            changes.push(RowChange::delete(storage_key(*id)));
         }
     }
 }
 
 /// Gives each pool of the spec in force a weight to begin with, and takes those of other pools away.
-fn initialize_weights(fleet: &FleetView, changes: &mut Vec<RowChange>) {
-    let Some((_, bundle)) = &fleet.spec else { return };
+fn initialize_weights(fleet: &FleetSnapshot, changes: &mut Vec<RowChange>) {
+    let Some((_, bundle)) = &fleet.configuration else { return };
     for pool in &bundle.pools {
         if !fleet.weights.contains_key(&pool.name) {
             let weight = WeightRow { live_percent: bundle.weights.live_start_percent };
@@ -308,7 +308,7 @@
         }
     }
     for pool in fleet.weights.keys().filter(|pool| bundle.pool(pool).is_none()) {
-        changes.push(RowChange::gone(weight_key(pool)));
+        changes.push(RowChange::delete(weight_key(pool)));
     }
 }
 
@@ -316,14 +316,14 @@
     CoreNode { id: member.id, address: member.address }
 }
 
-fn zone(fleet: &FleetView, id: NodeId) -> Option<&ZoneName> {
+fn zone(fleet: &FleetSnapshot, id: NodeId) -> Option<&ZoneName> {
     fleet.storage.get(&id).map(|row| &row.member.zone)
 }
 
 /// Nodes that may be given a copy: those that speak before the silent, then those of other
 /// zones, then the least laden.
 fn candidates(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     avoided_zones: &[&ZoneName],
     excluded: &[NodeId],
@@ -347,11 +347,14 @@
 }
 
 /// Zones of nodes, as far as they are known.
-fn zones<'a>(fleet: &'a FleetView, nodes: impl Iterator<Item = &'a CoreNode>) -> Vec<&'a ZoneName> {
+fn zones<'a>(
+    fleet: &'a FleetSnapshot,
+    nodes: impl Iterator<Item = &'a CoreNode>,
+) -> Vec<&'a ZoneName> {
     nodes.filter_map(|node| zone(fleet, node.id)).collect()
 }
 
-fn place_shard(fleet: &FleetView, status: &StorageStatus) -> Option<ShardRecord> {
+fn place_shard(fleet: &FleetSnapshot, status: &StorageStatus) -> Option<ShardRecord> {
     let primary = *candidates(fleet, status, &[], &[]).first()?;
     let mut record = ShardRecord {
         epoch: Epoch(1),
@@ -372,7 +375,7 @@
 
 /// Chooses whom to fill besides those that are being filled: who already holds most comes first.
 fn choose_learner(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
     failed: &[NodeId],
@@ -393,7 +396,7 @@
 
 /// The record after a holder takes over, with whom to fill; the old primary stays as fallback.
 fn promote(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
     successor: CoreNode,
@@ -415,7 +418,7 @@
 
 /// What a shard's record should become, if it should change.
 fn repair(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     shard: ShardId,
     record: &ShardRecord,
@@ -495,7 +498,7 @@
 
 /// Whom to fill so that it takes a backup's place.
 fn choose_replacement(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
     backup: &CoreNode,
@@ -508,7 +511,7 @@
 
 /// The record with a learner that may take the place of a backup.
 fn add_replacement_learner(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -524,7 +527,7 @@
 /// A counter whose copies are all gone starts empty elsewhere and gathers the holds of all live
 /// relays before it grants.
 fn replace_counter(
-    fleet: &FleetView,
+    fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
@@ -533,7 +536,7 @@
 }
 
 /// One move that evens the number of copies, when nothing else is under way.
-fn rebalance(fleet: &FleetView, status: &StorageStatus) -> Option<(ShardId, ShardRecord)> {
+fn rebalance(fleet: &FleetSnapshot, status: &StorageStatus) -> Option<(ShardId, ShardRecord)> {
     let settled = |record: &ShardRecord| record.is_complete() && record.learners.is_empty();
     // A slow disk is no place to move to, and moving off one is mending, not balancing. Who is
     // silent may be down: moving then would only get in the way of mending.
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -3,7 +3,7 @@
 use crate::external::{ExternalInterface, Handle};
 use topazyard_wire::driver::{StartError, start_with_disk};
 use topazyard_wire::http::server::Server;
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// The longest that one reading of the list of engines may take.
 const LIST_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_500);
@@ -29,9 +29,9 @@
     external: O,
     terminated: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
-    let http = settings.need_http()?;
+    let http = settings.require_http()?;
     topazyard_wire::driver::run_process(async move {
-        let (start, place, disk) = start_with_disk(&settings, Duty::Control).await?;
+        let (start, place, disk) = start_with_disk(&settings, MemberRole::Control).await?;
         let listener = topazyard_wire::http::inward::bind(http).await?;
         let (tasks, task_receiver) = tokio::sync::mpsc::channel(64);
         let interval = external.engine_list_interval();
@@ -42,8 +42,13 @@
             }
             (machine, first)
         };
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, Some(disk), tasks)?;
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.listen_address(),
+            make,
+            place,
+            Some(disk),
+            tasks,
+        )?;
         tokio::spawn(run_tasks(external, handle.clone(), task_receiver));
         crate::metrics::serve(settings.metrics, &handle).await;
         let shutdown_handle = handle.clone();
--- a/programs/topazyard-control/tests/catching_up.rs
+++ b/programs/topazyard-control/tests/catching_up.rs
@@ -7,11 +7,11 @@
 use topazyard_control::ControlCall;
 use topazyard_replication::FeedFollower;
 use topazyard_replication::follower::FollowOutcome;
-use topazyard_types::{Life, MonotonicMs, NodeId, SpecVersion};
+use topazyard_types::{BootId, ConfigurationVersion, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// No answer may be much larger: the rest is keys, lengths and the frame.
 const MOST_BYTES: usize = 144 * 1_024;
@@ -30,9 +30,9 @@
         })
         .collect();
     let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
-    Command::TakeSpec {
-        base: SpecVersion(version - 1),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(version - 1),
+        version: ConfigurationVersion(version),
         text: bundle.to_string(),
         source: bytes::Bytes::from_static(b"source"),
     }
@@ -74,8 +74,8 @@
         let message = Message::Feed(ask);
         let answer = self.fleet.frame(primary, sender, from, message).pop();
         let Some(Message::Feed(answer)) = answer else { panic!("no answer") };
-        if let FeedMessage::News { matter, .. } = &answer {
-            self.answers.push(topazyard_wire::rows::encode(matter).len());
+        if let FeedMessage::Update { content, .. } = &answer {
+            self.answers.push(topazyard_wire::rows::encode(content).len());
         }
         answer
     }
@@ -96,14 +96,14 @@
             }
         }
         assert!(follower.confirmed_at() > before, "it never caught up");
-        let view = FleetView::read(follower.copy().rows());
-        assert_eq!(view.spec.map(|(version, _)| version.0), Some(self.version));
+        let view = FleetSnapshot::read(follower.copy().rows());
+        assert_eq!(view.configuration.map(|(version, _)| version.0), Some(self.version));
         assert!(self.answers.iter().all(|bytes| *bytes <= MOST_BYTES), "{:?}", self.answers);
     }
 }
 
 fn follower() -> FeedFollower {
-    FeedFollower::new(vec![at(0)], Life(1))
+    FeedFollower::new(vec![at(0)], BootId(1))
 }
 
 #[test]
@@ -159,8 +159,8 @@
         asked += 1;
         assert!(asked < 40, "it never caught up");
     }
-    let view = FleetView::read(follower.copy().rows());
-    let (version, _) = view.spec.expect("a spec");
+    let view = FleetSnapshot::read(follower.copy().rows());
+    let (version, _) = view.configuration.expect("a spec");
     assert!(version.0 >= fed.version - 1, "{version} of {}", fed.version);
     assert_eq!(view.routes.iter().count(), 2_000);
 }
@@ -190,19 +190,21 @@
     fed.change(2_000, 200);
     let mut follower = follower();
     let first = fed.answer(&mut follower);
-    let FeedMessage::News { nonce, place, matter: Matter::Part(part) } = first.clone() else {
+    let FeedMessage::Update { nonce, position, content: UpdateContent::Part(part) } = first.clone()
+    else {
         panic!("{first:?}")
     };
     follower.receive(at(0), first.clone());
     // Again, and under the nonce of the next asking.
     follower.receive(at(0), first);
     let next = fed.answer(&mut follower);
-    let again = FeedMessage::News { nonce: nonce + 1, place, matter: Matter::Part(part) };
+    let again =
+        FeedMessage::Update { nonce: nonce + 1, position, content: UpdateContent::Part(part) };
     follower.receive(at(0), again);
     follower.receive(at(0), next);
     assert!(follower.copy().rows().is_empty());
     fed.follow(&mut follower);
-    assert_eq!(FleetView::read(follower.copy().rows()).routes.iter().count(), 2_000);
+    assert_eq!(FleetSnapshot::read(follower.copy().rows()).routes.iter().count(), 2_000);
 }
 
 #[test]
@@ -215,7 +217,7 @@
     fed.fleet.stop(primary, false);
     fed.fleet.run(3_000);
     fed.follow(&mut follower);
-    assert_eq!(FleetView::read(follower.copy().rows()).routes.iter().count(), 2_000);
+    assert_eq!(FleetSnapshot::read(follower.copy().rows()).routes.iter().count(), 2_000);
 }
 
 // Four hundred followers at once: what waits in memory to be sent is bounded, and the parts share
@@ -227,7 +229,8 @@
     let mut herd: Vec<FeedFollower> = (0..400).map(|_| follower()).collect();
     let mut held = Vec::new();
     for follower in &mut herd {
-        if let FeedMessage::News { matter: Matter::Part(part), .. } = fed.answer(follower) {
+        if let FeedMessage::Update { content: UpdateContent::Part(part), .. } = fed.answer(follower)
+        {
             held.push(part.bytes);
         }
     }
--- a/programs/topazyard-control/tests/claims.rs
+++ b/programs/topazyard-control/tests/claims.rs
@@ -6,8 +6,8 @@
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord};
-use topazyard_wire::message::membership::{Duty, Member};
-use topazyard_wire::message::replica::{Follows, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::membership::{Member, MemberRole};
+use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine as _, RowChange, WriteToken};
 
 const NOW: MonotonicMs = MonotonicMs(86_400_000);
@@ -40,7 +40,7 @@
             name: None,
             address: node(ME).address,
             http: None,
-            duty: Duty::Control,
+            role: MemberRole::Control,
             zone: "zone-3".into(),
         };
         let start = DiskStart {
@@ -50,7 +50,7 @@
             chance: 7 << 40,
             loaded: Default::default(),
             bounds: topazyard_spec::Bounds::default(),
-            may_found: true,
+            may_bootstrap: true,
         };
         let (machine, _) = ControlMachine::new(start, NOW);
         Self { machine, disk: Vec::new() }
@@ -88,14 +88,21 @@
     fn learn(&mut self, from: u64, record: EpochRecord) {
         let tick = CoreMessage::Heartbeat {
             record: Some(record),
-            heard: vec![node(ME)],
+            reachable: vec![node(ME)],
             zone: format!("zone-{from}").as_str().into(),
             takes_writes: true,
         };
         self.hear(from, Message::Core(tick));
     }
 
-    fn compare(&mut self, from: u64, epoch: u64, of: Follows, round: u64, of_copy: &Copy) -> bool {
+    fn compare(
+        &mut self,
+        from: u64,
+        epoch: u64,
+        of: FollowerRole,
+        round: u64,
+        of_copy: &Copy,
+    ) -> bool {
         let body = ReplicaBody::Digests {
             round,
             sequence: Sequence(0),
@@ -104,7 +111,7 @@
         };
         let message = ReplicaMessage { group: Group::Control, epoch: Epoch(epoch), body };
         let said = self.hear(from, Message::Replica(message));
-        said.iter().any(|body| matches!(body, ReplicaBody::InStep { .. }))
+        said.iter().any(|body| matches!(body, ReplicaBody::InSync { .. }))
     }
 }
 
@@ -114,24 +121,24 @@
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
     let empty = Copy::default();
-    assert!(third.compare(1, 2, Follows::AsLearner, 100, &empty), "as a learner it may");
-    assert!(!third.compare(1, 2, Follows::AsBackup, 101, &empty), "the record is not known");
+    assert!(third.compare(1, 2, FollowerRole::Learner, 100, &empty), "as a learner it may");
+    assert!(!third.compare(1, 2, FollowerRole::Backup, 101, &empty), "the record is not known");
     let append = ReplicaBody::Append { round: 102, sequence: Sequence(0), changes: Vec::new() };
     let message = ReplicaMessage { group: Group::Control, epoch: Epoch(2), body: append };
     assert_eq!(third.hear(1, Message::Replica(message)), [], "nor is anything appended");
     third.learn(1, record(2, 1, 3));
     third.disk.clear();
-    assert!(third.compare(1, 2, Follows::AsBackup, 103, &empty));
+    assert!(third.compare(1, 2, FollowerRole::Backup, 103, &empty));
 }
 
 #[test]
 fn the_record_is_on_disk_before_anything_is_confirmed_under_it() {
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
-    third.compare(1, 2, Follows::AsLearner, 100, &Copy::default());
+    third.compare(1, 2, FollowerRole::Learner, 100, &Copy::default());
     third.disk.clear();
     third.learn(1, record(2, 1, 3));
-    assert!(third.compare(1, 2, Follows::AsBackup, 101, &Copy::default()));
+    assert!(third.compare(1, 2, FollowerRole::Backup, 101, &Copy::default()));
     let groups: Vec<Group> = third.disk.iter().map(|(group, _)| *group).collect();
     let of = |wanted| groups.iter().position(|group| *group == wanted);
     assert!(of(Group::Witness) < of(Group::Control), "{groups:?}");
@@ -141,8 +148,8 @@
 fn a_backup_that_confirmed_is_not_copied_over_by_another_that_asks_for_the_same_epoch() {
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
-    third.compare(1, 2, Follows::AsLearner, 100, &Copy::default());
+    third.compare(1, 2, FollowerRole::Learner, 100, &Copy::default());
     third.learn(1, record(2, 1, 3));
-    assert!(third.compare(1, 2, Follows::AsBackup, 101, &Copy::default()));
-    assert!(!third.compare(2, 2, Follows::AsLearner, 500, &Copy::default()));
+    assert!(third.compare(1, 2, FollowerRole::Backup, 101, &Copy::default()));
+    assert!(!third.compare(2, 2, FollowerRole::Learner, 500, &Copy::default()));
 }
--- a/programs/topazyard-control/tests/confirming.rs
+++ b/programs/topazyard-control/tests/confirming.rs
@@ -23,7 +23,7 @@
 
 fn ask(fleet: &mut Fleet, number: usize) {
     fleet.told.clear();
-    let ask = ConfirmMessage::AskRecords { nonce: 77 };
+    let ask = ConfirmMessage::RequestRecords { nonce: 77 };
     fleet.hear(number, &storage(1), Message::Confirm(ask));
 }
 
--- a/programs/topazyard-control/tests/disks.rs
+++ b/programs/topazyard-control/tests/disks.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, storage};
 use topazyard_control::ControlCall;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::Input;
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::message::operate::{Command, OperateOutcome, Query};
@@ -42,9 +42,9 @@
         "kind": "safe", "pools": [{ "pool": "main", "weight": 1 }], "timeout_ms": 5000,
         "max_attempts": 2 });
     let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [route] });
-    Command::TakeSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         text: bundle.to_string(),
         source: bytes::Bytes::from(format!("version {version}")),
     }
--- a/programs/topazyard-control/tests/ending.rs
+++ b/programs/topazyard-control/tests/ending.rs
@@ -60,7 +60,7 @@
         beside: None,
         bounds: topazyard_spec::Bounds::default(),
         resources: topazyard_spec::Resources::default(),
-        may_found: false,
+        may_bootstrap: false,
         reread: topazyard_spec::Reread::by(|| None),
     }
 }
--- a/programs/topazyard-control/tests/fleet/mod.rs
+++ b/programs/topazyard-control/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 use topazyard_wire::{Effect, Input, Machine as _, RowChange, WriteToken};
 
@@ -51,7 +51,7 @@
     /// Those of them whose disk is full.
     pub full_storage: Vec<NodeId>,
     pub now: MonotonicMs,
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     pub resources: topazyard_spec::Resources,
     /// Decides what happens to each frame.
     pub network: fn(&Message) -> Fate,
@@ -74,7 +74,7 @@
         name: Some(format!("storage-{number}")),
         address: at(100 + number as usize),
         http: None,
-        duty: Duty::Storage,
+        role: MemberRole::Storage,
         zone: format!("zone-{number}").as_str().into(),
     }
 }
@@ -89,7 +89,7 @@
             storage: Vec::new(),
             full_storage: Vec::new(),
             now: MonotonicMs(86_400_000),
-            may_found: true,
+            may_bootstrap: true,
             resources: topazyard_spec::Resources::default(),
             network: |_| Fate::Arrives,
             late: Vec::new(),
@@ -127,7 +127,7 @@
             name: Some(format!("core-{number}")),
             address: at(number),
             http: None,
-            duty: Duty::Control,
+            role: MemberRole::Control,
             zone: format!("zone-{number}").as_str().into(),
         };
         let start = DiskStart {
@@ -137,7 +137,7 @@
             chance: (node.lives << 40) + ((number as u64) << 32) + 1,
             loaded: node.rows.clone(),
             bounds: topazyard_spec::Bounds::default(),
-            may_found: self.may_found,
+            may_bootstrap: self.may_bootstrap,
         };
         let (mut machine, first) = ControlMachine::new(start, self.now);
         machine.set_engine_list_interval(DurationMs(500));
@@ -282,11 +282,11 @@
                 live_tokens: None,
             };
             for number in 0..self.nodes.len() {
-                let ask = FeedMessage::Ask {
+                let ask = FeedMessage::Request {
                     nonce: 1,
                     after: Default::default(),
                     part: None,
-                    heard: Some(DurationMs(0)),
+                    last_response_age: Some(DurationMs(0)),
                     health: health.clone(),
                 };
                 let (sender, from) = (member.id, member.address);
--- a/programs/topazyard-control/tests/founding.rs
+++ b/programs/topazyard-control/tests/founding.rs
@@ -50,7 +50,7 @@
     let mut fleet = Fleet::new(3, 3);
     (0..3).for_each(|number| fleet.stop(number, false));
     // Settings written at a restart no longer say that the fleet is new.
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     is_one_fleet(&mut fleet);
@@ -60,7 +60,7 @@
 fn a_seed_that_lost_its_disk_before_the_fleet_exists_does_not_vote() {
     let mut fleet = Fleet::new(3, 3);
     (0..3).for_each(|number| fleet.stop(number, false));
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     for number in 0..2 {
         fleet.stop(number, true);
     }
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -1,7 +1,7 @@
 //! Each invariant that control checks, seen violated.
 
 use topazyard_control::machine::configurations::Configurations;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::invariants::{Invariant, violations};
 use topazyard_wire::message::operate::OperateOutcome;
@@ -11,12 +11,12 @@
     let done = OperateOutcome::Done(String::new());
     let refused = OperateOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
-    configurations.record_outcome(&done, SpecVersion(4));
-    configurations.record_outcome(&refused, SpecVersion(4));
-    configurations.record_outcome(&done, SpecVersion(5));
-    configurations.check(SpecVersion(5));
+    configurations.record_outcome(&done, ConfigurationVersion(4));
+    configurations.record_outcome(&refused, ConfigurationVersion(4));
+    configurations.record_outcome(&done, ConfigurationVersion(5));
+    configurations.check(ConfigurationVersion(5));
     assert_eq!((configurations.acknowledged, configurations.refused), (2, 1));
     assert_eq!(violations(Invariant::AcknowledgedConfigurationStays), 0);
-    configurations.check(SpecVersion(4));
+    configurations.check(ConfigurationVersion(4));
     assert_eq!(violations(Invariant::AcknowledgedConfigurationStays), 1);
 }
--- a/programs/topazyard-control/tests/leaving.rs
+++ b/programs/topazyard-control/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use fleet::Fleet;
 use topazyard_control::ControlCall;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 
 fn configuration(base: u64, version: u64) -> Command {
@@ -12,9 +12,9 @@
         "kind": "safe", "pools": [{ "pool": "main", "weight": 1 }], "timeout_ms": 5000,
         "max_attempts": 2 });
     let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [route] });
-    Command::TakeSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         text: bundle.to_string(),
         source: bytes::Bytes::from(format!("{version}")),
     }
@@ -26,7 +26,7 @@
     fleet.run(2_000);
     let taken = fleet.command(0, configuration(0, 3));
     assert!(matches!(taken, Some(OperateOutcome::Done(_))), "{taken:?}");
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     fleet.add();
     fleet.run(1_000);
     fleet
--- a/programs/topazyard-control/tests/metrics.rs
+++ b/programs/topazyard-control/tests/metrics.rs
@@ -6,7 +6,7 @@
 use topazyard_control::ControlCall;
 use topazyard_control::machine::ControlHealth;
 use topazyard_control::metrics::ControlFigures;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, OperateOutcome};
 
 fn order(base: u64, version: u64) -> Command {
@@ -14,8 +14,8 @@
         { "name": "r", "host": "a.example", "path_prefix": "/", "kind": "safe",
           "pools": [{ "pool": "main", "weight": 1 }], "timeout_ms": 5000, "max_attempts": 2 }
     ] });
-    let (base, version) = (SpecVersion(base), SpecVersion(version));
-    Command::TakeSpec { base, version, text: text.to_string(), source: "order".into() }
+    let (base, version) = (ConfigurationVersion(base), ConfigurationVersion(version));
+    Command::ApplyConfiguration { base, version, text: text.to_string(), source: "order".into() }
 }
 
 fn text(fleet: &mut Fleet, number: usize) -> String {
--- a/programs/topazyard-control/tests/operating.rs
+++ b/programs/topazyard-control/tests/operating.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, storage};
 use topazyard_control::ControlCall;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{Command, OperateOutcome, Query};
 
@@ -18,9 +18,9 @@
         })
         .collect();
     let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
-    Command::TakeSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         text: bundle.to_string(),
         source: bytes::Bytes::from(format!("{mark} {version}")),
     }
@@ -94,7 +94,7 @@
     taken(fleet.command(0, spec(0, 3, 200, "a")));
     (0..3).for_each(|number| fleet.stop(number, false));
     fleet.run(1_000);
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     source_is(&mut fleet, 2, "a 3");
@@ -108,7 +108,7 @@
         taken(fleet.command(0, spec(0, 3, 2, "a")));
         (0..3).for_each(|number| fleet.stop(number, number == lost));
         fleet.run(1_000);
-        fleet.may_found = false;
+        fleet.may_bootstrap = false;
         (0..3).for_each(|number| fleet.start(number));
         fleet.run(8_000);
         source_is(&mut fleet, 0, "a 3");
@@ -126,7 +126,7 @@
 fn nobody_founds_a_fleet_who_may_not() {
     let mut fleet = Fleet::new(3, 3);
     (0..3).for_each(|number| fleet.stop(number, true));
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(10_000);
     assert_eq!(fleet.primary(), None);
@@ -136,7 +136,7 @@
 fn a_node_that_lost_its_disk_joins() {
     let mut fleet = running();
     taken(fleet.command(0, spec(0, 3, 2, "a")));
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     let primary = fleet.primary().expect("a primary");
     fleet.stop(primary, true);
     fleet.run(500);
@@ -303,7 +303,7 @@
     taken(fleet.command(0, spec(0, 3, 2, "a")));
     // One more node, whose settings name a node that is gone.
     let seeds = std::mem::replace(&mut fleet.seeds, vec![([127, 0, 0, 1], 9).into()]);
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     fleet.add();
     fleet.run(2_000);
     refused(fleet.query(3, Query::ReadSource), Code::NoPrimary);
--- a/programs/topazyard-control/tests/orders.rs
+++ b/programs/topazyard-control/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use fleet::{Fate, Fleet, storage};
 use topazyard_control::ControlCall;
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::Message;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{
@@ -25,16 +25,16 @@
 }
 
 fn order(base: u64, version: u64, mark: &str) -> Command {
-    Command::TakeSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         text: bundle(2),
         source: bytes::Bytes::from(format!("{mark} {version}")),
     }
 }
 
 fn submission(base: u64, routes: usize) -> Command {
-    Command::SubmitSpec { base: SpecVersion(base), text: bundle(routes) }
+    Command::SubmitConfiguration { base: ConfigurationVersion(base), text: bundle(routes) }
 }
 
 fn retire(name: &str) -> Command {
@@ -94,7 +94,7 @@
         refused(other, Code::StaleBase);
     }
     (0..3).for_each(|number| fleet.stop(number, false));
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     taken(fleet.command(2, order(0, 1, "a")));
@@ -104,8 +104,9 @@
 #[test]
 fn a_resent_submission_sign_off_and_roll_out_are_acknowledged_again() {
     let mut fleet = running();
-    let sign = |version| Command::SignOff { version: SpecVersion(version), by: "ada".into() };
-    let roll = |version| Command::RollOut { version: SpecVersion(version) };
+    let sign =
+        |version| Command::SignOff { version: ConfigurationVersion(version), by: "ada".into() };
+    let roll = |version| Command::RollOut { version: ConfigurationVersion(version) };
     for version in 1..=70 {
         let given = taken(fleet.command(0, submission(version - 1, version as usize)));
         assert_eq!(given["version"], version);
@@ -177,7 +178,11 @@
     // Neither do submissions that nobody rolls out pile up, nor put out what is in force.
     for version in 13..=160 {
         let text = bundle(1_000);
-        taken(at_once(&mut fleet, 0, Command::SubmitSpec { base: SpecVersion(version - 1), text }));
+        taken(at_once(
+            &mut fleet,
+            0,
+            Command::SubmitConfiguration { base: ConfigurationVersion(version - 1), text },
+        ));
     }
     assert!(control_bytes(&fleet, 0, "spec/") <= 16_000_000);
     source_is(&mut fleet, 1, &format!("{large} 12"));
@@ -190,7 +195,7 @@
 }
 
 fn is_ask(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Ask { .. }))
+    matches!(message, Message::Operate(OperateMessage::Request { .. }))
 }
 
 #[test]
@@ -209,7 +214,7 @@
     fleet.run(6_000);
     let primary = fleet.primary().expect("a primary");
     let rows = &fleet.nodes[primary].rows[&topazyard_wire::Group::Control];
-    let view = topazyard_wire::state::FleetView::read(rows);
+    let view = topazyard_wire::state::FleetSnapshot::read(rows);
     let active = topazyard_wire::state::StorageStage::Active;
     assert!(view.storage.values().all(|row| row.stage == active), "{:?}", view.storage);
 }
@@ -262,17 +267,17 @@
     let primary = fleet.primary().expect("a primary");
     let (asking, other) = ((primary + 1) % 3, (primary + 2) % 3);
     fleet.network = |message| match message {
-        Message::Operate(OperateMessage::Answer { .. }) => Fate::Waits,
+        Message::Operate(OperateMessage::Response { .. }) => Fate::Waits,
         _ => Fate::Arrives,
     };
     assert_eq!(at_once(&mut fleet, asking, order(0, 3, "a")), None);
     fleet.network = |_| Fate::Arrives;
     let answer = fleet.late.pop().expect("an answer");
-    let Message::Operate(OperateMessage::Answer { id, .. }) = answer.message else { panic!() };
+    let Message::Operate(OperateMessage::Response { id, .. }) = answer.message else { panic!() };
     // Another node, or another life at the same address, answers an asking of the same number.
     for sender in [fleet.id(other), topazyard_types::NodeId(999)] {
         let outcome = OperateOutcome::Done("wrong".into());
-        let message = Message::Operate(OperateMessage::Answer { id, outcome });
+        let message = Message::Operate(OperateMessage::Response { id, outcome });
         fleet.arrive(fleet::Frame { sender, message, ..answer.clone() });
         assert_eq!(fleet.nodes[asking].returned, None);
     }
@@ -329,13 +334,13 @@
 }
 
 fn is_answer(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Answer { .. }))
+    matches!(message, Message::Operate(OperateMessage::Response { .. }))
 }
 
 fn stage_of(fleet: &Fleet, id: topazyard_types::NodeId) -> topazyard_wire::state::StorageStage {
     let primary = fleet.primary().expect("a primary");
     let rows = &fleet.nodes[primary].rows[&topazyard_wire::Group::Control];
-    topazyard_wire::state::FleetView::read(rows).storage[&id].stage
+    topazyard_wire::state::FleetSnapshot::read(rows).storage[&id].stage
 }
 
 // The answer to the first copy is under way still, so that its caller waits; the second copy must
@@ -405,7 +410,7 @@
         let rows = fleet.nodes[number].rows.get_mut(&topazyard_wire::Group::Control);
         rows.into_iter().for_each(|rows| rows.retain(|key, _| !key.starts_with("order/")));
     }
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     refused(fleet.command(1, order(0, 3, "a")), Code::OutcomeUnknown);
@@ -417,9 +422,9 @@
 
 /// A source as an adapter writes it: JSON with a list of named items.
 fn whole(base: u64, version: u64) -> Command {
-    Command::TakeSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::ApplyConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         text: bundle(3),
         source: br#"{"items":[{"name":"r0"},{"name":"r1"},{"name":"r2"}],"number":1}"#[..].into(),
     }
@@ -430,13 +435,13 @@
     let patch = serde_json::json!({ "remove": { "routes": [route] } }).to_string();
     let of_source =
         serde_json::json!({ "fields": { "number": version }, "remove": { "items": [route] } });
-    Command::PatchSpec {
-        base: SpecVersion(base),
-        version: SpecVersion(version),
+    Command::PatchConfiguration {
+        base: ConfigurationVersion(base),
+        version: ConfigurationVersion(version),
         source: SourcePatch {
             order: patch.clone().into(),
             patch: of_source.to_string(),
-            most_bytes: 1_000,
+            max_bytes: 1_000,
         },
         patch,
     }
@@ -449,7 +454,7 @@
     taken(fleet.command(0, whole(0, 1)));
     taken(fleet.command(1, removal(1, 5, "r1")));
     source_is(&mut fleet, 2, r#"{"items":[{"name":"r0"},{"name":"r2"}],"number":5}"#);
-    let Some(OperateOutcome::Done(read)) = fleet.query(0, Query::ReadSpec(None)) else {
+    let Some(OperateOutcome::Done(read)) = fleet.query(0, Query::ReadConfiguration(None)) else {
         panic!("not read");
     };
     let read: serde_json::Value = serde_json::from_str(&read).expect("JSON");
@@ -462,7 +467,7 @@
     taken(fleet.command(2, removal(1, 5, "r1")));
     taken(fleet.command(0, removal(5, 8, "r0")));
     (0..3).for_each(|number| fleet.stop(number, false));
-    fleet.may_found = false;
+    fleet.may_bootstrap = false;
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     taken(fleet.command(2, removal(1, 5, "r1")));
@@ -485,15 +490,16 @@
     taken(fleet.command(0, whole(0, 3)));
     refused(fleet.command(0, removal(3, 5, "nobody")), Code::InvalidSpec);
     refused(fleet.command(0, removal(3, 2, "r1")), Code::InvalidSpec);
-    let Command::PatchSpec { base, version, patch, source } = removal(3, 5, "r1") else {
+    let Command::PatchConfiguration { base, version, patch, source } = removal(3, 5, "r1") else {
         panic!("a partial change");
     };
-    let small = SourcePatch { most_bytes: 10, ..source.clone() };
-    let oversized = Command::PatchSpec { base, version, patch: patch.clone(), source: small };
+    let small = SourcePatch { max_bytes: 10, ..source.clone() };
+    let oversized =
+        Command::PatchConfiguration { base, version, patch: patch.clone(), source: small };
     refused(fleet.command(0, oversized), Code::BodyTooLarge);
     let apart = SourcePatch { patch: r#"{"remove":{"items":["r7"]}}"#.into(), ..source };
     refused(
-        fleet.command(0, Command::PatchSpec { base, version, patch, source: apart }),
+        fleet.command(0, Command::PatchConfiguration { base, version, patch, source: apart }),
         Code::InvalidSpec,
     );
     source_is(&mut fleet, 0, r#"{"items":[{"name":"r0"},{"name":"r1"},{"name":"r2"}],"number":1}"#);
@@ -503,13 +509,13 @@
 fn a_submitted_change_waits_for_its_signature() {
     let mut fleet = running();
     let patch = || Command::SubmitPatch {
-        base: SpecVersion(1),
+        base: ConfigurationVersion(1),
         patch: r#"{"remove":{"routes":["r0"]}}"#.into(),
     };
     taken(fleet.command(0, submission(0, 2)));
     assert_eq!(taken(fleet.command(1, patch()))["version"], 2);
     assert_eq!(taken(fleet.command(2, patch()))["version"], 2);
-    let read = taken(fleet.query(0, Query::ReadSpec(Some(SpecVersion(2)))));
+    let read = taken(fleet.query(0, Query::ReadConfiguration(Some(ConfigurationVersion(2)))));
     assert_eq!(read["stage"], "submitted");
     assert_eq!(read["bundle"]["routes"].as_array().map(Vec::len), Some(1));
 }
--- a/programs/topazyard-control/tests/placement.rs
+++ b/programs/topazyard-control/tests/placement.rs
@@ -4,8 +4,8 @@
     StorageStatus, drop_backups, hand_over_primary, plan, promote_learners,
 };
 use topazyard_types::{NodeId, ShardId};
-use topazyard_wire::message::membership::{Duty, Member};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::membership::{Member, MemberRole};
+use topazyard_wire::state::FleetSnapshot;
 
 fn member(id: u64, zone: &str) -> Member {
     Member {
@@ -13,7 +13,7 @@
         name: None,
         address: std::net::SocketAddr::from(([127, 0, 0, 1], id as u16)),
         http: None,
-        duty: Duty::Storage,
+        role: MemberRole::Storage,
         zone: zone.into(),
     }
 }
@@ -25,7 +25,7 @@
 
 /// Lets the planner work until it changes nothing, with learners filled at once; gives how many
 /// steps that took.
-fn settle(view: &mut FleetView, status: &StorageStatus) -> usize {
+fn settle(view: &mut FleetSnapshot, status: &StorageStatus) -> usize {
     let mut rows = std::collections::BTreeMap::new();
     for (id, row) in &view.storage {
         let change = topazyard_wire::RowChange::put(topazyard_wire::state::storage_key(*id), row);
@@ -45,7 +45,7 @@
                 None => rows.remove(&change.key),
             };
         }
-        *view = FleetView::read(&rows);
+        *view = FleetSnapshot::read(&rows);
         let shards: Vec<ShardId> = view.shards.keys().copied().collect();
         for shard in shards {
             let record = &view.shards[&shard];
@@ -57,7 +57,7 @@
                 moved = true;
             }
         }
-        *view = FleetView::read(&rows);
+        *view = FleetSnapshot::read(&rows);
         if !moved {
             return step;
         }
@@ -65,9 +65,9 @@
     panic!("placement never stands still");
 }
 
-fn settled_fleet() -> (Vec<Member>, FleetView) {
+fn settled_fleet() -> (Vec<Member>, FleetSnapshot) {
     let members = vec![member(1, "north"), member(2, "east"), member(3, "west")];
-    let mut view = FleetView::default();
+    let mut view = FleetSnapshot::default();
     settle(&mut view, &status(&members));
     (members, view)
 }
@@ -168,7 +168,7 @@
     assert!(view.storage.contains_key(&NodeId(4)));
     status.reachable.remove(&NodeId(4));
     status.down.insert(NodeId(4));
-    let gone = topazyard_wire::RowChange::gone(key);
+    let gone = topazyard_wire::RowChange::delete(key);
     assert!(plan(&view, &status).contains(&gone));
 }
 
@@ -178,8 +178,8 @@
     (1..=10).map(|id| member(id, zones[id as usize % 5])).collect()
 }
 
-fn settled_with(members: &[Member], copies: u16) -> FleetView {
-    let mut view = FleetView::default();
+fn settled_with(members: &[Member], copies: u16) -> FleetSnapshot {
+    let mut view = FleetSnapshot::default();
     settle(&mut view, &StorageStatus { copies, ..status(members) });
     view
 }
@@ -310,7 +310,7 @@
     let members: Vec<Member> = (1..=6).map(|id| member(id, &format!("zone-{id}"))).collect();
     for (before, after) in [(3, 2), (2, 3), (4, 2), (2, 4)] {
         for lost in 0..6 {
-            let mut view = FleetView::default();
+            let mut view = FleetSnapshot::default();
             settle(&mut view, &StorageStatus { copies: before, ..status(&members) });
             let mut status = StorageStatus { copies: after, ..status(&members) };
             status.reachable.remove(&members[lost].id);
--- a/programs/topazyard-control/tests/shard_safety.rs
+++ b/programs/topazyard-control/tests/shard_safety.rs
@@ -9,8 +9,8 @@
 use topazyard_types::{NodeId, ShardId};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
-use topazyard_wire::message::membership::{Duty, Member};
-use topazyard_wire::state::{FleetView, StorageRow, StorageStage, shard_key, storage_key};
+use topazyard_wire::message::membership::{Member, MemberRole};
+use topazyard_wire::state::{FleetSnapshot, StorageRow, StorageStage, shard_key, storage_key};
 
 fn member(id: u64, zone: u64) -> Member {
     Member {
@@ -18,7 +18,7 @@
         name: None,
         address: std::net::SocketAddr::from(([127, 0, 0, 1], id as u16)),
         http: None,
-        duty: Duty::Storage,
+        role: MemberRole::Storage,
         zone: format!("zone-{zone}").as_str().into(),
     }
 }
@@ -26,7 +26,7 @@
 /// Storage nodes, what control has decided, and who really holds what.
 struct Fleet {
     rows: BTreeMap<String, bytes::Bytes>,
-    view: FleetView,
+    view: FleetSnapshot,
     members: BTreeMap<NodeId, Member>,
     /// Nodes that run.
     up: BTreeSet<NodeId>,
@@ -41,7 +41,7 @@
     fn new(size: u64, zones: u64, copies: u16, seed: u64) -> Self {
         let mut fleet = Self {
             rows: BTreeMap::new(),
-            view: FleetView::default(),
+            view: FleetSnapshot::default(),
             members: BTreeMap::new(),
             up: BTreeSet::new(),
             whole: BTreeMap::new(),
@@ -86,7 +86,7 @@
                 None => drop(self.rows.remove(&change.key)),
             }
         }
-        self.view = FleetView::read(&self.rows);
+        self.view = FleetSnapshot::read(&self.rows);
         self.check();
     }
 
--- a/programs/topazyard-control/tests/wishes.rs
+++ b/programs/topazyard-control/tests/wishes.rs
@@ -3,11 +3,11 @@
 mod fleet;
 
 use fleet::{Fleet, TICK, storage};
-use topazyard_types::{Epoch, Place, ShardId};
+use topazyard_types::{Epoch, LogPosition, ShardId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardRecord, ShardWish, Wish};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest, ShardRecord};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
+use topazyard_wire::state::FleetSnapshot;
 
 /// The shards' records, as the feed tells them.
 fn records(fleet: &mut Fleet) -> std::collections::BTreeMap<ShardId, ShardRecord> {
@@ -20,18 +20,25 @@
         live_tokens: None,
         disk: topazyard_wire::disk::DiskState::Healthy,
     };
-    let ask =
-        FeedMessage::Ask { nonce: 77, after: Place::default(), part: None, heard: None, health };
+    let ask = FeedMessage::Request {
+        nonce: 77,
+        after: LogPosition::default(),
+        part: None,
+        last_response_age: None,
+        health,
+    };
     let primary = fleet.primary().expect("one leads");
     fleet.hear(primary, &member, Message::Feed(ask));
     fleet.run(2 * TICK.0);
     let rows = fleet.told.iter().find_map(|message| match message {
-        Message::Feed(FeedMessage::News { nonce: 77, matter: Matter::View(rows), .. }) => {
-            Some(rows.iter().cloned().collect())
-        }
+        Message::Feed(FeedMessage::Update {
+            nonce: 77,
+            content: UpdateContent::Snapshot(rows),
+            ..
+        }) => Some(rows.iter().cloned().collect()),
         _ => None,
     });
-    FleetView::read(&rows.expect("everything")).shards
+    FleetSnapshot::read(&rows.expect("everything")).shards
 }
 
 #[test]
@@ -46,9 +53,13 @@
     // The first wish's batch is under way for as long as the control backup is away.
     fleet.stop(1, false);
     for (shard, record) in &before {
-        let wish = ShardWish { shard: *shard, epoch: record.epoch, wish: Wish::HandOver };
+        let wish = ShardChangeRequest {
+            shard: *shard,
+            epoch: record.epoch,
+            change: ShardChange::HandOver,
+        };
         let owner = (1..=3).map(storage).find(|member| member.id == record.primary.id);
-        fleet.hear(primary, &owner.expect("known"), Message::Wish(wish));
+        fleet.hear(primary, &owner.expect("known"), Message::ShardChangeRequest(wish));
     }
     fleet.start(1);
     fleet.run(400);
@@ -67,13 +78,13 @@
     let before = records(&mut fleet);
     let primary = fleet.primary().expect("one leads");
     let (shard, record) = before.iter().next().expect("a shard");
-    let wish = |epoch| ShardWish { shard: *shard, epoch, wish: Wish::HandOver };
+    let wish = |epoch| ShardChangeRequest { shard: *shard, epoch, change: ShardChange::HandOver };
     for member in (1..=3).map(storage) {
         let epoch = match member.id == record.primary.id {
             true => Epoch(record.epoch.0 + 1),
             false => record.epoch,
         };
-        fleet.hear(primary, &member, Message::Wish(wish(epoch)));
+        fleet.hear(primary, &member, Message::ShardChangeRequest(wish(epoch)));
     }
     fleet.run(TICK.0);
     assert_eq!(records(&mut fleet), before);
--- a/programs/topazyard-edge-agent/src/machine.rs
+++ b/programs/topazyard-edge-agent/src/machine.rs
@@ -6,8 +6,8 @@
 use topazyard_types::{CallId, DurationMs, MonotonicMs};
 use topazyard_wire::driver::disked::Remembered;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Health, PartWanted};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::feed::{FeedMessage, Health, PartRequest};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Group, Input, Machine, WriteToken};
 
 /// The same while it is not known who leads.
@@ -70,9 +70,9 @@
 struct Passed {
     nonce: u64,
     relay_nonce: u64,
-    after: topazyard_types::Place,
-    part: Option<PartWanted>,
-    heard: Option<topazyard_types::DurationMs>,
+    after: topazyard_types::LogPosition,
+    part: Option<PartRequest>,
+    last_response_age: Option<topazyard_types::DurationMs>,
     health: Health,
     at: MonotonicMs,
 }
@@ -101,10 +101,10 @@
     ///
     /// ```
     /// use topazyard_edge_agent::{AgentMachine, Start};
-    /// use topazyard_wire::message::membership::{Duty, Member};
+    /// use topazyard_wire::message::membership::{MemberRole, Member};
     /// let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     /// let member = Member { id: topazyard_types::NodeId(1), name: None, address: at(1),
-    ///     http: Some(at(2)), duty: Duty::Edge, zone: "north".into() };
+    ///     http: Some(at(2)), role: MemberRole::Edge, zone: "north".into() };
     /// let start = Start { member, seeds: vec![at(3), at(4), at(5)], remembered: None,
     ///     relay: at(6), chance: 1 };
     /// AgentMachine::new(start);
@@ -120,7 +120,7 @@
             leader: None,
             passed: None,
             turned_away: None,
-            last_nonce: topazyard_types::Life(start.chance).first_number(),
+            last_nonce: topazyard_types::BootId(start.chance).first_number(),
             last_write: 0,
             last_synced: 0,
             remembered: start.remembered,
@@ -149,11 +149,11 @@
             passed.nonce = self.last_nonce;
         }
         passed.at = now;
-        let message = FeedMessage::Ask {
+        let message = FeedMessage::Request {
             nonce: passed.nonce,
             after: passed.after,
             part: passed.part,
-            heard: passed.heard,
+            last_response_age: passed.last_response_age,
             health: passed.health.clone(),
         };
         for to in to {
@@ -169,7 +169,7 @@
         out: &mut Out,
     ) {
         match message {
-            FeedMessage::Ask { nonce, after, part, heard, health } => {
+            FeedMessage::Request { nonce, after, part, last_response_age, health } => {
                 if from != self.relay {
                     return;
                 }
@@ -181,7 +181,7 @@
                     relay_nonce: nonce,
                     after,
                     part,
-                    heard,
+                    last_response_age,
                     health,
                     at: now,
                 });
@@ -190,15 +190,15 @@
                 }
                 self.pass_on(now, out);
             }
-            FeedMessage::News { nonce, place, matter } => {
+            FeedMessage::Update { nonce, position, content } => {
                 if let Some(passed) = self.passed.take_if(|passed| passed.nonce == nonce) {
                     self.leader = Some(from);
                     let nonce = passed.relay_nonce;
-                    let message = Message::Feed(FeedMessage::News { nonce, place, matter });
+                    let message = Message::Feed(FeedMessage::Update { nonce, position, content });
                     out.push(Effect::Send { to: self.relay, message });
                 }
             }
-            FeedMessage::Elsewhere { nonce, primary, .. } => {
+            FeedMessage::Redirect { nonce, primary, .. } => {
                 if self.passed.as_ref().is_some_and(|passed| passed.nonce == nonce) {
                     self.leader = primary.filter(|primary| *primary != from);
                     if self.leader.is_some() {
@@ -220,7 +220,7 @@
     }
 
     fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        for address in self.membership.addresses(Duty::Control) {
+        for address in self.membership.addresses(MemberRole::Control) {
             if !self.sources.contains(&address) {
                 self.sources.push(address);
             }
@@ -228,7 +228,8 @@
         // One write at a time, so that nothing piles up behind a disk that is full or stalls.
         let is_synced = self.last_synced == self.last_write;
         let remembered = self.remembered.as_mut().filter(|_| is_synced);
-        let row = remembered.and_then(|kept| kept.learn(self.membership.addresses(Duty::Control)));
+        let row =
+            remembered.and_then(|kept| kept.learn(self.membership.addresses(MemberRole::Control)));
         if let Some(row) = row {
             self.last_write += 1;
             let token = WriteToken { group: Group::Node, number: self.last_write };
--- a/programs/topazyard-edge-agent/src/run.rs
+++ b/programs/topazyard-edge-agent/src/run.rs
@@ -4,7 +4,7 @@
 use topazyard_wire::disk::{DiskError, OpenFile};
 use topazyard_wire::driver::StartError;
 use topazyard_wire::driver::disked::Remembered;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// Opens the data folder, if there is one. An agent only remembers addresses there: one whose disk
 /// is full does without.
@@ -28,7 +28,7 @@
 /// # Errors
 /// A setting that is missing, an address that is taken, or a disk that can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings) -> Result<(), StartError> {
-    let relay = settings.need_beside()?;
+    let relay = settings.require_beside()?;
     topazyard_wire::log::start(settings.data.clone()).map_err(|_| StartError::Log)?;
     let (remembered, disk) = open_disk(settings.data.as_deref())?.unzip();
     let node = topazyard_wire::driver::fresh_id();
@@ -38,7 +38,7 @@
             name: settings.name.clone(),
             address: settings.address,
             http: settings.http,
-            duty: Duty::Edge,
+            role: MemberRole::Edge,
             zone: settings.zone.clone(),
         },
         seeds: settings.seeds.clone(),
@@ -52,7 +52,7 @@
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
         let make = |_| (crate::AgentMachine::new(start), Vec::new());
         let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, disk, tasks)?;
+            topazyard_wire::driver::spawn_at(settings.listen_address(), make, place, disk, tasks)?;
         let leave_limit = leave_limit(&settings.bounds);
         crate::metrics::serve(settings.metrics, &handle).await;
         let follow = topazyard_wire::driver::follow_settings(settings, |told| {
--- a/programs/topazyard-edge-agent/tests/leaving.rs
+++ b/programs/topazyard-edge-agent/tests/leaving.rs
@@ -1,10 +1,10 @@
 //! An agent that is about to end: it serves its relay until that has ended.
 
 use topazyard_edge_agent::{AgentCall, AgentMachine, Start};
-use topazyard_types::{CallId, MonotonicMs, NodeId, Place};
+use topazyard_types::{CallId, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Input, Machine as _};
 
 const RELAY: u16 = 9;
@@ -32,7 +32,7 @@
             name: None,
             address: at(1),
             http: None,
-            duty: Duty::Edge,
+            role: MemberRole::Edge,
             zone: "north".into(),
         };
         let seeds = vec![at(11)];
@@ -44,7 +44,7 @@
     fn step(&mut self, input: Input<AgentCall>) {
         for effect in self.machine.step(input, self.now) {
             match effect {
-                Effect::Send { message: Message::Feed(FeedMessage::Ask { .. }), .. } => {
+                Effect::Send { message: Message::Feed(FeedMessage::Request { .. }), .. } => {
                     self.passed_on += 1;
                 }
                 Effect::Return { call: CallId(7), .. } => self.may_end = true,
@@ -55,11 +55,11 @@
 
     fn relay_asks(&mut self) {
         self.nonce += 1;
-        let ask = FeedMessage::Ask {
+        let ask = FeedMessage::Request {
             nonce: self.nonce,
-            after: Place::default(),
+            after: LogPosition::default(),
             part: None,
-            heard: None,
+            last_response_age: None,
             health: Health::Edge { ready: false, waiting: 0, refused: 0 },
         };
         let sender = NodeId(u64::from(RELAY));
--- a/programs/topazyard-edge-agent/tests/looking.rs
+++ b/programs/topazyard-edge-agent/tests/looking.rs
@@ -1,10 +1,10 @@
 //! How an agent finds the control primary, with the others' words put in by hand.
 
 use topazyard_edge_agent::{AgentMachine, Start};
-use topazyard_types::{Epoch, MonotonicMs, NodeId, Place, Sequence};
+use topazyard_types::{Epoch, LogPosition, MonotonicMs, NodeId, Sequence};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter, PartWanted};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::feed::{FeedMessage, Health, PartRequest, UpdateContent};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Input, Machine as _};
 
 type Address = std::net::SocketAddr;
@@ -21,9 +21,9 @@
     /// Whom it asked, and under which nonce.
     asked: Vec<(Address, u64)>,
     /// What its relay was told: the nonce and the place.
-    told: Vec<(u64, Place)>,
+    told: Vec<(u64, LogPosition)>,
     /// The part of a snapshot that was asked for last.
-    part: Option<PartWanted>,
+    part: Option<PartRequest>,
 }
 
 impl Agent {
@@ -34,7 +34,7 @@
             name: None,
             address: at(1),
             http: None,
-            duty: Duty::Edge,
+            role: MemberRole::Edge,
             zone: "north".into(),
         };
         let start = Start {
@@ -53,13 +53,13 @@
         for effect in self.machine.step(input, self.now) {
             let Effect::Send { to, message: Message::Feed(message) } = effect else { continue };
             match message {
-                FeedMessage::Ask { nonce, part, .. } => {
+                FeedMessage::Request { nonce, part, .. } => {
                     self.asked.push((to, nonce));
                     self.part = part;
                 }
-                FeedMessage::News { nonce, place, .. } => {
+                FeedMessage::Update { nonce, position, .. } => {
                     assert_eq!(to, at(RELAY));
-                    self.told.push((nonce, place));
+                    self.told.push((nonce, position));
                 }
                 other => panic!("{other:?}"),
             }
@@ -77,19 +77,25 @@
     }
 
     /// Its relay asks for a part of a snapshot.
-    fn relay_asks_for(&mut self, nonce: u64, part: Option<PartWanted>) {
+    fn relay_asks_for(&mut self, nonce: u64, part: Option<PartRequest>) {
         let health = Health::Edge { ready: false, waiting: 0, refused: 0 };
-        let after = Place::default();
-        self.hear(at(RELAY), FeedMessage::Ask { nonce, after, part, heard: None, health });
+        let after = LogPosition::default();
+        self.hear(
+            at(RELAY),
+            FeedMessage::Request { nonce, after, part, last_response_age: None, health },
+        );
     }
 
     fn news(&mut self, from: Address, nonce: u64, sequence: u64) {
-        let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
-        self.hear(from, FeedMessage::News { nonce, place, matter: Matter::Changes(Vec::new()) });
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
+        self.hear(
+            from,
+            FeedMessage::Update { nonce, position, content: UpdateContent::Changes(Vec::new()) },
+        );
     }
 
     fn turned_away(&mut self, from: Address, nonce: u64, primary: Option<Address>) {
-        self.hear(from, FeedMessage::Elsewhere { nonce, epoch: Epoch(1), primary });
+        self.hear(from, FeedMessage::Redirect { nonce, epoch: Epoch(1), primary });
     }
 
     fn tick(&mut self, ms: u64) {
@@ -117,8 +123,8 @@
     agent.news(asked[1], nonce, 8);
     // One that was slower, and knows less, says nothing to the relay any more.
     agent.news(asked[2], nonce, 3);
-    let place = Place { epoch: Epoch(1), sequence: Sequence(8) };
-    assert_eq!(agent.told, [(5, place)]);
+    let position = LogPosition { epoch: Epoch(1), sequence: Sequence(8) };
+    assert_eq!(agent.told, [(5, position)]);
     agent.relay_asks(6);
     let (next, _) = agent.take_asked();
     assert_eq!(next.into_iter().collect::<Vec<_>>(), [asked[1]], "it leads and is asked alone");
@@ -193,8 +199,8 @@
     assert_eq!(agent.part, None);
     let (asked, nonce) = agent.take_asked();
     agent.news(*asked.first().expect("one"), nonce, 8);
-    let place = Place { epoch: Epoch(1), sequence: Sequence(8) };
-    let wanted = Some(PartWanted { place, part: 1 });
+    let position = LogPosition { epoch: Epoch(1), sequence: Sequence(8) };
+    let wanted = Some(PartRequest { position, part: 1 });
     agent.relay_asks_for(6, wanted);
     assert_eq!(agent.part, wanted);
 }
--- a/programs/topazyard-edge-agent/tests/metrics.rs
+++ b/programs/topazyard-edge-agent/tests/metrics.rs
@@ -5,7 +5,7 @@
 use topazyard_types::{CallId, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Input, Machine as _};
 
 fn at(port: u16) -> std::net::SocketAddr {
@@ -28,7 +28,7 @@
         name: None,
         address: at(1),
         http: None,
-        duty: Duty::Edge,
+        role: MemberRole::Edge,
         zone: "north".into(),
     };
     let seeds = vec![at(11), at(12), at(13)];
@@ -36,11 +36,11 @@
     let mut agent = AgentMachine::new(start);
     let before = topazyard_wire::metrics::text(Some(AgentFigures(health(&mut agent, 100_000))));
     assert!(!before.unwrap().contains("relay_heard"));
-    let asking = FeedMessage::Ask {
+    let asking = FeedMessage::Request {
         nonce: 5,
         after: Default::default(),
         part: None,
-        heard: None,
+        last_response_age: None,
         health: Health::Edge { ready: true, waiting: 0, refused: 0 },
     };
     let message = Message::Feed(asking);
--- a/programs/topazyard-operator/src/bundle_file.rs
+++ b/programs/topazyard-operator/src/bundle_file.rs
@@ -5,13 +5,13 @@
 /// A bundle read from a file, and its text.
 pub(crate) struct BundleFile {
     pub(crate) text: String,
-    pub(crate) bundle: topazyard_spec::Bundle,
+    pub(crate) bundle: topazyard_spec::Configuration,
 }
 
 /// Reads and checks a file.
 pub(crate) fn read(file: &std::path::Path) -> Result<BundleFile, OperatorError> {
     let text = crate::read_file(file)?;
-    let bundle = topazyard_spec::Bundle::read(&text).map_err(|error| faults(file, error))?;
+    let bundle = topazyard_spec::Configuration::read(&text).map_err(|error| faults(file, error))?;
     Ok(BundleFile { text, bundle })
 }
 
@@ -24,9 +24,9 @@
 /// A bundle with a file's partial change made.
 pub(crate) fn patched(
     file: &std::path::Path,
-    before: &topazyard_spec::Bundle,
+    before: &topazyard_spec::Configuration,
     patch: &topazyard_spec::Patch,
-) -> Result<topazyard_spec::Bundle, OperatorError> {
+) -> Result<topazyard_spec::Configuration, OperatorError> {
     before.patched(patch).map_err(|error| faults(file, error))
 }
 
@@ -43,14 +43,14 @@
 }
 
 /// What a control node's answer shows as a version's bundle.
-pub(crate) fn shown(answer: &serde_json::Value) -> Option<topazyard_spec::Bundle> {
-    topazyard_spec::Bundle::read(&answer["bundle"].to_string()).ok()
+pub(crate) fn shown(answer: &serde_json::Value) -> Option<topazyard_spec::Configuration> {
+    topazyard_spec::Configuration::read(&answer["bundle"].to_string()).ok()
 }
 
 /// Every place in which two bundles differ, with defaults filled in on both sides.
 pub(crate) fn differences(
-    old: Option<&topazyard_spec::Bundle>,
-    new: &topazyard_spec::Bundle,
+    old: Option<&topazyard_spec::Configuration>,
+    new: &topazyard_spec::Configuration,
 ) -> Vec<String> {
     let value = |bundle| serde_json::to_value(bundle).unwrap_or_default();
     let mut found = Vec::new();
@@ -94,9 +94,9 @@
 mod tests {
     use super::differences;
 
-    fn bundle(lanes: &str) -> topazyard_spec::Bundle {
+    fn bundle(lanes: &str) -> topazyard_spec::Configuration {
         let text = format!(r#"{{"pools":[{{"name":"main"}}],"lanes":[{lanes}]}}"#);
-        topazyard_spec::Bundle::read(&text).expect("a sound bundle")
+        topazyard_spec::Configuration::read(&text).expect("a sound bundle")
     }
 
     const A: &str = r#"{"name":"a","kind":"live","models":["m"],"pool":"main"}"#;
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -6,7 +6,7 @@
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::batch::{
-    BatchCall, BatchReturn, BatchStanding, Item, ItemEnd, ItemReturn,
+    BatchCall, BatchResponse, BatchStatus, Item, ItemEnd, ItemResult,
 };
 
 /// The largest batch taken, in bytes.
@@ -51,7 +51,7 @@
         }
         ("GET", [id]) => BatchCall::Read(batch_of(id)?),
         ("GET", [id, "returns"]) => {
-            BatchCall::Returns { batch: batch_of(id)?, after: after_of(head.uri.query())? }
+            BatchCall::ItemResults { batch: batch_of(id)?, after: after_of(head.uri.query())? }
         }
         ("POST", [id, "items", item, "recall"]) => {
             let malformed = |_| ApiError::not_run(Code::Malformed).at("item");
@@ -112,7 +112,7 @@
             body: bytes::Bytes::copy_from_slice(text),
             repeatable: item.repeatable,
             cost,
-            directions: None,
+            routing: None,
         })
     });
     items.collect()
@@ -128,32 +128,32 @@
     }
 }
 
-fn shown(value: BatchReturn) -> Result<hyper::Response<Body>, ApiError> {
+fn shown(value: BatchResponse) -> Result<hyper::Response<Body>, ApiError> {
     use topazyard_wire::http::json;
     match value {
-        BatchReturn::Accepted(standing) => Ok(json(201, &shown_standing(&standing))),
-        BatchReturn::Standing(standing) => Ok(json(200, &shown_standing(&standing))),
-        BatchReturn::Returns(returns) => {
+        BatchResponse::Accepted(standing) => Ok(json(201, &shown_standing(&standing))),
+        BatchResponse::Status(standing) => Ok(json(200, &shown_standing(&standing))),
+        BatchResponse::ItemResults(returns) => {
             let shown: Vec<_> = returns.iter().map(shown_return).collect();
             Ok(json(200, &serde_json::json!({ "returns": shown })))
         }
-        BatchReturn::Recalled => Ok(json(200, &serde_json::json!({ "recalled": true }))),
-        BatchReturn::TooLate { returned } => {
+        BatchResponse::Recalled => Ok(json(200, &serde_json::json!({ "recalled": true }))),
+        BatchResponse::TooLate { returned } => {
             let state = if returned { "returned" } else { "started" };
             Ok(json(200, &serde_json::json!({ "recalled": false, "item": state })))
         }
-        BatchReturn::Unknown => Err(ApiError::not_run(Code::NotFound).at("batch")),
-        BatchReturn::CeilingReached => Err(ApiError::not_run(Code::BatchCeiling)),
-        BatchReturn::Leased(_)
-        | BatchReturn::Results { .. }
-        | BatchReturn::Body(_)
-        | BatchReturn::MayStart(_)
-        | BatchReturn::Noted
-        | BatchReturn::NotHere => Err(ApiError::not_run(Code::NoShard)),
+        BatchResponse::Unknown => Err(ApiError::not_run(Code::NotFound).at("batch")),
+        BatchResponse::CeilingReached => Err(ApiError::not_run(Code::BatchCeiling)),
+        BatchResponse::Leased(_)
+        | BatchResponse::RoutedResults { .. }
+        | BatchResponse::Body(_)
+        | BatchResponse::MayStart(_)
+        | BatchResponse::Acknowledged
+        | BatchResponse::NotPrimary => Err(ApiError::not_run(Code::NoShard)),
     }
 }
 
-fn shown_standing(standing: &BatchStanding) -> serde_json::Value {
+fn shown_standing(standing: &BatchStatus) -> serde_json::Value {
     serde_json::json!({
         "batch": standing.batch.to_string(),
         "items": standing.items,
@@ -168,9 +168,9 @@
     body.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn shown_return(item_return: &ItemReturn) -> serde_json::Value {
+fn shown_return(item_return: &ItemResult) -> serde_json::Value {
     let (outcome, status, body) = match &item_return.end {
-        ItemEnd::Whole { status, body } => ("whole", Some(*status), Some(body)),
+        ItemEnd::Complete { status, body } => ("whole", Some(*status), Some(body)),
         ItemEnd::OutcomeUnknown => ("outcome_unknown", None, None),
         ItemEnd::Recalled => ("recalled", None, None),
         ItemEnd::Ended => ("ended", None, None),
--- a/programs/topazyard-relay/src/front/items.rs
+++ b/programs/topazyard-relay/src/front/items.rs
@@ -32,9 +32,9 @@
     names: &dyn Dialect,
 ) -> Option<hyper::Request<Body>> {
     let body = topazyard_wire::http::whole(run.body.clone());
-    let mut request = hyper::Request::post(&run.directions.path).body(body).ok()?;
+    let mut request = hyper::Request::post(&run.routing.path).body(body).ok()?;
     let mut headers = hyper::HeaderMap::new();
-    for (name, value) in &run.directions.headers {
+    for (name, value) in &run.routing.headers {
         let name = hyper::header::HeaderName::from_bytes(name.as_bytes()).ok()?;
         headers.append(name, HeaderValue::from_str(value).ok()?);
     }
@@ -67,7 +67,7 @@
     mut breaks_off: BreaksOff,
 ) -> (RunEnd, EngineUse) {
     // An item that no request can carry will never run.
-    let Ok(request_id) = HeaderValue::from_str(&run.directions.id) else {
+    let Ok(request_id) = HeaderValue::from_str(&run.routing.id) else {
         return (RunEnd::NotRun, EngineUse::Unsent);
     };
     let Some(request) = request_of(run, &request_id, names) else {
@@ -113,16 +113,19 @@
                 () = broken_off(&mut breaks_off) => None,
             };
             let Some(whole) = whole else {
-                return (RunEnd::Broken(events.so_far()), EngineUse::BrokenOff);
+                return (RunEnd::Interrupted(events.so_far()), EngineUse::BrokenOff);
             };
             if !(whole && is_delimited) {
-                return (RunEnd::Broken(events.so_far()), failed(handle, run, Failure::Broken));
+                return (
+                    RunEnd::Interrupted(events.so_far()),
+                    failed(handle, run, Failure::Broken),
+                );
             }
             let Some(text) = events.whole() else {
                 return (RunEnd::Unknown, failed(handle, run, Failure::Broken));
             };
             connections::keep(connection, &head.headers);
-            (RunEnd::Done { text }, EngineUse::Whole(first))
+            (RunEnd::StreamComplete { text }, EngineUse::Whole(first))
         }
         (Verdict::Foreign, _) => (RunEnd::Unknown, failed(handle, run, Failure::Foreign)),
         _ => (RunEnd::Unknown, failed(handle, run, Failure::Failed)),
--- a/programs/topazyard-relay/src/front/tasks.rs
+++ b/programs/topazyard-relay/src/front/tasks.rs
@@ -75,7 +75,7 @@
         let status = response.status().as_u16();
         let body = http_body_util::Limited::new(response.into_body(), MOST_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
-        Some(RunEnd::Whole { status, body })
+        Some(RunEnd::Complete { status, body })
     };
     let ended = tokio::time::timeout(span(crate::machine::items::RUN_LIMIT), work).await;
     ended.ok().flatten().unwrap_or(RunEnd::Unknown)
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: the estimate is made before; here the deadline is checked, then the budget.
 
 use super::{EngineUse, Out, Prompt, PromptId, RelayMachine, RelayReturn};
-use topazyard_spec::LaneKind;
+use topazyard_spec::ModelRouteKind;
 use topazyard_types::{CallId, DurationMs, EngineName, HoldId, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
@@ -146,8 +146,8 @@
         if let Some(code) = self.unready(now).filter(|code| *code != Code::NoEngine) {
             return refused(code);
         }
-        let Some((_, bundle)) = &self.view.spec else { return refused(Code::StaleFeed) };
-        let Some(lane) = bundle.lane_for(LaneKind::Live, &prompt.model) else {
+        let Some((_, bundle)) = &self.view.configuration else { return refused(Code::StaleFeed) };
+        let Some(lane) = bundle.model_route_for(ModelRouteKind::Live, &prompt.model) else {
             return Err(ApiError::not_run(Code::NoLane).at("Topazyard-Model"));
         };
         let queue = self.admission.queuees.get(&lane.pool);
@@ -171,7 +171,7 @@
     }
 
     fn depth(&self, pool: &PoolName) -> usize {
-        let bundle = self.view.spec.as_ref().map(|(_, bundle)| bundle);
+        let bundle = self.view.configuration.as_ref().map(|(_, bundle)| bundle);
         let pool = bundle.and_then(|bundle| bundle.pool(pool));
         pool.map_or(0, |pool| pool.queue_depth as usize)
     }
@@ -284,7 +284,7 @@
         if !matches!(&entry.stage, Stage::Held(_, held) if held == engine) {
             return refused(Code::NoEngine);
         }
-        match self.go_until(engine, &entry.pool, &entry.prompt.model, LaneKind::Live, now) {
+        match self.go_until(engine, &entry.pool, &entry.prompt.model, ModelRouteKind::Live, now) {
             Err(code) => refused(code),
             Ok(until) => RelayReturn::GoUntil(until.min(entry.prompt.deadline)),
         }
@@ -296,15 +296,15 @@
         engine: &EngineName,
         pool: &PoolName,
         model: &topazyard_types::ModelName,
-        kind: LaneKind,
+        kind: ModelRouteKind,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
         if let Some(code) = self.cut_off(now) {
             return Err(code);
         }
-        let Some((_, bundle)) = &self.view.spec else { return Err(Code::StaleFeed) };
+        let Some((_, bundle)) = &self.view.configuration else { return Err(Code::StaleFeed) };
         // The spec may have changed while it waited.
-        if bundle.lane_for(kind, model).is_none_or(|lane| lane.pool != *pool) {
+        if bundle.model_route_for(kind, model).is_none_or(|lane| lane.pool != *pool) {
             return Err(Code::NoLane);
         }
         let fits = |e: &topazyard_spec::Engine| {
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -2,15 +2,15 @@
 //! be sent twice without harm.
 
 use super::{FRESH_FOR, Out, RelayMachine, RelayReturn};
-use topazyard_spec::LaneKind;
+use topazyard_spec::ModelRouteKind;
 use topazyard_types::{
-    BatchId, CallId, DurationMs, Epoch, Life, MonotonicMs, RouteName, ShardId, Tokens,
+    BatchId, BootId, CallId, DurationMs, Epoch, MonotonicMs, RouteName, ShardId, Tokens,
 };
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::batch::{
-    BatchBody, BatchCall, BatchMessage, BatchReturn, Item, RoutedBatch, Terms,
+    BatchBody, BatchCall, BatchMessage, BatchResponse, Item, RoutedBatch, RoutedBatchTerms,
 };
 
 /// After how long without a return a call is sent again.
@@ -60,8 +60,8 @@
 }
 
 impl BatchCalls {
-    pub(super) fn new(life: Life) -> Self {
-        Self { last: life.first_number(), ..Self::default() }
+    pub(super) fn new(boot_id: BootId) -> Self {
+        Self { last: boot_id.first_number(), ..Self::default() }
     }
 
     /// Clients' calls under way.
@@ -92,9 +92,9 @@
     match call {
         BatchCall::SubmitRouted(routed) => Some(routed.batch.shard),
         BatchCall::Submit { batch, .. }
-        | BatchCall::Results { batch, .. }
+        | BatchCall::RoutedResults { batch, .. }
         | BatchCall::Body { batch, .. }
-        | BatchCall::Returns { batch, .. }
+        | BatchCall::ItemResults { batch, .. }
         | BatchCall::Read(batch)
         | BatchCall::Recall(batch, _)
         | BatchCall::End(batch) => Some(batch.shard),
@@ -107,8 +107,8 @@
     matches!(
         call,
         BatchCall::Read(_)
-            | BatchCall::Returns { .. }
-            | BatchCall::Results { .. }
+            | BatchCall::ItemResults { .. }
+            | BatchCall::RoutedResults { .. }
             | BatchCall::Body { .. }
     )
 }
@@ -210,7 +210,7 @@
         };
         let routed = RoutedBatch {
             batch,
-            terms: Terms {
+            terms: RoutedBatchTerms {
                 route: route.name.clone(),
                 host: route.host.clone(),
                 run_target: DurationMs(terms.run_target_ms),
@@ -225,7 +225,7 @@
 
     /// Checks items against the spec in force, and gives its ceiling on waiting work.
     fn check_items(&self, items: &[Item]) -> Result<Tokens, ApiError> {
-        let Some((_, bundle)) = &self.view.spec else {
+        let Some((_, bundle)) = &self.view.configuration else {
             return Err(ApiError::not_run(Code::StaleFeed));
         };
         let limits = &bundle.batches;
@@ -237,7 +237,7 @@
                 let error = ApiError::not_run(Code::BodyTooLarge);
                 return Err(error.at(format!("items[{index}].body")));
             }
-            if bundle.lane_for(LaneKind::Batch, &item.model).is_none() {
+            if bundle.model_route_for(ModelRouteKind::Batch, &item.model).is_none() {
                 return Err(ApiError::not_run(Code::NoLane).at(format!("items[{index}].model")));
             }
         }
@@ -267,8 +267,11 @@
     }
 
     fn send_pending(&mut self, id: u64, now: MonotonicMs, out: &mut Out) {
-        let ceiling =
-            self.view.spec.as_ref().map(|(_, bundle)| bundle.batches.waiting_ceiling_tokens);
+        let ceiling = self
+            .view
+            .configuration
+            .as_ref()
+            .map(|(_, bundle)| bundle.batches.waiting_ceiling_tokens);
         let heard_lately = now.plus(FRESH_FOR) < self.fresh_until().plus(SUBMIT_FRESH_FOR);
         let Some(pending) = self.batches.pending.get_mut(&id) else { return };
         if let BatchCall::Submit { ceiling: told, .. } = &mut pending.call {
@@ -307,15 +310,15 @@
     }
 
     pub(super) fn receive_batch(&mut self, message: BatchMessage, now: MonotonicMs, out: &mut Out) {
-        let BatchBody::Return(value) = message.body else { return };
-        if value == BatchReturn::NotHere {
+        let BatchBody::Response(value) = message.body else { return };
+        if value == BatchResponse::NotPrimary {
             self.tell_record(message.shard, message.epoch, out);
             if let Some(pending) = self.batches.pending.get_mut(&message.call) {
                 pending.send_at = now.plus(SEND_AGAIN_SOON);
             }
             return;
         }
-        if value == BatchReturn::CeilingReached
+        if value == BatchResponse::CeilingReached
             && let Some(pending) = self.batches.pending.get(&message.call)
             && !pending.is_refused_by(message.epoch)
         {
@@ -323,7 +326,7 @@
         }
         let Some(pending) = self.batches.pending.remove(&message.call) else { return };
         match (pending.caller, value) {
-            (Caller::Client(call), BatchReturn::CeilingReached) => {
+            (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.count_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
                 out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
@@ -331,11 +334,11 @@
             (Caller::Client(call), value) => {
                 out.push(Effect::Return { call, value: RelayReturn::Batch(value) });
             }
-            (Caller::Leasing(since), BatchReturn::Leased(items)) => {
+            (Caller::Leasing(since), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, since, now, out);
             }
             (Caller::Leasing(_), _) => self.items.lease_over(pending.shard),
-            (Caller::Starting(run), BatchReturn::MayStart(may)) => {
+            (Caller::Starting(run), BatchResponse::MayStart(may)) => {
                 self.start_settled(run, may, now, out);
             }
             (Caller::Starting(run), _) => self.start_settled(run, false, now, out),
@@ -391,7 +394,7 @@
             }
             pending.aside_at = now.plus(ASK_ASIDE);
             for holder in record.members() {
-                let body = BatchBody::Aside(pending.call.clone());
+                let body = BatchBody::ReplicaRead(pending.call.clone());
                 let (shard, epoch) = (pending.shard, record.epoch);
                 let message = BatchMessage { shard, epoch, call: *id, body };
                 out.push(Effect::Send { to: holder.address, message: Message::Batch(message) });
--- a/programs/topazyard-relay/src/machine/choice.rs
+++ b/programs/topazyard-relay/src/machine/choice.rs
@@ -11,7 +11,7 @@
 use topazyard_spec::{Engine, EngineState};
 use topazyard_types::{Digest, DurationMs, EngineName, MonotonicMs, NodeId, PoolName};
 use topazyard_wire::Effect;
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 
 /// Failures in a row after which an engine is left alone.
 const STRIKES: u32 = 2;
@@ -112,7 +112,7 @@
 
 impl Engines {
     /// Whether a pool has an engine that could be tried at all.
-    pub(super) fn has_usable(&self, view: &FleetView, pool: &PoolName) -> bool {
+    pub(super) fn has_usable(&self, view: &FleetSnapshot, pool: &PoolName) -> bool {
         view.engines
             .values()
             .any(|engine| engine.pool == *pool && engine.state == EngineState::Ready)
@@ -126,7 +126,7 @@
     /// Chooses an engine, and says after how long without a word it is to be doubted.
     pub(super) fn choose(
         &self,
-        view: &FleetView,
+        view: &FleetSnapshot,
         wanted: &Wanted<'_>,
         own: NodeId,
         now: MonotonicMs,
@@ -140,7 +140,7 @@
     /// unless another engine costs much less, and then the others by what they cost.
     pub(super) fn ranked<'a>(
         &self,
-        view: &'a FleetView,
+        view: &'a FleetSnapshot,
         wanted: &Wanted<'_>,
         own: NodeId,
         now: MonotonicMs,
@@ -178,7 +178,7 @@
     /// The engines that a request may go to, each with its rank for these parts.
     fn candidates<'a>(
         &self,
-        view: &'a FleetView,
+        view: &'a FleetSnapshot,
         wanted: &Wanted<'_>,
         key: Digest,
         only_usable: bool,
@@ -296,7 +296,7 @@
     }
 
     /// Engines of routes that were left alone long enough are asked for a connection.
-    pub(super) fn reach_tick(&mut self, view: &FleetView, now: MonotonicMs, out: &mut Out) {
+    pub(super) fn reach_tick(&mut self, view: &FleetSnapshot, now: MonotonicMs, out: &mut Out) {
         for engine in view.engines.values().filter(|e| e.state == EngineState::Ready) {
             let Some(known) = self.known.get_mut(&engine.name) else { continue };
             out.extend(known.learned.state_change(&engine.name));
--- a/programs/topazyard-relay/src/machine/counting.rs
+++ b/programs/topazyard-relay/src/machine/counting.rs
@@ -2,11 +2,11 @@
 
 use super::{Out, RelayMachine};
 use topazyard_types::{
-    DurationMs, EngineName, Epoch, HoldId, Life, MonotonicMs, PoolName, ShardId, Tokens,
+    BootId, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, PoolName, ShardId, Tokens,
 };
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::counter::{CounterBody, CounterMessage, Hold, HoldKind, Terms};
+use topazyard_wire::message::counter::{CounterBody, CounterMessage, Hold, HoldKind, HoldTerms};
 
 /// How often the lease is renewed.
 const RENEW_EVERY: DurationMs = DurationMs(500);
@@ -35,8 +35,12 @@
 }
 
 impl Counting {
-    pub(super) fn new(life: Life) -> Self {
-        Self { last_id: life.first_number(), last_number: life.first_number(), ..Self::default() }
+    pub(super) fn new(boot_id: BootId) -> Self {
+        Self {
+            last_id: boot_id.first_number(),
+            last_number: boot_id.first_number(),
+            ..Self::default()
+        }
     }
 
     /// Until when what is held here surely stands.
@@ -59,8 +63,8 @@
     }
 
     /// The terms of the spec in force here.
-    fn terms(&self, pool: &PoolName, kind: HoldKind) -> Terms {
-        let bundle = self.view.spec.as_ref().map(|(_, bundle)| bundle);
+    fn terms(&self, pool: &PoolName, kind: HoldKind) -> HoldTerms {
+        let bundle = self.view.configuration.as_ref().map(|(_, bundle)| bundle);
         let known = bundle.and_then(|bundle| bundle.pool(pool));
         let limit = known.map_or(Tokens(0), |pool| self.view.limit(pool));
         let part = match kind {
@@ -71,7 +75,7 @@
             HoldKind::Block => self.block_expiry,
             _ => DurationMs(known.map_or(0, |pool| pool.hold_expiry_ms)),
         };
-        Terms { limit, part, expiry }
+        HoldTerms { limit, part, expiry }
     }
 
     /// Asks for a hold; the return comes by [`RelayMachine::hold_settled`].
@@ -148,11 +152,11 @@
         }
         let granted = counting.mine.values().filter(|mine| mine.granted);
         let holds = granted.map(|mine| mine.hold.clone()).collect();
-        let asked =
+        let pending =
             counting.mine.iter().filter(|(_, mine)| !mine.granted).map(|(id, _)| *id).collect();
         let (number, up_to) = (counting.last_number, HoldId(counting.last_id));
         let used = self.requests.take_mean_used(now);
-        self.send_counter(CounterBody::Renew { number, up_to, holds, asked, used }, out);
+        self.send_counter(CounterBody::Renew { number, up_to, holds, pending, used }, out);
     }
 
     pub(super) fn receive_counter(
@@ -162,7 +166,7 @@
         out: &mut Out,
     ) {
         match &message.body {
-            CounterBody::NotHere => self.tell_record(ShardId::COUNTER, message.epoch, out),
+            CounterBody::NotPrimary => self.tell_record(ShardId::COUNTER, message.epoch, out),
             CounterBody::Added { id, granted, engine } => {
                 let (id, granted) = (*id, *granted);
                 match self.counting.mine.get_mut(&id) {
--- a/programs/topazyard-relay/src/machine/engines.rs
+++ b/programs/topazyard-relay/src/machine/engines.rs
@@ -117,11 +117,11 @@
 
     /// Models that have an engine for batch items.
     pub(super) fn models_with_engine(&self) -> Vec<ModelName> {
-        let Some((_, bundle)) = &self.view.spec else { return Vec::new() };
+        let Some((_, bundle)) = &self.view.configuration else { return Vec::new() };
         let mut models: Vec<ModelName> = bundle
             .lanes
             .iter()
-            .filter(|lane| lane.kind != topazyard_spec::LaneKind::Live)
+            .filter(|lane| lane.kind != topazyard_spec::ModelRouteKind::Live)
             .flat_map(|lane| lane.models.iter().filter(|model| self.has_engine(&lane.pool, model)))
             .cloned()
             .collect();
@@ -173,7 +173,7 @@
     /// Pools that lanes use. Engines that serve routes alone are judged by what their requests come
     /// to: a look there would cost a slot.
     fn pools_of_lanes(&self) -> std::collections::BTreeSet<PoolName> {
-        let bundle = self.view.spec.iter().flat_map(|(_, bundle)| &bundle.lanes);
+        let bundle = self.view.configuration.iter().flat_map(|(_, bundle)| &bundle.lanes);
         bundle.map(|lane| lane.pool.clone()).collect()
     }
 
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -4,7 +4,7 @@
 use super::choice::Wanted;
 use super::requests::PromptPart;
 use super::{EngineUse, Out, RelayMachine, RelayReturn, RelayTask, Target};
-use topazyard_spec::{LaneKind, RouteKind};
+use topazyard_spec::{ModelRouteKind, RouteKind};
 use topazyard_types::{
     BatchId, Digest, DurationMs, EngineName, HoldId, ModelName, MonotonicMs, PoolName, RouteName,
     ShardId, Tokens,
@@ -12,8 +12,8 @@
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::batch::{BatchCall, Item, LeasedItem, Progress, Run, RunEnd};
-use topazyard_wire::message::counter::{HoldKind, MOST_ENGINES};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::message::counter::{HoldKind, MAX_ENGINES};
+use topazyard_wire::state::FleetSnapshot;
 
 /// How long an item may run. A dark engine holds its budget no longer than this.
 pub const RUN_LIMIT: DurationMs = DurationMs(30_000);
@@ -244,11 +244,10 @@
                 self.take_routed(run, item, routed, now, out);
                 continue;
             }
-            let lane = self
-                .view
-                .spec
-                .as_ref()
-                .and_then(|(_, bundle)| bundle.lane_for(LaneKind::Batch, &item.model));
+            let lane =
+                self.view.configuration.as_ref().and_then(|(_, bundle)| {
+                    bundle.model_route_for(ModelRouteKind::Batch, &item.model)
+                });
             let Some(pool) = lane.map(|lane| lane.pool.clone()) else {
                 self.finish_run(run, RunEnd::NotRun, now, out);
                 continue;
@@ -262,10 +261,10 @@
     fn ask_for_item(&mut self, run: Run, now: MonotonicMs, out: &mut Out) {
         let Some(entry) = self.items.entries.get(&run) else { return };
         let (pool, cost) = (entry.pool.clone(), entry.item.cost);
-        let declared = self.view.spec.as_ref().and_then(|(_, bundle)| bundle.pool(&pool));
+        let declared = self.view.configuration.as_ref().and_then(|(_, bundle)| bundle.pool(&pool));
         // What a route directs is charged as its live requests are.
         let cost = match declared.filter(|_| entry.routed.is_some()) {
-            Some(declared) => FleetView::charge(declared, cost),
+            Some(declared) => FleetSnapshot::charge(declared, cost),
             None => cost,
         };
         let engines = self.engines_for(run, now);
@@ -282,7 +281,7 @@
         let prefix = prefix_of(&entry.item);
         let wanted = Wanted { pool: &entry.pool, prefix: &prefix, not: &[] };
         let ranked = self.engines.ranked(&self.view, &wanted, self.node, now);
-        ranked.into_iter().take(MOST_ENGINES).map(|engine| engine.name.clone()).collect()
+        ranked.into_iter().take(MAX_ENGINES).map(|engine| engine.name.clone()).collect()
     }
 
     /// Lets items that wait ask, as many as that, those that wait longest first.
@@ -423,7 +422,7 @@
                 Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
             };
         }
-        match self.go_until(engine, &entry.pool, &entry.item.model, LaneKind::Batch, now) {
+        match self.go_until(engine, &entry.pool, &entry.item.model, ModelRouteKind::Batch, now) {
             Err(code) => refused(code),
             Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
         }
@@ -449,7 +448,7 @@
 
 /// The parts of a routed item's prompt that others share.
 fn prefix_of(item: &Item) -> Vec<PromptPart> {
-    let prefix = item.directions.as_ref().map_or(&[][..], |directions| &directions.prefix);
+    let prefix = item.routing.as_ref().map_or(&[][..], |routing| &routing.prefix);
     let part =
         |(digest, tokens): &(Digest, Tokens)| PromptPart { digest: *digest, tokens: *tokens };
     prefix.iter().map(part).collect()
@@ -527,8 +526,8 @@
         let listed = engine.and_then(|name| self.view.engines.get(name));
         let target = listed.map(|e| Target { engine: e.name.clone(), address: e.address });
         let terms = self.view.routes.named(&routed.route);
-        let directed = (target, entry.item.directions.clone(), terms);
-        let (Some(target), Some(directions), Some(route)) = directed else {
+        let directed = (target, entry.item.routing.clone(), terms);
+        let (Some(target), Some(routing), Some(route)) = directed else {
             self.set_stage(run, Stage::Asking(hold));
             self.let_item_go(run, out);
             return self.finish_run(run, RunEnd::NotRun, now, out);
@@ -536,7 +535,7 @@
         let started = Stage::Started(hold, routed.start_until, target.engine.clone());
         let routed_run = super::routed_items::RoutedRun {
             run,
-            directions,
+            routing,
             host: routed.host.clone(),
             body: entry.item.body.clone(),
             progress: routed.progress.clone(),
@@ -556,7 +555,7 @@
         route: &RouteName,
         now: MonotonicMs,
     ) -> Result<MonotonicMs, Code> {
-        if now >= self.routes_until() || self.view.spec.is_none() {
+        if now >= self.routes_until() || self.view.configuration.is_none() {
             return Err(Code::StaleFeed);
         }
         // Its hold was granted within the time that a run may start in; no lease is needed beside it.
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -15,14 +15,14 @@
 use crate::prompt::Failure;
 use topazyard_replication::{FeedFollower, follower::FollowOutcome};
 use topazyard_types::{
-    BatchId, DurationMs, EngineName, Life, ModelName, MonotonicMs, NodeId, RouteName, ShardId,
-    SpecVersion, Tokens,
+    BatchId, BootId, ConfigurationVersion, DurationMs, EngineName, ModelName, MonotonicMs, NodeId,
+    RouteName, ShardId, Tokens,
 };
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchCall, BatchReturn, Item, Run, RunEnd};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, Run, RunEnd};
 use topazyard_wire::message::feed::{FeedMessage, Health};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Input, Machine};
 
 /// How old the last confirmation of the feed may be. Below the 2 s that operators are promised.
@@ -157,7 +157,7 @@
     /// It may be sent if it is sent before that moment.
     GoUntil(MonotonicMs),
     /// What came of a call on batches.
-    Batch(BatchReturn),
+    Batch(BatchResponse),
     /// It drains, at these times.
     Drains(crate::drain::Draining),
     /// Nothing to say.
@@ -198,7 +198,7 @@
     /// Whether it is ready.
     pub ready: bool,
     /// The spec in force here.
-    pub spec: Option<SpecVersion>,
+    pub spec: Option<ConfigurationVersion>,
     /// The place read in the feed.
     pub place: String,
     /// How old the last confirmation of the feed is.
@@ -252,7 +252,7 @@
     agent: std::net::SocketAddr,
     pub(crate) bounds: topazyard_spec::Bounds,
     follower: FeedFollower,
-    pub(crate) view: FleetView,
+    pub(crate) view: FleetSnapshot,
     pub(crate) counting: counting::Counting,
     pub(crate) admission: admission::Admission,
     pub(crate) requests: requests::Requests,
@@ -275,14 +275,14 @@
     /// A relay as it starts: it knows nothing and refuses everything.
     pub fn new(start: &Start) -> Self {
         // A relay's id is new in each life.
-        let life = Life(start.node.0);
+        let boot_id = BootId(start.node.0);
         Self {
             node: start.node,
             agent: start.agent,
             bounds: start.bounds.clone(),
-            follower: FeedFollower::new(vec![start.agent], life),
-            view: FleetView::default(),
-            counting: counting::Counting::new(life),
+            follower: FeedFollower::new(vec![start.agent], boot_id),
+            view: FleetSnapshot::default(),
+            counting: counting::Counting::new(boot_id),
             admission: admission::Admission::default(),
             requests: requests::Requests::default(),
             routes_fresh_for: DurationMs(
@@ -291,7 +291,7 @@
             block_expiry: DurationMs(start.bounds.contact.0 * BLOCK_EXPIRY_OF_CONTACT),
             engines: engines::Engines::default(),
             items: items::Items::default(),
-            batches: batches::BatchCalls::new(life),
+            batches: batches::BatchCalls::new(boot_id),
             allowed: 0,
             refused: std::collections::BTreeMap::new(),
             refused_for_room: 0,
@@ -307,7 +307,7 @@
 
     /// Which of the others this relay must hear and doesn't.
     pub(crate) fn cut_off(&self, now: MonotonicMs) -> Option<Code> {
-        if now >= self.fresh_until() || self.view.spec.is_none() {
+        if now >= self.fresh_until() || self.view.configuration.is_none() {
             Some(Code::StaleFeed)
         } else if now >= self.counting.leased_until() {
             Some(Code::NoCounter)
@@ -349,7 +349,7 @@
         RelayHealth {
             node: self.node,
             ready: self.unready(now).is_none(),
-            spec: self.view.spec.as_ref().map(|(version, _)| *version),
+            spec: self.view.configuration.as_ref().map(|(version, _)| *version),
             place: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
@@ -401,13 +401,13 @@
         if self.follower.receive(from, message) != FollowOutcome::Changed {
             return;
         }
-        let before = self.view.spec.as_ref().map(|(version, _)| *version);
+        let before = self.view.configuration.as_ref().map(|(version, _)| *version);
         let engines = std::mem::take(&mut self.view.engines);
-        self.view = FleetView::read(self.follower.copy().rows());
+        self.view = FleetSnapshot::read(self.follower.copy().rows());
         if self.view.engines != engines {
             self.engines.index = engine_index::EngineIndex::of(self.view.engines.values());
         }
-        let version = self.view.spec.as_ref().map(|(version, _)| *version);
+        let version = self.view.configuration.as_ref().map(|(version, _)| *version);
         if let Some(version) = version.filter(|version| before != Some(*version)) {
             let engines = self.view.engines.len();
             let text = format!("spec {version} in force, {engines} engines listed");
@@ -503,7 +503,7 @@
     pub(crate) fn tell_record(&self, shard: ShardId, told: topazyard_types::Epoch, out: &mut Out) {
         let Some(record) = self.view.shards.get(&shard).filter(|r| r.epoch > told) else { return };
         for holder in record.holders() {
-            let message = Message::Told(shard, record.clone());
+            let message = Message::ShardRecord(shard, record.clone());
             out.push(Effect::Send { to: holder.address, message });
         }
     }
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -230,8 +230,8 @@
     }
 
     /// What is known of the fleet, while that may be used for requests on routes.
-    pub fn in_force(&self, now: MonotonicMs) -> Option<&topazyard_wire::state::FleetView> {
-        let is_usable = now < self.routes_until() && self.view.spec.is_some();
+    pub fn in_force(&self, now: MonotonicMs) -> Option<&topazyard_wire::state::FleetSnapshot> {
+        let is_usable = now < self.routes_until() && self.view.configuration.is_some();
         is_usable.then_some(&self.view)
     }
 
@@ -279,7 +279,7 @@
     fn judge_arrival(&self, arrival: &Arrival, now: MonotonicMs) -> Result<Judged, RelayReturn> {
         let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
         let view = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
-        let Some((_, bundle)) = &view.spec else { return Err(refused(Code::StaleFeed)) };
+        let Some((_, bundle)) = &view.configuration else { return Err(refused(Code::StaleFeed)) };
         let Some(route) = view.routes.find(&arrival.host, &arrival.path) else {
             return Err(refused(Code::NoRoute));
         };
@@ -374,7 +374,7 @@
     fn unasked(&self, pool: &PoolName, now: MonotonicMs) -> Tokens {
         let asked = self.requests.rooms.get(pool).and_then(|room| room.asked);
         let is_late = asked.is_some_and(|(_, _, at)| now.since(at) >= UNASKED_AFTER);
-        let declared = self.view.spec.as_ref().and_then(|(_, bundle)| bundle.pool(pool));
+        let declared = self.view.configuration.as_ref().and_then(|(_, bundle)| bundle.pool(pool));
         match declared.filter(|_| is_late) {
             Some(declared) => Tokens(self.view.limit(declared).0 / UNASKED_OF_LIMIT),
             None => Tokens(0),
@@ -382,7 +382,7 @@
     }
 
     fn ask_for_block(&mut self, pool: &PoolName, least: Tokens, now: MonotonicMs, out: &mut Out) {
-        let Some((_, bundle)) = &self.view.spec else { return };
+        let Some((_, bundle)) = &self.view.configuration else { return };
         let Some(declared) = bundle.pool(pool) else { return };
         let limit = self.view.limit(declared);
         let Some(room) = self.requests.rooms.get_mut(pool) else { return };
@@ -561,7 +561,8 @@
 
     /// Lets blocks go that were not needed lately, and all of a pool that is gone.
     fn let_block_go(&mut self, pool: &PoolName, now: MonotonicMs, out: &mut Out) {
-        let is_known = self.view.spec.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
+        let is_known =
+            self.view.configuration.as_ref().is_some_and(|(_, b)| b.pool(pool).is_some());
         let Some(room) = self.requests.rooms.get_mut(pool) else { return };
         if now.since(room.span_began) < PEAK_SPAN {
             return;
--- a/programs/topazyard-relay/src/machine/routed_items.rs
+++ b/programs/topazyard-relay/src/machine/routed_items.rs
@@ -3,7 +3,7 @@
 use super::Target;
 use topazyard_spec::Route;
 use topazyard_types::{DurationMs, PoolName};
-use topazyard_wire::message::batch::{Directions, Progress, Run};
+use topazyard_wire::message::batch::{ItemRouting, Progress, Run};
 
 /// The shortest silence after which an engine counts as gone.
 const SHORTEST_SILENCE_MS: u64 = 2_000;
@@ -18,7 +18,7 @@
     /// Where.
     pub target: Target,
     /// How it is sent.
-    pub directions: Directions,
+    pub routing: ItemRouting,
     /// The host that it names.
     pub host: String,
     /// The body, byte for byte.
--- a/programs/topazyard-relay/src/prompt/chart.rs
+++ b/programs/topazyard-relay/src/prompt/chart.rs
@@ -96,7 +96,7 @@
     /// chart.dispatch();
     /// // Sent and not repeatable: never sent again, and never said not to have run.
     /// let Next::Answer(error) = chart.fail(Failure::Broken, MonotonicMs(10)) else { panic!() };
-    /// assert_eq!(error.ran, topazyard_wire::Ran::MayHaveRun);
+    /// assert_eq!(error.ran, topazyard_wire::Execution::MayHaveRun);
     /// assert_eq!(chart.state(), State::Refused);
     /// ```
     pub fn arrived(repeatable: bool, deadline: MonotonicMs) -> Self {
@@ -194,7 +194,11 @@
     pub fn refuse(&mut self, error: ApiError) -> ApiError {
         let before = [State::Arrived, State::Waiting, State::Held, State::Dispatched];
         self.change(&before, State::Refused);
-        if self.sent { ApiError { ran: topazyard_wire::Ran::MayHaveRun, ..error } } else { error }
+        if self.sent {
+            ApiError { ran: topazyard_wire::Execution::MayHaveRun, ..error }
+        } else {
+            error
+        }
     }
 
     /// Whether no other engine may be tried after this one.
--- a/programs/topazyard-relay/src/run.rs
+++ b/programs/topazyard-relay/src/run.rs
@@ -34,8 +34,8 @@
 /// # Errors
 /// A setting that is missing, an address that is taken, or a disk that can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings, front: Front) -> Result<(), StartError> {
-    let http = settings.need_http()?;
-    let agent = settings.need_beside()?;
+    let http = settings.require_http()?;
+    let agent = settings.require_beside()?;
     topazyard_wire::log::start(settings.data.clone()).map_err(|_| StartError::Log)?;
     let node = topazyard_wire::driver::fresh_id();
     let start = crate::Start { node, agent, bounds: settings.bounds.clone() };
@@ -50,7 +50,7 @@
         let (tasks, begun) = tokio::sync::mpsc::channel(1_024);
         let make = move |_| (crate::RelayMachine::new(&start), Vec::new());
         let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, None, tasks)?;
+            topazyard_wire::driver::spawn_at(settings.listen_address(), make, place, None, tasks)?;
         let names = match &front {
             Front::Own => None,
             Front::Routes { names, .. } => Some(names.clone()),
--- a/programs/topazyard-relay/tests/admission.rs
+++ b/programs/topazyard-relay/tests/admission.rs
@@ -4,14 +4,14 @@
 use topazyard_relay::machine::{EngineUse, Prompt, PromptId};
 use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
 use topazyard_types::{
-    CallId, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, NodeId, Place, Sequence, ShardId,
-    Tokens,
+    CallId, DurationMs, EngineName, Epoch, HoldId, LogPosition, MonotonicMs, NodeId, Sequence,
+    ShardId, Tokens,
 };
 use topazyard_wire::api::Code;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, shard_key};
 use topazyard_wire::{Effect, Input, Machine as _, RowChange};
 
@@ -57,7 +57,9 @@
                 Effect::Send { message: Message::Counter(message), .. } => {
                     self.asked.push(message.body);
                 }
-                Effect::Send { message: Message::Feed(FeedMessage::Ask { nonce, .. }), .. } => {
+                Effect::Send {
+                    message: Message::Feed(FeedMessage::Request { nonce, .. }), ..
+                } => {
                     self.feed_nonce = nonce;
                 }
                 Effect::Return { call, value } => self.returned.push((call, value)),
@@ -82,7 +84,7 @@
             {"name":"worth","kind":"live","models":["worth"],"pool":"main","value":9},
             {"name":"usual","kind":"live","models":["m"],"pool":"main"}]}"#;
         let text = text.replace("[\"m\"]", &format!("[{model:?}]"));
-        let version = topazyard_types::SpecVersion(sequence);
+        let version = topazyard_types::ConfigurationVersion(sequence);
         let node = |port| CoreNode { id: NodeId(u64::from(port)), address: at(port) };
         let record = ShardRecord {
             epoch: Epoch(1),
@@ -107,8 +109,12 @@
             RowChange::put(engine_key(&engine.name), &engine),
         ];
         let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
-        let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
-        let news = FeedMessage::News { nonce: self.feed_nonce, place, matter: Matter::View(rows) };
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
+        let news = FeedMessage::Update {
+            nonce: self.feed_nonce,
+            position,
+            content: UpdateContent::Snapshot(rows),
+        };
         self.step(Input::Frame {
             sender: NodeId(1),
             from: at(AGENT),
--- a/programs/topazyard-relay/tests/chart.rs
+++ b/programs/topazyard-relay/tests/chart.rs
@@ -3,7 +3,7 @@
 
 use topazyard_relay::prompt::{Chart, Failure, Next};
 use topazyard_types::MonotonicMs;
-use topazyard_wire::api::Ran;
+use topazyard_wire::api::Execution;
 
 const DEADLINE: MonotonicMs = MonotonicMs(1_000);
 
@@ -93,7 +93,7 @@
                     Next::Another => counted.chart.hold(),
                     Next::Answer(error) => {
                         let may_have_run = counted.may_have_run > 0;
-                        assert_eq!(error.ran == Ran::MayHaveRun, may_have_run);
+                        assert_eq!(error.ran == Execution::MayHaveRun, may_have_run);
                         return assert!(!counted.begun, "a second head");
                     }
                     Next::Break => return assert!(counted.begun),
--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -6,10 +6,10 @@
 
 use stand_ins::loopback::free_address;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-use topazyard_types::{EngineName, Epoch, FleetId, HoldId, NodeId, Place, Sequence, ShardId};
+use topazyard_types::{EngineName, Epoch, FleetId, HoldId, LogPosition, NodeId, Sequence, ShardId};
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::message::{FRAME_VERSION, Frame, Message};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, shard_key};
 
@@ -208,10 +208,10 @@
     tell: &tokio::sync::mpsc::UnboundedSender<Saw>,
 ) -> Option<Message> {
     match message {
-        Message::Feed(FeedMessage::Ask { nonce, .. }) => {
-            let place = Place { epoch: Epoch(1), sequence: Sequence(1) };
-            let matter = Matter::View(rows(address, engine));
-            Some(Message::Feed(FeedMessage::News { nonce, place, matter }))
+        Message::Feed(FeedMessage::Request { nonce, .. }) => {
+            let position = LogPosition { epoch: Epoch(1), sequence: Sequence(1) };
+            let content = UpdateContent::Snapshot(rows(address, engine));
+            Some(Message::Feed(FeedMessage::Update { nonce, position, content }))
         }
         Message::Counter(CounterMessage { epoch, body }) => {
             let body = match body {
@@ -238,7 +238,8 @@
         "lanes":[{"name":"live","kind":"live","models":["m"],"pool":"main"}],
         "batches":{"waiting_ceiling_tokens":1000,"max_items":10,"max_item_bytes":1000},
         "weights":{"live_floor_percent":40,"live_start_percent":70,"live_ceiling_percent":90}}"#;
-    let in_force = InForceRow { version: topazyard_types::SpecVersion(1), text: text.to_owned() };
+    let in_force =
+        InForceRow { version: topazyard_types::ConfigurationVersion(1), text: text.to_owned() };
     let name: EngineName = "e".into();
     let listed = topazyard_spec::Engine {
         name: name.clone(),
--- a/programs/topazyard-relay/tests/loopback/core.rs
+++ b/programs/topazyard-relay/tests/loopback/core.rs
@@ -1,16 +1,16 @@
 //! The core as a relay sees it: the agent beside it, the counter's primary and a shard's.
 
 use topazyard_types::{
-    BatchId, EngineName, Epoch, FleetId, ItemNumber, NodeId, Place, Sequence, ShardId, SpecVersion,
-    Tokens,
+    BatchId, ConfigurationVersion, EngineName, Epoch, FleetId, ItemNumber, LogPosition, NodeId,
+    Sequence, ShardId, Tokens,
 };
 use topazyard_wire::message::batch::{
-    BatchBody, BatchCall, BatchMessage, BatchReturn, Directions, Item, LeasedItem, Progress, Run,
-    RunEnd,
+    BatchBody, BatchCall, BatchMessage, BatchResponse, Item, ItemRouting, LeasedItem, Progress,
+    Run, RunEnd,
 };
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::message::{FRAME_VERSION, Frame, Message};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, route_key, shard_key};
 
@@ -37,31 +37,35 @@
 }
 
 impl Shard {
-    fn answer(&mut self, call: BatchCall) -> BatchReturn {
+    fn answer(&mut self, call: BatchCall) -> BatchResponse {
         match call {
             BatchCall::Lease { .. } => {
                 let handed_in = std::iter::from_fn(|| self.handed_in.try_recv().ok());
                 let ids: Vec<String> = handed_in.collect();
-                BatchReturn::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
+                BatchResponse::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
             }
             BatchCall::Finish(_, end) => {
                 let _ = self.tell_end.send(end);
-                BatchReturn::Noted
+                BatchResponse::Acknowledged
             }
-            _ => BatchReturn::Noted,
+            _ => BatchResponse::Acknowledged,
         }
     }
 
     fn lease(&mut self, id: String) -> LeasedItem {
         self.leases += 1;
-        let directions =
-            Directions { id, path: "/batch/1".to_owned(), headers: Vec::new(), prefix: Vec::new() };
+        let routing = ItemRouting {
+            id,
+            path: "/batch/1".to_owned(),
+            headers: Vec::new(),
+            prefix: Vec::new(),
+        };
         let item = Item {
             model: "".into(),
             body: bytes::Bytes::from_static(b"item"),
             repeatable: true,
             cost: Tokens(1),
-            directions: Some(directions),
+            routing: Some(routing),
         };
         let run = Run { batch: batch(), item: ItemNumber(0), lease: self.leases };
         let route = Some(("batch".into(), HOST.to_owned()));
@@ -84,10 +88,10 @@
     while let Some(frame) = frames.recv().await {
         let Frame { address: to, message, .. } = frame;
         let message = match message {
-            Message::Feed(FeedMessage::Ask { nonce, .. }) => {
-                let place = Place { epoch: Epoch(1), sequence: Sequence(1) };
-                let matter = Matter::View(rows(address, &engines));
-                Message::Feed(FeedMessage::News { nonce, place, matter })
+            Message::Feed(FeedMessage::Request { nonce, .. }) => {
+                let position = LogPosition { epoch: Epoch(1), sequence: Sequence(1) };
+                let content = UpdateContent::Snapshot(rows(address, &engines));
+                Message::Feed(FeedMessage::Update { nonce, position, content })
             }
             Message::Counter(CounterMessage { epoch, body }) => {
                 let body = match body {
@@ -101,7 +105,7 @@
                 Message::Counter(CounterMessage { epoch, body })
             }
             Message::Batch(BatchMessage { body: BatchBody::Call(call), call: number, .. }) => {
-                let body = BatchBody::Return(shard.answer(call));
+                let body = BatchBody::Response(shard.answer(call));
                 let shard = batch().shard;
                 Message::Batch(BatchMessage { shard, epoch: Epoch(1), call: number, body })
             }
@@ -116,7 +120,7 @@
 fn rows(core: Address, engines: &[(EngineName, Address)]) -> Vec<(String, bytes::Bytes)> {
     use topazyard_wire::rows::encode;
     let text = r#"{"pools":[{"name":"main","limit_tokens":100000}]}"#.to_owned();
-    let in_force = InForceRow { version: SpecVersion(1), text };
+    let in_force = InForceRow { version: ConfigurationVersion(1), text };
     let shard = ShardRecord {
         epoch: Epoch(1),
         primary: CoreNode { id: NodeId(1), address: core },
--- a/programs/topazyard-relay/tests/loopback/mod.rs
+++ b/programs/topazyard-relay/tests/loopback/mod.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use topazyard_relay::front::routed::Names;
 use topazyard_types::{DurationMs, EngineName, NodeId};
-use topazyard_wire::api::{ApiError, Ran};
+use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::http::inward;
 use topazyard_wire::message::batch::RunEnd;
 
@@ -272,7 +272,7 @@
     }
 
     /// A final answer that says whether the request may have run.
-    pub fn refused(&self, status: &str, ran: Ran) {
+    pub fn refused(&self, status: &str, ran: Execution) {
         assert_eq!(self.status(), status, "{}", self.0);
         let error: ApiError = serde_json::from_str(self.body()).expect("an error");
         assert_eq!(error.ran, ran, "{}", self.0);
--- a/programs/topazyard-relay/tests/requests.rs
+++ b/programs/topazyard-relay/tests/requests.rs
@@ -7,15 +7,15 @@
 use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
 use topazyard_spec::EngineState;
 use topazyard_types::{
-    CallId, Digest, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, NodeId, Place, Sequence,
-    ShardId, SpecVersion, Tokens,
+    CallId, ConfigurationVersion, Digest, DurationMs, EngineName, Epoch, HoldId, LogPosition,
+    MonotonicMs, NodeId, Sequence, ShardId, Tokens,
 };
 use topazyard_wire::api::Code;
 use topazyard_wire::invariants::{Invariant, violations};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage, HoldKind};
-use topazyard_wire::message::feed::{FeedMessage, Health, Matter};
+use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, route_key, shard_key};
 use topazyard_wire::{Effect, Input, Machine as _, RowChange};
 
@@ -137,7 +137,7 @@
                     _ => {}
                 },
                 Effect::Send {
-                    message: Message::Feed(FeedMessage::Ask { nonce, health, .. }),
+                    message: Message::Feed(FeedMessage::Request { nonce, health, .. }),
                     ..
                 } => {
                     self.feed_nonce = Some(nonce);
@@ -194,7 +194,7 @@
             fallbacks: Vec::new(),
             learners: Vec::new(),
         };
-        let version = SpecVersion(1);
+        let version = ConfigurationVersion(1);
         let mut rows = vec![
             RowChange::put(IN_FORCE, &InForceRow { version, text }),
             RowChange::put(shard_key(ShardId::COUNTER), &record),
@@ -213,8 +213,8 @@
             rows.push(RowChange::put(engine_key(name), &engine));
         }
         let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
-        let place = Place { epoch: Epoch(1), sequence: Sequence(self.feed_sequence) };
-        let news = FeedMessage::News { nonce, place, matter: Matter::View(rows) };
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(self.feed_sequence) };
+        let news = FeedMessage::Update { nonce, position, content: UpdateContent::Snapshot(rows) };
         self.hear(AGENT, Message::Feed(news));
     }
 
--- a/programs/topazyard-relay/tests/routed.rs
+++ b/programs/topazyard-relay/tests/routed.rs
@@ -10,7 +10,7 @@
 use topazyard_relay::machine::EngineLoad;
 use topazyard_relay::machine::Target;
 use topazyard_types::{DurationMs, EngineName, RouteName, Tokens};
-use topazyard_wire::api::{ApiError, Ran};
+use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::batch::{Progress, RunEnd};
 
@@ -206,7 +206,7 @@
             let mut edge = ready(3, [foreign(), Then::Keep(whole("own"))]).await;
             let got = edge.ask(path, "a").await;
             assert!(!got.0.contains("secret"), "{got:?}");
-            got.refused("502", Ran::MayHaveRun);
+            got.refused("502", Execution::MayHaveRun);
             assert_eq!(edge.ran().len(), 1, "it may have run");
         }
         let mut edge = ready(3, [foreign(), Then::Keep(whole("own"))]).await;
@@ -236,7 +236,7 @@
                 edge.ran().iter().map(|ran| ran.engine).collect();
             assert_eq!(engines.len(), 3, "each another one");
             let mut edge = ready(5, [away(), away(), away(), away()]).await;
-            edge.ask(path, "a").await.refused("503", Ran::NotRun);
+            edge.ask(path, "a").await.refused("503", Execution::NotRun);
             assert_eq!(edge.ran().len(), 3, "its route allows three");
         }
     });
@@ -255,7 +255,7 @@
             Then::Close("no HTTP at all\r\n\r\n".to_owned()),
         ] {
             let mut edge = ready(3, [then.clone(), Then::Keep(whole("own"))]).await;
-            edge.ask("/unsafe/1", "a").await.refused("502", Ran::MayHaveRun);
+            edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
             assert_eq!(edge.ran().len(), 1);
             // One that may be repeated is, and its client doesn't notice.
             let mut edge = ready(3, [then, Then::Keep(whole("own"))]).await;
@@ -266,7 +266,7 @@
         // Turned away first and lost then: that it did not run at the first says nothing.
         let script = [Then::Keep(TURNED_AWAY.to_owned()), Then::Close(String::new())];
         let edge = ready(3, script).await;
-        edge.ask("/unsafe/1", "a").await.refused("502", Ran::MayHaveRun);
+        edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
     });
 }
 
@@ -283,7 +283,7 @@
         let mut edge = ready(1, script).await;
         assert_eq!(edge.ask("/safe/1", "a").await.body(), "1");
         assert!(edge.ask("/stream/1", "b").await.chunks().1);
-        edge.ask("/safe/1", "c").await.refused("503", Ran::NotRun);
+        edge.ask("/safe/1", "c").await.refused("503", Execution::NotRun);
         assert_eq!(edge.ask("/unsafe/1", "d").await.body(), "4");
         let connections: Vec<usize> = edge.ran().iter().map(|ran| ran.connection).collect();
         assert_eq!(connections, [0; 4]);
@@ -432,7 +432,7 @@
                 false => Then::Keep(text.to_owned()),
             };
             let mut edge = ready(2, [then(text), Then::Keep(whole("own"))]).await;
-            edge.ask("/unsafe/1", "a").await.refused("502", Ran::MayHaveRun);
+            edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
             let got = edge.ask("/unsafe/1", "b").await;
             assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
             let ran = edge.ran();
@@ -461,7 +461,7 @@
             let got = edge.ask_more("/unsafe/1", "b", "x-wait: 300\r\n").await;
             let error: ApiError = serde_json::from_str(got.body()).expect("an error");
             assert!(["502", "504"].contains(&got.status()), "{got:?}");
-            assert_eq!(error.ran, Ran::MayHaveRun, "{got:?}");
+            assert_eq!(error.ran, Execution::MayHaveRun, "{got:?}");
             // What else was kept of that engine is not trusted either.
             assert_eq!(edge.ask("/unsafe/1", "c").await.body(), "3");
             let ran = edge.ran();
@@ -541,9 +541,9 @@
         ] {
             let mut edge = ready(1, [cut, Then::Keep(stream(1..=3) + STREAM_END)]).await;
             let end = edge.run_item("a").await;
-            assert!(matches!(end, RunEnd::Broken(_) | RunEnd::Unknown), "{end:?}");
+            assert!(matches!(end, RunEnd::Interrupted(_) | RunEnd::Unknown), "{end:?}");
             let text = "word 1\nword 2\nword 3".to_owned();
-            assert_eq!(edge.run_item("a").await, RunEnd::Done { text });
+            assert_eq!(edge.run_item("a").await, RunEnd::StreamComplete { text });
             let ran = edge.ran();
             assert_ne!(ran[0].connection, ran[1].connection);
         }
@@ -562,7 +562,7 @@
         let limit = std::time::Duration::from_millis(loopback::GRACE.0 * 7 / 8);
         let end = tokio::time::timeout(limit, edge.run_ended()).await.expect("within the grace");
         let so_far = Progress { last_event: Some(2), text: "word 1\nword 2".to_owned() };
-        assert_eq!(end, RunEnd::Broken(so_far));
+        assert_eq!(end, RunEnd::Interrupted(so_far));
         // It had most of the time to end by itself.
         assert!(told.elapsed() * 2 > limit, "{:?}", told.elapsed());
     });
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -7,18 +7,18 @@
 use topazyard_relay::machine::routed_items::RoutedRun;
 use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
 use topazyard_types::{
-    BatchId, CallId, DurationMs, EngineName, Epoch, HoldId, ItemNumber, MonotonicMs, NodeId, Place,
-    Sequence, ShardId, Tokens,
+    BatchId, CallId, DurationMs, EngineName, Epoch, HoldId, ItemNumber, LogPosition, MonotonicMs,
+    NodeId, Sequence, ShardId, Tokens,
 };
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::batch::{
-    BatchBody, BatchCall, BatchMessage, BatchReturn, BatchStanding, Directions, Item, LeasedItem,
+    BatchBody, BatchCall, BatchMessage, BatchResponse, BatchStatus, Item, ItemRouting, LeasedItem,
     Progress, Run, RunEnd,
 };
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, route_key, shard_key};
 use topazyard_wire::{Effect, Input, Machine as _, RowChange};
 
@@ -83,7 +83,9 @@
                     CounterBody::Renew { number, .. } => self.renewals.push(number),
                     _ => {}
                 },
-                Effect::Send { message: Message::Feed(FeedMessage::Ask { nonce, .. }), .. } => {
+                Effect::Send {
+                    message: Message::Feed(FeedMessage::Request { nonce, .. }), ..
+                } => {
                     self.feed_nonce = nonce;
                 }
                 Effect::Send { to, message: Message::Batch(message) } => {
@@ -136,7 +138,7 @@
             zone: None,
             slots: 64,
         };
-        let version = topazyard_types::SpecVersion(sequence);
+        let version = topazyard_types::ConfigurationVersion(sequence);
         let mut rows = vec![
             RowChange::put(IN_FORCE, &InForceRow { version, text: text.to_owned() }),
             RowChange::put(shard_key(ShardId::COUNTER), &record(COUNTER)),
@@ -147,8 +149,12 @@
             rows.push(RowChange::put(route_key(&route.name), &route));
         }
         let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
-        let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
-        let news = FeedMessage::News { nonce: self.feed_nonce, place, matter: Matter::View(rows) };
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
+        let news = FeedMessage::Update {
+            nonce: self.feed_nonce,
+            position,
+            content: UpdateContent::Snapshot(rows),
+        };
         self.hear(AGENT, Message::Feed(news));
     }
 
@@ -161,12 +167,12 @@
         self.hear_counter(CounterBody::Renewed { number });
     }
 
-    fn hear_shard(&mut self, call: u64, value: BatchReturn) {
+    fn hear_shard(&mut self, call: u64, value: BatchResponse) {
         self.hear_shard_of(self.epoch, call, value);
     }
 
-    fn hear_shard_of(&mut self, epoch: Epoch, call: u64, value: BatchReturn) {
-        let body = BatchBody::Return(value);
+    fn hear_shard_of(&mut self, epoch: Epoch, call: u64, value: BatchResponse) {
+        let body = BatchBody::Response(value);
         let message = BatchMessage { shard: batch().shard, epoch, call, body };
         self.hear(SHARD, Message::Batch(message));
     }
@@ -218,7 +224,7 @@
         let route = Some(("r".into(), HOST.to_owned()));
         let progress = Progress { last_event: Some(3), text: "so far".to_owned() };
         let leased = LeasedItem { run, item: item(), route, progress };
-        self.hear_shard(call, BatchReturn::Leased(vec![leased]));
+        self.hear_shard(call, BatchResponse::Leased(vec![leased]));
         if let Some(id) = self.holds.last().copied() {
             self.hear_counter(CounterBody::Added { id, granted: true, engine: Some("e1".into()) });
         }
@@ -243,7 +249,7 @@
         body: bytes::Bytes::from_static(b"prompt"),
         repeatable: true,
         cost: Tokens(10),
-        directions: Some(Directions {
+        routing: Some(ItemRouting {
             id: "e5".to_owned(),
             path: "/p/1".to_owned(),
             headers: Vec::new(),
@@ -264,10 +270,10 @@
     assert!(!relay.calls.iter().any(|(_, call)| matches!(call, BatchCall::Start(_))));
     relay.call(RelayCall::RoutedEnded(
         run,
-        RunEnd::Done { text: "x".to_owned() },
+        RunEnd::StreamComplete { text: "x".to_owned() },
         EngineUse::Whole(DurationMs(9)),
     ));
-    assert_eq!(relay.finished(), Some(&RunEnd::Done { text: "x".to_owned() }));
+    assert_eq!(relay.finished(), Some(&RunEnd::StreamComplete { text: "x".to_owned() }));
     assert_eq!(relay.released, relay.holds);
 }
 
@@ -313,16 +319,10 @@
     let (call, body) = relay.calls.last().cloned().expect("it is sent");
     let BatchCall::SubmitRouted(routed) = body else { panic!("{body:?}") };
     assert_eq!((routed.ceiling, routed.terms.max_attempts), (Tokens(700), 2));
-    let standing = BatchStanding {
-        batch: batch(),
-        items: 1,
-        returned: 0,
-        waiting: 1,
-        running: 0,
-        ended: false,
-    };
-    relay.hear_shard(call, BatchReturn::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchReturn::Accepted(_))));
+    let standing =
+        BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
+    relay.hear_shard(call, BatchResponse::Accepted(standing));
+    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchResponse::Accepted(_))));
 }
 
 #[test]
@@ -330,7 +330,7 @@
     let mut relay = Relay::ready();
     relay.submit();
     let call = relay.calls.last().expect("it is sent").0;
-    relay.hear_shard(call, BatchReturn::CeilingReached);
+    relay.hear_shard(call, BatchResponse::CeilingReached);
     assert_eq!(relay.last_code().map(Code::status), Some(429));
     relay.submit();
     relay.tick(1_000);
@@ -347,16 +347,10 @@
     relay.tick(400);
     let again = relay.calls.last().expect("it is sent again").clone();
     assert_eq!(again, first, "the same call, to the new primary");
-    let standing = BatchStanding {
-        batch: batch(),
-        items: 1,
-        returned: 0,
-        waiting: 1,
-        running: 0,
-        ended: false,
-    };
-    relay.hear_shard(again.0, BatchReturn::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchReturn::Accepted(_))));
+    let standing =
+        BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
+    relay.hear_shard(again.0, BatchResponse::Accepted(standing));
+    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchResponse::Accepted(_))));
 }
 
 // Else a client is promised that nothing runs of a batch that the new primary takes.
@@ -368,9 +362,9 @@
     relay.move_shard();
     relay.tick(400);
     let answered = relay.returned.len();
-    relay.hear_shard_of(Epoch(1), call, BatchReturn::CeilingReached);
+    relay.hear_shard_of(Epoch(1), call, BatchResponse::CeilingReached);
     assert_eq!(relay.returned.len(), answered, "its successor may take it");
-    relay.hear_shard_of(Epoch(2), call, BatchReturn::CeilingReached);
+    relay.hear_shard_of(Epoch(2), call, BatchResponse::CeilingReached);
     assert_eq!(relay.last_code().map(Code::status), Some(429));
 }
 
@@ -428,7 +422,7 @@
         let (call, _) = self.asked_lease();
         let route = Some(("r".into(), HOST.to_owned()));
         let leased = LeasedItem { run, item: item(), route, progress: Progress::default() };
-        self.hear_shard(call, BatchReturn::Leased(vec![leased]));
+        self.hear_shard(call, BatchResponse::Leased(vec![leased]));
         run
     }
 }
@@ -441,7 +435,7 @@
     let (call, _) = relay.asked_lease();
     relay.drain();
     assert!(relay.is_under_way(), "items may be on their way here");
-    relay.hear_shard(call, BatchReturn::Leased(Vec::new()));
+    relay.hear_shard(call, BatchResponse::Leased(Vec::new()));
     assert!(!relay.is_under_way());
 }
 
@@ -485,14 +479,14 @@
     let run = relay.run_one();
     relay.drain();
     assert!(relay.is_under_way());
-    let done = RunEnd::Done { text: "x".to_owned() };
+    let done = RunEnd::StreamComplete { text: "x".to_owned() };
     relay.call(RelayCall::RoutedEnded(run, done.clone(), EngineUse::Whole(DurationMs(9))));
     assert!(relay.is_under_way(), "the shard may not have heard of it");
     let told = relay.calls.iter().rev().find_map(|(call, body)| match body {
         BatchCall::Finish(_, end) if *end == done => Some(*call),
         _ => None,
     });
-    relay.hear_shard(told.expect("it is told"), BatchReturn::Noted);
+    relay.hear_shard(told.expect("it is told"), BatchResponse::Acknowledged);
     assert!(!relay.is_under_way());
 }
 
@@ -501,7 +495,7 @@
 fn a_batch_call_is_answered_before_a_draining_relay_ends() {
     for late in [0, grace() / 2, grace() * 3 / 4, grace() * 13 / 16] {
         let mut relay = Relay::ready();
-        let read = BatchCall::Results { batch: batch(), after: 0 };
+        let read = BatchCall::RoutedResults { batch: batch(), after: 0 };
         relay.drain();
         relay.pass(late / 200 * 200);
         relay.returned.clear();
@@ -569,7 +563,7 @@
         route: Some(("r".into(), HOST.to_owned())),
         progress: Progress::default(),
     };
-    relay.hear_shard(call, BatchReturn::Leased((0..6).map(leased).collect()));
+    relay.hear_shard(call, BatchResponse::Leased((0..6).map(leased).collect()));
     let asked = relay.holds.clone();
     assert_eq!(asked.len(), 6, "what is leased asks at once");
     for id in asked {
--- a/programs/topazyard-storage/src/batches/changes.rs
+++ b/programs/topazyard-storage/src/batches/changes.rs
@@ -4,7 +4,7 @@
 use topazyard_types::{BatchId, DurationMs, ItemNumber, ModelName, MonotonicMs, NodeId, Tokens};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::batch::{
-    BatchReturn, Item, ItemEnd, ItemReturn, LeasedItem, Progress, Run, RunEnd,
+    BatchResponse, Item, ItemEnd, ItemResult, LeasedItem, Progress, Run, RunEnd,
 };
 
 /// How an item ends that is not run any more: as said, unless it may have run before.
@@ -67,7 +67,7 @@
         let position = row.returned;
         vec![
             self.set_state(batch, item, ItemState::Returned { position }),
-            rows::item_return(batch.number, &ItemReturn { position, item, id: None, end }),
+            rows::item_return(batch.number, &ItemResult { position, item, id: None, end }),
             rows::batch(batch.number, &row),
         ]
     }
@@ -169,8 +169,8 @@
         };
         self.heard.remove(&run);
         match end {
-            RunEnd::Whole { status, body } => {
-                self.give_return(run.batch, run.item, ItemEnd::Whole { status, body }, now)
+            RunEnd::Complete { status, body } => {
+                self.give_return(run.batch, run.item, ItemEnd::Complete { status, body }, now)
             }
             RunEnd::NotRun => self.wait_again(run, may_have_run, now),
             _ if repeatable => self.wait_again(run, true, now),
@@ -194,23 +194,23 @@
         batch: BatchId,
         item: ItemNumber,
         now: MonotonicMs,
-    ) -> (BatchReturn, Vec<RowChange>) {
+    ) -> (BatchResponse, Vec<RowChange>) {
         match self.facts(batch, item).map(|facts| facts.state) {
-            None => (BatchReturn::Unknown, Vec::new()),
+            None => (BatchResponse::Unknown, Vec::new()),
             Some(ItemState::Waiting { may_have_run }) => {
                 self.leases.retain(|run, _| (run.batch, run.item) != (batch, item));
                 let end = unrun_end(may_have_run, ItemEnd::Recalled);
                 let answer = match may_have_run {
-                    false => BatchReturn::Recalled,
-                    true => BatchReturn::TooLate { returned: true },
+                    false => BatchResponse::Recalled,
+                    true => BatchResponse::TooLate { returned: true },
                 };
                 (answer, self.give_return(batch, item, end, now))
             }
             Some(ItemState::Started { .. }) => {
-                (BatchReturn::TooLate { returned: false }, Vec::new())
+                (BatchResponse::TooLate { returned: false }, Vec::new())
             }
             Some(ItemState::Returned { .. }) => {
-                (BatchReturn::TooLate { returned: true }, Vec::new())
+                (BatchResponse::TooLate { returned: true }, Vec::new())
             }
         }
     }
--- a/programs/topazyard-storage/src/batches/mod.rs
+++ b/programs/topazyard-storage/src/batches/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) mod rows;
 
 use topazyard_types::{
-    BatchId, DurationMs, ItemNumber, Life, MonotonicMs, NodeId, ShardId, Tokens,
+    BatchId, BootId, DurationMs, ItemNumber, MonotonicMs, NodeId, ShardId, Tokens,
 };
 use topazyard_wire::message::batch::Run;
 
@@ -92,7 +92,7 @@
     pub fn taken_over(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
-        life: Life,
+        boot_id: BootId,
         now: MonotonicMs,
     ) -> Self {
         let mut batches = Self {
@@ -103,8 +103,8 @@
             heard: std::collections::BTreeMap::new(),
             waiting: Tokens(0),
             finished: std::collections::VecDeque::new(),
-            last_lease: life.first_number(),
-            routed: routed::RoutedBatches::taken_over(shard, copy, life, now),
+            last_lease: boot_id.first_number(),
+            routed: routed::RoutedBatches::taken_over(shard, copy, boot_id, now),
         };
         for (number, row) in rows::batches(copy) {
             let mut items = Vec::new();
--- a/programs/topazyard-storage/src/batches/read.rs
+++ b/programs/topazyard-storage/src/batches/read.rs
@@ -2,7 +2,7 @@
 
 use super::{ItemState, rows};
 use topazyard_types::{BatchId, ItemNumber};
-use topazyard_wire::message::batch::{BatchStanding, ItemReturn};
+use topazyard_wire::message::batch::{BatchStatus, ItemResult};
 
 /// The most bytes of returns in one answer.
 const MOST_BYTES: usize = 4 * 1024 * 1024;
@@ -19,7 +19,7 @@
 }
 
 /// How a batch stands.
-pub fn standing(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStanding> {
+pub fn standing(copy: &topazyard_replication::Copy, batch: BatchId) -> Option<BatchStatus> {
     let Some(row) = rows::batch_of(copy, batch.number) else {
         return super::routed::standing(copy, batch);
     };
@@ -32,7 +32,7 @@
             ItemState::Returned { .. } => {}
         }
     }
-    Some(BatchStanding {
+    Some(BatchStatus {
         batch,
         items: row.items,
         returned: row.returned,
@@ -47,14 +47,14 @@
     copy: &topazyard_replication::Copy,
     batch: BatchId,
     after: u32,
-) -> Option<Vec<ItemReturn>> {
+) -> Option<Vec<ItemResult>> {
     use topazyard_wire::message::batch::ItemEnd;
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
     for position in after.saturating_add(1)..=row.returned {
         let Some(item_return) = rows::return_of(copy, batch.number, position) else { break };
-        if let ItemEnd::Whole { body, .. } = &item_return.end {
+        if let ItemEnd::Complete { body, .. } = &item_return.end {
             bytes += body.len();
         }
         if bytes > MOST_BYTES && !found.is_empty() {
--- a/programs/topazyard-storage/src/batches/routed/changes.rs
+++ b/programs/topazyard-storage/src/batches/routed/changes.rs
@@ -5,7 +5,7 @@
 use topazyard_types::{BatchId, DurationMs, ItemNumber, MonotonicMs, NodeId, RouteName, Tokens};
 use topazyard_wire::RowChange;
 use topazyard_wire::message::batch::{
-    Item, ItemEnd, ItemReturn, LeasedItem, Progress, RoutedBatch, Run, RunEnd,
+    Item, ItemEnd, ItemResult, LeasedItem, Progress, RoutedBatch, Run, RunEnd,
 };
 
 /// What an item or a result weighs beside its body, in bytes.
@@ -26,19 +26,19 @@
 
 pub(super) fn bytes_of(end: &ItemEnd) -> u64 {
     match end {
-        ItemEnd::Whole { body, .. } => BESIDE_BODY + body.len() as u64,
+        ItemEnd::Complete { body, .. } => BESIDE_BODY + body.len() as u64,
         _ => BESIDE_BODY,
     }
 }
 
 impl Open {
     pub(super) fn new(item: &Item) -> Self {
-        let beside = item.directions.as_ref().map_or(0, |directions| {
-            let headers = directions.headers.iter().map(|(name, value)| name.len() + value.len());
-            headers.sum::<usize>() + directions.path.len()
+        let beside = item.routing.as_ref().map_or(0, |routing| {
+            let headers = routing.headers.iter().map(|(name, value)| name.len() + value.len());
+            headers.sum::<usize>() + routing.path.len()
         });
         Self {
-            id: item.directions.as_ref().map(|d| d.id.clone()).unwrap_or_default(),
+            id: item.routing.as_ref().map(|d| d.id.clone()).unwrap_or_default(),
             cost: item.cost,
             bytes: BESIDE_BODY + (item.body.len() + beside) as u64,
             failed_attempts: 0,
@@ -148,20 +148,22 @@
         let max_attempts = held.row.terms.max_attempts;
         let Some(open) = held.open.get_mut(&run.item) else { return Vec::new() };
         let result = match end {
-            RunEnd::Done { text } => Some(ItemEnd::Whole { status: 200, body: text.into() }),
+            RunEnd::StreamComplete { text } => {
+                Some(ItemEnd::Complete { status: 200, body: text.into() })
+            }
             RunEnd::Impossible => Some(ItemEnd::Abandoned),
             RunEnd::Failed if held_lease => {
                 open.failed_attempts += 1;
                 (open.failed_attempts >= max_attempts).then_some(ItemEnd::Abandoned)
             }
-            RunEnd::Broken(progress) => {
+            RunEnd::Interrupted(progress) => {
                 let is_further = progress.last_event > open.progress.last_event;
                 if is_further && progress.text.len() <= MOST_PROGRESS {
                     open.progress = progress;
                 }
                 None
             }
-            RunEnd::Failed | RunEnd::NotRun | RunEnd::Unknown | RunEnd::Whole { .. } => None,
+            RunEnd::Failed | RunEnd::NotRun | RunEnd::Unknown | RunEnd::Complete { .. } => None,
         };
         if let Some(result) = result {
             return self.give_result(run.batch, run.item, result, now);
@@ -188,7 +190,7 @@
         let bytes = bytes_of(&end);
         held.result_bytes += bytes;
         self.bytes += bytes;
-        let result = ItemReturn { position, item, id: Some(open.id), end };
+        let result = ItemResult { position, item, id: Some(open.id), end };
         let changes = vec![
             rows::item_gone(batch.number, item),
             rows::result(batch.number, &result),
--- a/programs/topazyard-storage/src/batches/routed/mod.rs
+++ b/programs/topazyard-storage/src/batches/routed/mod.rs
@@ -6,10 +6,10 @@
 mod rows;
 
 use topazyard_types::{
-    BatchId, DurationMs, ItemNumber, Life, MonotonicMs, NodeId, RouteName, ShardId, Tokens,
+    BatchId, BootId, DurationMs, ItemNumber, MonotonicMs, NodeId, RouteName, ShardId, Tokens,
 };
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::batch::{Progress, Run, Terms};
+use topazyard_wire::message::batch::{Progress, RoutedBatchTerms, Run};
 
 pub use changes::Taken;
 pub use read::{body, results, standing};
@@ -17,7 +17,7 @@
 /// A batch's own row.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct RoutedBatchRow {
-    terms: Terms,
+    terms: RoutedBatchTerms,
     items: u32,
     listed: u32,
     ended: bool,
@@ -99,7 +99,7 @@
     pub(super) fn taken_over(
         shard: ShardId,
         copy: &topazyard_replication::Copy,
-        life: Life,
+        boot_id: BootId,
         now: MonotonicMs,
     ) -> Self {
         let mut batches = Self {
@@ -111,7 +111,7 @@
             give_up: std::collections::BTreeSet::new(),
             finished: std::collections::VecDeque::new(),
             bytes: 0,
-            last_lease: life.first_number(),
+            last_lease: boot_id.first_number(),
         };
         for (number, row) in rows::batches(copy) {
             let items = (0..row.items).map(ItemNumber);
--- a/programs/topazyard-storage/src/batches/routed/read.rs
+++ b/programs/topazyard-storage/src/batches/routed/read.rs
@@ -3,7 +3,7 @@
 use super::rows;
 use topazyard_replication::Copy;
 use topazyard_types::{BatchId, ItemNumber};
-use topazyard_wire::message::batch::{BatchStanding, ItemEnd, ItemReturn};
+use topazyard_wire::message::batch::{BatchStatus, ItemEnd, ItemResult};
 
 /// The most bytes of bodies in one page of results.
 const MOST_BYTES: usize = 900_000;
@@ -11,10 +11,10 @@
 const BESIDE_BODY: usize = 128;
 
 /// How a batch stands.
-pub fn standing(copy: &Copy, batch: BatchId) -> Option<BatchStanding> {
+pub fn standing(copy: &Copy, batch: BatchId) -> Option<BatchStatus> {
     let row = rows::batch_of(copy, batch.number)?;
     let waiting = if row.ended { 0 } else { row.items - row.listed };
-    Some(BatchStanding {
+    Some(BatchStatus {
         batch,
         items: row.items,
         returned: row.listed,
@@ -26,14 +26,14 @@
 
 /// The number of a batch's items, and its results after a position in order: at least one if
 /// there is one.
-pub fn results(copy: &Copy, batch: BatchId, after: u32) -> Option<(u32, Vec<ItemReturn>)> {
+pub fn results(copy: &Copy, batch: BatchId, after: u32) -> Option<(u32, Vec<ItemResult>)> {
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
     for position in after.saturating_add(1)..=row.listed {
         let Some(result) = rows::result_of(copy, batch.number, position) else { break };
         bytes += BESIDE_BODY;
-        if let ItemEnd::Whole { body, .. } = &result.end {
+        if let ItemEnd::Complete { body, .. } = &result.end {
             // Line feeds and the like take two bytes where they are shown.
             bytes += body.len() + body.iter().filter(|b| **b < b' ' || **b == b'"').count() * 5;
         }
@@ -50,7 +50,7 @@
     let row = rows::batch_of(copy, batch.number)?;
     let items = (0..row.items).filter_map(|n| rows::item_of(copy, batch.number, ItemNumber(n)));
     let is_named = |item: &topazyard_wire::message::batch::Item| {
-        item.directions.as_ref().is_some_and(|d| d.id == id)
+        item.routing.as_ref().is_some_and(|d| d.id == id)
     };
     items.into_iter().find(is_named).map(|item| item.body)
 }
--- a/programs/topazyard-storage/src/batches/routed/rows.rs
+++ b/programs/topazyard-storage/src/batches/routed/rows.rs
@@ -4,7 +4,7 @@
 use super::RoutedBatchRow;
 use topazyard_types::ItemNumber;
 use topazyard_wire::RowChange;
-use topazyard_wire::message::batch::{Item, ItemReturn};
+use topazyard_wire::message::batch::{Item, ItemResult};
 
 const ROUTED_BATCHES: &str = "batch/";
 
@@ -29,17 +29,17 @@
 }
 
 pub(super) fn item_gone(number: u64, item: ItemNumber) -> RowChange {
-    RowChange::gone(item_key(number, item))
+    RowChange::delete(item_key(number, item))
 }
 
-pub(super) fn result(number: u64, value: &ItemReturn) -> RowChange {
+pub(super) fn result(number: u64, value: &ItemResult) -> RowChange {
     RowChange::put(result_key(number, value.position), value)
 }
 
 /// Takes every row of a batch away that has all its results or has ended.
 pub(super) fn all_gone(number: u64, listed: u32) -> Vec<RowChange> {
-    let results = (1..=listed).map(|position| RowChange::gone(result_key(number, position)));
-    results.chain([RowChange::gone(batch_key(number))]).collect()
+    let results = (1..=listed).map(|position| RowChange::delete(result_key(number, position)));
+    results.chain([RowChange::delete(batch_key(number))]).collect()
 }
 
 pub(super) fn batches(
@@ -67,6 +67,6 @@
     copy: &topazyard_replication::Copy,
     number: u64,
     position: u32,
-) -> Option<ItemReturn> {
+) -> Option<ItemResult> {
     copy.get(&result_key(number, position))
 }
--- a/programs/topazyard-storage/src/batches/rows.rs
+++ b/programs/topazyard-storage/src/batches/rows.rs
@@ -3,7 +3,7 @@
 use super::{BatchRow, ItemState};
 use topazyard_types::ItemNumber;
 use topazyard_wire::RowChange;
-use topazyard_wire::message::batch::{Item, ItemReturn};
+use topazyard_wire::message::batch::{Item, ItemResult};
 
 /// The prefix of rows of batches. It keeps the older word, so that older disks can be read.
 const BATCHES: &str = "parcel/";
@@ -36,7 +36,7 @@
     RowChange::put(state_key(number, item), value)
 }
 
-pub(super) fn item_return(number: u64, value: &ItemReturn) -> RowChange {
+pub(super) fn item_return(number: u64, value: &ItemResult) -> RowChange {
     RowChange::put(return_key(number, value.position), value)
 }
 
@@ -50,9 +50,9 @@
     let of_items = (0..items).map(ItemNumber).flat_map(|item| {
         let keys =
             [item_key(number, item), state_key(number, item), return_key(number, item.0 + 1)];
-        keys.map(RowChange::gone)
+        keys.map(RowChange::delete)
     });
-    of_items.chain([RowChange::gone(batch_key(number))]).collect()
+    of_items.chain([RowChange::delete(batch_key(number))]).collect()
 }
 
 pub(super) fn batches(copy: &topazyard_replication::Copy) -> impl Iterator<Item = (u64, BatchRow)> {
@@ -86,6 +86,6 @@
     copy: &topazyard_replication::Copy,
     number: u64,
     position: u32,
-) -> Option<ItemReturn> {
+) -> Option<ItemResult> {
     copy.get(&return_key(number, position))
 }
--- a/programs/topazyard-storage/src/counter/mod.rs
+++ b/programs/topazyard-storage/src/counter/mod.rs
@@ -6,7 +6,7 @@
 mod rows;
 
 use topazyard_types::{
-    DurationMs, EngineName, Epoch, HoldId, Life, MonotonicMs, NodeId, PoolName, ShardId, Tokens,
+    BootId, DurationMs, EngineName, Epoch, HoldId, MonotonicMs, NodeId, PoolName, ShardId, Tokens,
 };
 use topazyard_wire::RowChange;
 use topazyard_wire::message::counter::{Hold, HoldKind};
@@ -33,7 +33,7 @@
     /// The shard's epoch.
     pub shard_epoch: Epoch,
     /// The life of the shard's primary; numbers are compared within one.
-    pub life: Life,
+    pub boot_id: BootId,
     /// Rises with each report of that life.
     pub number: u64,
     /// The cost that waits there.
@@ -265,7 +265,7 @@
     ) -> Option<(bool, Vec<RowChange>)> {
         let known = self.reports.get(&shard);
         let is_old = |known: &Report| {
-            let same = known.shard_epoch == told.shard_epoch && known.life == told.life;
+            let same = known.shard_epoch == told.shard_epoch && known.boot_id == told.boot_id;
             known.shard_epoch > told.shard_epoch || (same && known.number >= told.number)
         };
         if known.is_some_and(is_old) {
--- a/programs/topazyard-storage/src/counter/rows.rs
+++ b/programs/topazyard-storage/src/counter/rows.rs
@@ -17,7 +17,7 @@
 }
 
 pub(super) fn no_hold(relay: NodeId, id: HoldId) -> RowChange {
-    RowChange::gone(hold_key(relay, id))
+    RowChange::delete(hold_key(relay, id))
 }
 
 pub(super) fn report(shard: ShardId, report: &Report) -> RowChange {
--- a/programs/topazyard-storage/src/machine/aside.rs
+++ b/programs/topazyard-storage/src/machine/aside.rs
@@ -9,7 +9,7 @@
 use super::{Out, StorageMachine};
 use topazyard_replication::{Copy, Uncommitted};
 use topazyard_types::{BatchId, DurationMs, MonotonicMs, NodeId, ShardId};
-use topazyard_wire::message::batch::{BatchCall, BatchReturn};
+use topazyard_wire::message::batch::{BatchCall, BatchResponse};
 use topazyard_wire::message::control::ShardRecord;
 
 /// Reads asked aside that may wait at a shard.
@@ -22,8 +22,8 @@
     pub(super) fn of_read(call: &BatchCall) -> Option<Self> {
         match call {
             BatchCall::Read(batch) => Some(Self::Standing(*batch, false)),
-            BatchCall::Returns { batch, after } => Some(Self::Returns(*batch, *after)),
-            BatchCall::Results { batch, after } => Some(Self::Results(*batch, *after)),
+            BatchCall::ItemResults { batch, after } => Some(Self::Returns(*batch, *after)),
+            BatchCall::RoutedResults { batch, after } => Some(Self::Results(*batch, *after)),
             BatchCall::Body { batch, id } => Some(Self::Body(*batch, id.clone())),
             _ => None,
         }
@@ -40,25 +40,25 @@
     }
 
     /// The return, as a copy has it.
-    pub(super) fn answered_by(self, copy: &Copy) -> Option<BatchReturn> {
+    pub(super) fn answered_by(self, copy: &Copy) -> Option<BatchResponse> {
         match self {
             Self::Ready(value) => Some(value),
             Self::Standing(batch, accepted) => {
                 let standing = crate::batches::standing(copy, batch);
                 standing.map(|standing| match accepted {
-                    true => BatchReturn::Accepted(standing),
-                    false => BatchReturn::Standing(standing),
+                    true => BatchResponse::Accepted(standing),
+                    false => BatchResponse::Status(standing),
                 })
             }
             Self::Returns(batch, after) => {
-                crate::batches::returns(copy, batch, after).map(BatchReturn::Returns)
+                crate::batches::returns(copy, batch, after).map(BatchResponse::ItemResults)
             }
             Self::Results(batch, after) => {
                 let found = crate::batches::routed::results(copy, batch, after);
-                found.map(|(total, results)| BatchReturn::Results { total, results })
+                found.map(|(total, results)| BatchResponse::RoutedResults { total, results })
             }
             Self::Body(batch, id) => {
-                crate::batches::routed::body(copy, batch, &id).map(BatchReturn::Body)
+                crate::batches::routed::body(copy, batch, &id).map(BatchResponse::Body)
             }
         }
     }
--- a/programs/topazyard-storage/src/machine/confirm.rs
+++ b/programs/topazyard-storage/src/machine/confirm.rs
@@ -5,11 +5,11 @@
 
 use super::{Out, StorageMachine};
 use std::net::SocketAddr;
-use topazyard_types::{DurationMs, Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, DurationMs, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::confirm::ConfirmMessage;
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// How often it is asked while reads wait.
 const ASK_EVERY: DurationMs = DurationMs(50);
@@ -27,9 +27,9 @@
 }
 
 impl Confirming {
-    pub(super) fn new(life: Life) -> Self {
+    pub(super) fn new(boot_id: BootId) -> Self {
         let asked = std::collections::VecDeque::new();
-        Self { asked, last_nonce: life.first_number(), last_asked: None }
+        Self { asked, last_nonce: boot_id.first_number(), last_asked: None }
     }
 
     fn ask(&mut self, now: MonotonicMs) -> u64 {
@@ -55,8 +55,8 @@
         let mut asides = self.hosted.values().flat_map(|hosted| &hosted.asides);
         if asides.any(|aside| is_left(aside.since)) {
             let nonce = self.confirming.ask(now);
-            for to in self.membership.addresses(Duty::Control) {
-                let ask = ConfirmMessage::AskRecords { nonce };
+            for to in self.membership.addresses(MemberRole::Control) {
+                let ask = ConfirmMessage::RequestRecords { nonce };
                 out.push(Effect::Send { to, message: Message::Confirm(ask) });
             }
         }
@@ -73,7 +73,7 @@
                 continue;
             }
             let sequence = hosted.replica.copy().position().sequence;
-            let ask = ConfirmMessage::AskSynced { shard: *shard, epoch, sequence };
+            let ask = ConfirmMessage::CheckSynced { shard: *shard, epoch, sequence };
             for other in record.backups.iter().filter(|node| node.id != me) {
                 let message = Message::Confirm(ask.clone());
                 out.push(Effect::Send { to: other.address, message });
@@ -94,7 +94,7 @@
                 self.take_records(nonce, &epochs);
                 self.answer_asides(now, out);
             }
-            ConfirmMessage::AskSynced { shard, epoch, sequence } => {
+            ConfirmMessage::CheckSynced { shard, epoch, sequence } => {
                 let Some(hosted) = self.hosted.get(&shard) else { return };
                 if hosted.has_synced(epoch, sequence) {
                     let sequence = hosted.replica.copy().position().sequence;
@@ -111,9 +111,9 @@
                     self.answer_asides(now, out);
                 }
             }
-            ConfirmMessage::AskRecords { .. }
-            | ConfirmMessage::AskEpoch { .. }
-            | ConfirmMessage::EpochStands { .. } => {}
+            ConfirmMessage::RequestRecords { .. }
+            | ConfirmMessage::CheckEpoch { .. }
+            | ConfirmMessage::EpochCurrent { .. } => {}
         }
     }
 
--- a/programs/topazyard-storage/src/machine/counting.rs
+++ b/programs/topazyard-storage/src/machine/counting.rs
@@ -46,22 +46,22 @@
                 return self.settle_raise(shard, number, granted, out);
             }
             // A return is never returned to: two nodes would go on for ever.
-            CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotHere => {
+            CounterBody::Added { .. } | CounterBody::Renewed { .. } | CounterBody::NotPrimary => {
                 return;
             }
             _ => {}
         }
         let Some(hosted) = self.hosted.get_mut(&ShardId::COUNTER) else {
-            send(from, message.epoch, CounterBody::NotHere, out);
+            send(from, message.epoch, CounterBody::NotPrimary, out);
             return;
         };
         let serving = hosted.is_serving_in(message.epoch);
         let Work::Counter(counter) = &mut hosted.work else {
-            send(from, hosted.replica.epoch(), CounterBody::NotHere, out);
+            send(from, hosted.replica.epoch(), CounterBody::NotPrimary, out);
             return;
         };
         if !serving {
-            send(from, hosted.replica.epoch(), CounterBody::NotHere, out);
+            send(from, hosted.replica.epoch(), CounterBody::NotPrimary, out);
             return;
         }
         match message.body {
@@ -70,7 +70,7 @@
                     Checked::Added(changes) => (true, changes),
                     Checked::Refused => (false, Vec::new()),
                     Checked::Gathering => {
-                        send(from, message.epoch, CounterBody::NotHere, out);
+                        send(from, message.epoch, CounterBody::NotPrimary, out);
                         return;
                     }
                 };
@@ -84,8 +84,8 @@
                     hosted.submit(changes, Waiting::Nobody);
                 }
             }
-            CounterBody::Renew { number, up_to, holds, asked, used } => {
-                let changes = counter.renew(sender, up_to, &holds, &asked, now);
+            CounterBody::Renew { number, up_to, holds, pending, used } => {
+                let changes = counter.renew(sender, up_to, &holds, &pending, now);
                 counter.tell_used(sender, &used);
                 // A counter that can't grant yet leaves the lease unanswered: its relays are not ready.
                 let waiting = if counter.is_gathering(now) {
@@ -95,9 +95,17 @@
                 };
                 hosted.submit(changes, waiting);
             }
-            CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling } => {
-                let told = crate::counter::Report { shard_epoch, life, number, total };
-                let settled = counter.report(shard, told, asked, ceiling, now);
+            CounterBody::Waiting {
+                shard,
+                shard_epoch,
+                boot_id,
+                number,
+                total,
+                requested,
+                ceiling,
+            } => {
+                let told = crate::counter::Report { shard_epoch, boot_id, number, total };
+                let settled = counter.report(shard, told, requested, ceiling, now);
                 if let Some((granted, changes)) = settled {
                     let answer = CounterBody::WaitingSettled { shard, number, granted };
                     hosted.submit(changes, Waiting::Counter(from, answer));
@@ -106,7 +114,7 @@
             CounterBody::Added { .. }
             | CounterBody::Renewed { .. }
             | CounterBody::WaitingSettled { .. }
-            | CounterBody::NotHere => {}
+            | CounterBody::NotPrimary => {}
         }
     }
 
@@ -130,10 +138,11 @@
         raising.last_number += 1;
         raising.last_report = now;
         raising.asked = asks.map(|_| (raising.last_number, now));
-        let (total, asked) = (batches.waiting(), asks.unwrap_or(Tokens(0)));
+        let (total, requested) = (batches.waiting(), asks.unwrap_or(Tokens(0)));
         let (shard_epoch, number) = (hosted.replica.epoch(), raising.last_number);
-        let life = self.life;
-        let body = CounterBody::Waiting { shard, shard_epoch, life, number, total, asked, ceiling };
+        let boot_id = self.boot_id;
+        let body =
+            CounterBody::Waiting { shard, shard_epoch, boot_id, number, total, requested, ceiling };
         send(to, epoch, body, out);
     }
 
@@ -163,7 +172,7 @@
         while hosted.raising.queue.front().is_some_and(is_late) {
             hosted.raising.asked = None;
             if let Some(late) = hosted.raising.queue.pop_front() {
-                let answer = topazyard_wire::message::batch::BatchReturn::NotHere;
+                let answer = topazyard_wire::message::batch::BatchResponse::NotPrimary;
                 super::serving::send(shard, epoch, late.caller, answer, out);
             }
         }
--- a/programs/topazyard-storage/src/machine/displaced.rs
+++ b/programs/topazyard-storage/src/machine/displaced.rs
@@ -9,7 +9,7 @@
 use super::{Out, StorageMachine};
 use topazyard_types::{Epoch, NodeId, ShardId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group};
 
@@ -52,8 +52,8 @@
         let displaced: Vec<NodeId> =
             at_address.map(|backup| backup.id).filter(|id| *id != sender).collect();
         if !displaced.is_empty() {
-            let wish = Wish::DropBackups(displaced);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, out);
+            let change = ShardChange::DropBackups(displaced);
+            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, out);
         }
     }
 }
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -4,8 +4,8 @@
 use crate::counter::Counter;
 use topazyard_replication::{Replica, Uncommitted, WriteTicket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
-use topazyard_wire::message::batch::{BatchReturn, Item};
-use topazyard_wire::message::control::ShardWish;
+use topazyard_wire::message::batch::{BatchResponse, Item};
+use topazyard_wire::message::control::ShardChangeRequest;
 use topazyard_wire::message::counter::CounterBody;
 
 /// After how long without its backup's confirmation a primary wants to know what control says.
@@ -30,7 +30,7 @@
     pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
     pub(crate) last_ticket: WriteTicket,
     /// A wish for another record, with when it was last sent; none while it is being synced.
-    pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
+    pub(crate) wish: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
     pub(crate) raising: Raising,
     /// Submissions of batches that were refused here: a late frame of one must not be taken.
     pub(crate) refused: std::collections::VecDeque<(NodeId, u64)>,
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum BatchAnswer {
     /// This.
-    Ready(BatchReturn),
+    Ready(BatchResponse),
     /// How the batch stands then; as accepted, or as read.
     Standing(BatchId, bool),
     /// Its returns after a position.
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -11,15 +11,15 @@
 use hosted::Hosted;
 use topazyard_membership::Membership;
 use topazyard_replication::{FeedFollower, follower::FollowOutcome};
-use topazyard_types::{Epoch, Life, MonotonicMs, NodeId, ShardId};
+use topazyard_types::{BootId, Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::disk::{DiskState, DiskWatch};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
-use topazyard_wire::state::FleetView;
+use topazyard_wire::state::FleetSnapshot;
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
 /// How old control's last word may be when a shard stops for a record with its learner.
@@ -77,15 +77,15 @@
 /// One storage node.
 pub struct StorageMachine {
     pub(crate) member: Member,
-    pub(crate) life: Life,
+    pub(crate) boot_id: BootId,
     membership: Membership,
     follower: FeedFollower,
-    pub(crate) view: FleetView,
+    pub(crate) view: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
     loaded: topazyard_wire::rows::Loaded,
     /// Shards in which this node answers nothing more, up to that epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
-    after_write: std::collections::BTreeMap<u64, ShardWish>,
+    after_write: std::collections::BTreeMap<u64, ShardChangeRequest>,
     /// The number of the write that deleted this node's last copy of a shard.
     deletions: std::collections::BTreeMap<ShardId, u64>,
     last_write: u64,
@@ -121,13 +121,13 @@
             .get("stopped")
             .and_then(|value| topazyard_wire::rows::decode(value))
             .unwrap_or_default();
-        let life = Life(start.chance);
+        let boot_id = BootId(start.chance);
         Self {
-            life,
+            boot_id,
             membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
-            follower: FeedFollower::new(sources, life),
+            follower: FeedFollower::new(sources, boot_id),
             member: start.member,
-            view: FleetView::default(),
+            view: FleetSnapshot::default(),
             hosted: std::collections::BTreeMap::new(),
             loaded: start.loaded,
             stopped,
@@ -137,7 +137,7 @@
             last_sweep: MonotonicMs(0),
             budgets_told: MonotonicMs(0),
             started: None,
-            confirming: confirm::Confirming::new(life),
+            confirming: confirm::Confirming::new(boot_id),
             behind_since: None,
             remembered,
             room_bytes: room_bytes(&start.resources),
@@ -162,7 +162,7 @@
         self.hosted.values().find_map(|h| h.counter().map(crate::counter::Counter::holds))
     }
 
-    fn write_own(&mut self, row: RowChange, then: Option<ShardWish>, out: &mut Out) {
+    fn write_own(&mut self, row: RowChange, then: Option<ShardChangeRequest>, out: &mut Out) {
         self.last_write += 1;
         if let Some(wish) = then {
             self.after_write.insert(self.last_write, wish);
@@ -172,7 +172,7 @@
     }
 
     /// Answers nothing more in a shard's epoch, and once that is synced wishes for another record.
-    pub(crate) fn stop_and_wish(&mut self, wish: ShardWish, out: &mut Out) {
+    pub(crate) fn stop_and_wish(&mut self, wish: ShardChangeRequest, out: &mut Out) {
         let shard = wish.shard;
         // The counter is lost with its process, and with it whatever it could answer: it need not
         // wait for a disk that may have stalled.
@@ -199,7 +199,10 @@
             {
                 *sent = now;
                 for to in &control {
-                    out.push(Effect::Send { to: *to, message: Message::Wish(wish.clone()) });
+                    out.push(Effect::Send {
+                        to: *to,
+                        message: Message::ShardChangeRequest(wish.clone()),
+                    });
                 }
             }
         }
@@ -263,7 +266,7 @@
         let outgoing = self.membership.tick(now);
         out.extend(topazyard_membership::effects(outgoing));
         self.remember_addresses(out);
-        self.follower.add_sources(self.membership.addresses(Duty::Control));
+        self.follower.add_sources(self.membership.addresses(MemberRole::Control));
         let behind = self.behind_since.is_some_and(|at| self.follower.confirmed_at() <= Some(at));
         let waits = self.hosted.values().any(|hosted| hosted.waits_for_control(now));
         self.follower.set_fast_polling(behind || waits || self.is_starting(now));
@@ -308,7 +311,7 @@
         if !self.disk.takes_more() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
+        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
             self.write_own(row, None, out);
         }
     }
@@ -363,8 +366,8 @@
         let may_wish = hosted.wish.is_none() && !self.disk.is_full();
         if may_wish && !alone && !silent.is_empty() {
             let epoch = hosted.replica.epoch();
-            let wish = Wish::DropBackups(silent);
-            self.stop_and_wish(ShardWish { shard, epoch, wish }, out);
+            let change = ShardChange::DropBackups(silent);
+            self.stop_and_wish(ShardChangeRequest { shard, epoch, change }, out);
         }
     }
 }
@@ -411,7 +414,7 @@
                 }
                 Message::Feed(message) => {
                     if self.follower.receive(from, message) == FollowOutcome::Changed {
-                        self.view = FleetView::read(self.follower.copy().rows());
+                        self.view = FleetSnapshot::read(self.follower.copy().rows());
                         self.settle_roles(now, &mut out);
                     }
                     if self.follower.is_fetching() {
@@ -428,11 +431,13 @@
                 Message::Batch(message) => {
                     self.receive_batch(sender, from, message, now, &mut out);
                 }
-                Message::Told(shard, record) => self.told_record(shard, record, now, &mut out),
+                Message::ShardRecord(shard, record) => {
+                    self.told_record(shard, record, now, &mut out)
+                }
                 Message::Confirm(message) => {
                     self.receive_confirm(sender, from, message, now, &mut out);
                 }
-                Message::Core(_) | Message::Wish(_) | Message::Operate(_) => {}
+                Message::Core(_) | Message::ShardChangeRequest(_) | Message::Operate(_) => {}
             },
         }
         self.proceed(now, &mut out);
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -7,7 +7,7 @@
 use topazyard_types::{MonotonicMs, ShardId};
 use topazyard_wire::invariants::Invariant;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{CoreNode, ShardRecord, ShardWish, Wish};
+use topazyard_wire::message::control::{CoreNode, ShardChange, ShardChangeRequest, ShardRecord};
 use topazyard_wire::{Effect, Group, RowChange, WriteToken};
 
 impl StorageMachine {
@@ -40,13 +40,13 @@
     }
 
     fn host(&mut self, shard: ShardId) -> &mut Hosted {
-        let life = self.life;
+        let boot_id = self.boot_id;
         let loaded = self.loaded.remove(&Group::Shard(shard)).unwrap_or_default();
         let last_write = self.deletions.get(&shard).copied().unwrap_or_default();
         self.hosted.entry(shard).or_insert_with(|| {
             let mut copy = Copy::from_rows(loaded);
             copy.keep_only_last_batch();
-            let replica = Replica::new(Group::Shard(shard), !shard.is_counter(), copy, life);
+            let replica = Replica::new(Group::Shard(shard), !shard.is_counter(), copy, boot_id);
             Hosted::new(replica.with_last_write(last_write))
         })
     }
@@ -83,7 +83,7 @@
         hosted.wish = None;
         hosted.synced_by.clear();
         let has_restarted = !hosted.replica.has_role()
-            && hosted.replica.copy().position() != topazyard_types::Place::default();
+            && hosted.replica.copy().position() != topazyard_types::LogPosition::default();
         let hands_over = has_restarted && record.primary.id == me && !record.backups.is_empty();
         let outputs = if hands_over {
             // It must not bring its backups in step with a copy that may lack what they have shown.
@@ -108,14 +108,19 @@
         self.take_replica(shard, outputs, now, out);
         if hands_over {
             // A backup may have answered reads meanwhile from a batch that was lost here.
-            let wish = ShardWish { shard, epoch: record.epoch, wish: Wish::HandOver };
+            let wish =
+                ShardChangeRequest { shard, epoch: record.epoch, change: ShardChange::HandOver };
             self.stop_and_wish(wish, out);
             return;
         }
         let wishes = stopped && record.primary.id == me && record.learners.is_empty();
         if wishes && !record.backups.is_empty() && !shard.is_counter() {
             let all = record.backups.iter().map(|node| node.id).collect();
-            let wish = ShardWish { shard, epoch: record.epoch, wish: Wish::DropBackups(all) };
+            let wish = ShardChangeRequest {
+                shard,
+                epoch: record.epoch,
+                change: ShardChange::DropBackups(all),
+            };
             self.stop_and_wish(wish, out);
         }
     }
@@ -138,11 +143,11 @@
         let number = last_write + 1;
         self.deletions.insert(shard, number);
         let token = WriteToken { group: Group::Shard(shard), number };
-        let changes = keys.into_iter().map(RowChange::gone).collect();
+        let changes = keys.into_iter().map(RowChange::delete).collect();
         out.push(Effect::Write { token, changes });
     }
 
-    pub(super) fn begin_wishing(&mut self, wish: &ShardWish) {
+    pub(super) fn begin_wishing(&mut self, wish: &ShardChangeRequest) {
         if let Some(hosted) = self.hosted.get_mut(&wish.shard)
             && let Some((kept, sent @ None)) = &mut hosted.wish
             && kept == wish
@@ -185,7 +190,11 @@
                         && hosted.wish.is_none()
                     {
                         let epoch = hosted.replica.epoch();
-                        let wish = ShardWish { shard, epoch, wish: Wish::PromoteLearners };
+                        let wish = ShardChangeRequest {
+                            shard,
+                            epoch,
+                            change: ShardChange::PromoteLearners,
+                        };
                         self.stop_and_wish(wish, out);
                     }
                 }
@@ -215,7 +224,7 @@
             hosted.work = if shard.is_counter() {
                 Work::Counter(crate::counter::Counter::taken_over(copy, now))
             } else {
-                Work::Batches(crate::batches::Batches::taken_over(shard, copy, self.life, now))
+                Work::Batches(crate::batches::Batches::taken_over(shard, copy, self.boot_id, now))
             };
         }
         let text = format!("shard {shard} serves in epoch {}", hosted.replica.epoch());
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -7,7 +7,7 @@
 use topazyard_types::{Epoch, MonotonicMs, NodeId, ShardId};
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
+use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchResponse};
 
 /// Refused submissions of batches that a shard remembers.
 const REFUSED: usize = 256;
@@ -26,8 +26,8 @@
         let (shard, caller) = (message.shard, BatchCaller { to: from, call: message.call });
         let call = match message.body {
             BatchBody::Call(call) => call,
-            BatchBody::Aside(call) => return self.take_aside(shard, caller, &call, now),
-            BatchBody::Return(_) => return,
+            BatchBody::ReplicaRead(call) => return self.take_aside(shard, caller, &call, now),
+            BatchBody::Response(_) => return,
         };
         let epoch = self.hosted.get(&shard).map_or(message.epoch, |hosted| hosted.replica.epoch());
         let is_full = self.disk.is_full();
@@ -40,7 +40,7 @@
         if served {
             self.report_waiting(shard, now, out);
         } else {
-            send(shard, epoch, caller, BatchReturn::NotHere, out);
+            send(shard, epoch, caller, BatchResponse::NotPrimary, out);
         }
     }
 
@@ -89,13 +89,13 @@
                             hosted.refused.pop_front();
                         }
                         hosted.refused.push_back(me);
-                        (Vec::new(), BatchAnswer::Ready(BatchReturn::CeilingReached))
+                        (Vec::new(), BatchAnswer::Ready(BatchResponse::CeilingReached))
                     }
                 }
             }
             BatchCall::Read(_)
-            | BatchCall::Returns { .. }
-            | BatchCall::Results { .. }
+            | BatchCall::ItemResults { .. }
+            | BatchCall::RoutedResults { .. }
             | BatchCall::Body { .. } => match BatchAnswer::of_read(&call) {
                 Some(answer) => (Vec::new(), answer),
                 None => return false,
@@ -106,30 +106,30 @@
             }
             BatchCall::End(batch) => match batches.end_either(batch, now) {
                 Some(changes) => (changes, BatchAnswer::Standing(batch, false)),
-                None => (Vec::new(), BatchAnswer::Ready(BatchReturn::Unknown)),
+                None => (Vec::new(), BatchAnswer::Ready(BatchResponse::Unknown)),
             },
             BatchCall::Lease { most, models, routes } => {
                 let copy = hosted.replica.copy();
                 let mut leased = batches.routed.lease(relay, most, &routes, copy, now);
                 let left = most - leased.len() as u32;
                 leased.extend(batches.lease(relay, left, &models, copy, now));
-                (Vec::new(), BatchAnswer::Ready(BatchReturn::Leased(leased)))
+                (Vec::new(), BatchAnswer::Ready(BatchResponse::Leased(leased)))
             }
             BatchCall::Start(run) => {
                 let (may_start, changes) = batches.start(relay, run, now);
-                (changes, BatchAnswer::Ready(BatchReturn::MayStart(may_start)))
+                (changes, BatchAnswer::Ready(BatchResponse::MayStart(may_start)))
             }
             BatchCall::Finish(run, end) => {
                 let changes = match batches.routed.contains(run.batch) {
                     true => batches.routed.finish(relay, run, end, now),
                     false => batches.finish(relay, run, end, now),
                 };
-                (changes, BatchAnswer::Ready(BatchReturn::Noted))
+                (changes, BatchAnswer::Ready(BatchResponse::Acknowledged))
             }
             BatchCall::Running(runs) => {
                 batches.running(&runs, now);
                 batches.routed.running(relay, &runs, now);
-                (Vec::new(), BatchAnswer::Ready(BatchReturn::Noted))
+                (Vec::new(), BatchAnswer::Ready(BatchResponse::Acknowledged))
             }
         };
         hosted.submit(changes, Waiting::Batch(caller, answer));
@@ -149,7 +149,7 @@
         let (batch, caller) = (submission.batch, submission.caller);
         if !granted && !batches.contains(batch) {
             let epoch = hosted.replica.epoch();
-            send(shard, epoch, caller, BatchReturn::CeilingReached, out);
+            send(shard, epoch, caller, BatchResponse::CeilingReached, out);
             return;
         }
         let changes = if batches.contains(batch) {
@@ -170,10 +170,10 @@
             Waiting::Counter(to, body) => super::counting::send(to, epoch, body, out),
             Waiting::Batch(caller, answer) => {
                 let value = answer.answered_by(hosted.replica.copy());
-                if matches!(value, Some(BatchReturn::Accepted(_))) {
+                if matches!(value, Some(BatchResponse::Accepted(_))) {
                     self.batches_acknowledged += 1;
                 }
-                send(shard, epoch, caller, value.unwrap_or(BatchReturn::Unknown), out);
+                send(shard, epoch, caller, value.unwrap_or(BatchResponse::Unknown), out);
             }
         }
     }
@@ -192,7 +192,7 @@
             Work::None => Vec::new(),
             Work::Counter(counter) => counter.tick(now),
             Work::Batches(batches) => {
-                let limits = self.view.spec.as_ref().map(|(_, bundle)| &bundle.batches);
+                let limits = self.view.configuration.as_ref().map(|(_, bundle)| &bundle.batches);
                 let keep_s = limits.map(|limits| u64::from(limits.keep_finished_s));
                 let mut changes = batches.tick(now);
                 changes.extend(batches.routed.tick(now));
@@ -225,10 +225,10 @@
     shard: ShardId,
     epoch: Epoch,
     caller: BatchCaller,
-    value: BatchReturn,
+    value: BatchResponse,
     out: &mut Out,
 ) {
-    let body = BatchBody::Return(value);
+    let body = BatchBody::Response(value);
     let message = Message::Batch(BatchMessage { shard, epoch, call: caller.call, body });
     out.push(Effect::Send { to: caller.to, message });
 }
--- a/programs/topazyard-storage/src/run.rs
+++ b/programs/topazyard-storage/src/run.rs
@@ -1,7 +1,7 @@
 //! The program as a whole: its machine, its links and its HTTP.
 
 use topazyard_wire::driver::{StartError, start_with_disk};
-use topazyard_wire::message::membership::Duty;
+use topazyard_wire::message::membership::MemberRole;
 
 /// Runs the program on its settings until it ends.
 ///
@@ -9,11 +9,16 @@
 /// A setting that is missing, an address that is taken, or a disk that can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings) -> Result<(), StartError> {
     topazyard_wire::driver::run_process(async move {
-        let (start, place, disk) = start_with_disk(&settings, Duty::Storage).await?;
+        let (start, place, disk) = start_with_disk(&settings, MemberRole::Storage).await?;
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
         let make = |_| (crate::StorageMachine::new(start), Vec::new());
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.frames_at(), make, place, Some(disk), tasks)?;
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.listen_address(),
+            make,
+            place,
+            Some(disk),
+            tasks,
+        )?;
         crate::metrics::serve(settings.metrics, &handle).await;
         let health = handle.clone();
         if let Some(http) = settings.http {
