--- a/programs/topazyard-storage/tests/batches.rs
+++ b/programs/topazyard-storage/tests/batches.rs
@@ -3,10 +3,10 @@
 use topazyard_replication::Copy;
 use topazyard_storage::batches::{Batches, LEASE, returns};
 use topazyard_types::{
-    BatchId, Epoch, ItemNumber, Life, ModelName, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
+    BatchId, BootId, Epoch, ItemNumber, ModelName, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
 };
 use topazyard_wire::RowChange;
-use topazyard_wire::message::batch::{BatchReturn, Item, Run, RunEnd};
+use topazyard_wire::message::batch::{BatchResponse, Item, Run, RunEnd};
 
 struct Shard {
     copy: Copy,
@@ -21,14 +21,14 @@
     fn with_items(count: u32) -> Self {
         let batch = BatchId { shard: ShardId(1), number: 5 };
         let copy = Copy::default();
-        let batches = Batches::taken_over(ShardId(1), &copy, Life(3), MonotonicMs(0));
+        let batches = Batches::taken_over(ShardId(1), &copy, BootId(3), MonotonicMs(0));
         let mut shard = Self { copy, batches, batch };
         let item = Item {
             model: "m".into(),
             body: bytes::Bytes::from_static(b"{}"),
             repeatable: false,
             cost: Tokens(10),
-            directions: None,
+            routing: None,
         };
         let changes = shard.batches.submit(batch, &vec![item; count as usize]);
         shard.keep(changes);
@@ -59,7 +59,7 @@
 }
 
 fn whole(text: &'static str) -> RunEnd {
-    RunEnd::Whole { status: 200, body: bytes::Bytes::from_static(text.as_bytes()) }
+    RunEnd::Complete { status: 200, body: bytes::Bytes::from_static(text.as_bytes()) }
 }
 
 #[test]
@@ -125,10 +125,10 @@
     let other = ItemNumber(1 - run.item.0);
     assert!(shard.start(A, run, MonotonicMs(1)));
     let (answer, _) = shard.batches.recall(shard.batch, run.item, MonotonicMs(1));
-    assert_eq!(answer, BatchReturn::TooLate { returned: false });
+    assert_eq!(answer, BatchResponse::TooLate { returned: false });
     let (answer, changes) = shard.batches.recall(shard.batch, other, MonotonicMs(1));
     shard.keep(changes);
-    assert_eq!(answer, BatchReturn::Recalled);
+    assert_eq!(answer, BatchResponse::Recalled);
     let models: [ModelName; 1] = ["m".into()];
     assert!(shard.batches.lease(B, 9, &models, &shard.copy, MonotonicMs(2)).is_empty());
 }
@@ -141,7 +141,7 @@
     shard.finish(A, run, whole("one"));
     let rows = shard.copy.rows().clone();
     let copy = Copy::from_rows(rows);
-    let successor = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(5));
+    let successor = Batches::taken_over(ShardId(1), &copy, BootId(9), MonotonicMs(5));
     assert_eq!(successor.waiting(), Tokens(20));
     assert_eq!(returns(&copy, shard.batch, 0), returns(&shard.copy, shard.batch, 0));
 }
@@ -183,7 +183,7 @@
         body: bytes::Bytes::from_static(b"{}"),
         repeatable: true,
         cost: Tokens(1),
-        directions: None,
+        routing: None,
     };
     let other = BatchId { number: 6, ..batch };
     for id in [batch, other] {
@@ -198,7 +198,7 @@
     shard.keep(changes);
     // A successor knows it too.
     let copy = Copy::from_rows(shard.copy.rows().clone());
-    shard.batches = Batches::taken_over(ShardId(1), &copy, Life(9), MonotonicMs(20_000));
+    shard.batches = Batches::taken_over(ShardId(1), &copy, BootId(9), MonotonicMs(20_000));
     // Its next run is handed back before it was sent.
     let run = shard.lease(B, MonotonicMs(20_001));
     assert!(shard.start(B, run, MonotonicMs(20_002)));
@@ -206,7 +206,7 @@
     let now = MonotonicMs(20_010);
     let (answer, changes) = shard.batches.recall(batch, ItemNumber(0), now);
     shard.keep(changes);
-    assert_eq!(answer, BatchReturn::TooLate { returned: true });
+    assert_eq!(answer, BatchResponse::TooLate { returned: true });
     let changes = shard.batches.end(other, now).expect("it is known");
     shard.keep(changes);
     for id in [batch, other] {
--- a/programs/topazyard-storage/tests/confirming.rs
+++ b/programs/topazyard-storage/tests/confirming.rs
@@ -3,15 +3,17 @@
 
 use topazyard_storage::StorageMachine;
 use topazyard_types::{
-    BatchId, Digest, DurationMs, Epoch, MonotonicMs, NodeId, Place, Sequence, ShardId,
+    BatchId, Digest, DurationMs, Epoch, LogPosition, MonotonicMs, NodeId, Sequence, ShardId,
 };
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
+use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchResponse};
 use topazyard_wire::message::confirm::ConfirmMessage;
-use topazyard_wire::message::control::{CoreNode, ShardRecord, Wish};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
-use topazyard_wire::message::membership::{Duty, Member, MembershipMessage, News, Standing};
+use topazyard_wire::message::control::{CoreNode, ShardChange, ShardRecord};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
+use topazyard_wire::message::membership::{
+    Member, MemberRole, MemberStatus, MemberUpdate, MembershipMessage,
+};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange};
 
@@ -32,9 +34,9 @@
     CoreNode { id: NodeId(id), address: address(id) }
 }
 
-fn member(id: u64, duty: Duty) -> Member {
+fn member(id: u64, role: MemberRole) -> Member {
     let zone = format!("zone-{id}").as_str().into();
-    Member { id: NodeId(id), name: None, address: address(id), http: None, duty, zone }
+    Member { id: NodeId(id), name: None, address: address(id), http: None, role, zone }
 }
 
 /// A record with the primary and so many backups.
@@ -60,12 +62,12 @@
     fn start(id: u64, loaded: topazyard_wire::rows::Loaded) -> Self {
         let start = DiskStart {
             resources: topazyard_spec::Resources::default(),
-            member: member(id, Duty::Storage),
+            member: member(id, MemberRole::Storage),
             seeds: vec![address(CONTROL)],
             chance: id + 1,
             loaded,
             bounds: topazyard_spec::Bounds::default(),
-            may_found: false,
+            may_bootstrap: false,
         };
         let now = MonotonicMs(86_400_000);
         Self { machine: StorageMachine::new(start), now, sent: Vec::new() }
@@ -103,20 +105,20 @@
     }
 
     fn learn_of(&mut self, shard: ShardId, record: &ShardRecord) {
-        let member = member(CONTROL, Duty::Control);
+        let member = member(CONTROL, MemberRole::Control);
         let incarnation = topazyard_types::Incarnation(0);
-        let news = vec![News { member, incarnation, standing: Standing::Alive }];
-        self.hear(CONTROL, Message::Membership(MembershipMessage::Roster { news }));
+        let updates = vec![MemberUpdate { member, incarnation, status: MemberStatus::Alive }];
+        self.hear(CONTROL, Message::Membership(MembershipMessage::MemberList { updates }));
         self.run(TICK.0);
         let ask = self.sent.iter().rev().find_map(|(_, message)| match message {
-            Message::Feed(FeedMessage::Ask { nonce, .. }) => Some(*nonce),
+            Message::Feed(FeedMessage::Request { nonce, .. }) => Some(*nonce),
             _ => None,
         });
         let row = RowChange::put(topazyard_wire::state::shard_key(shard), record);
-        let matter = Matter::View(vec![(row.key, row.value.expect("a value"))]);
-        let place = Place { epoch: Epoch(1), sequence: Sequence(record.epoch.0) };
+        let content = UpdateContent::Snapshot(vec![(row.key, row.value.expect("a value"))]);
+        let position = LogPosition { epoch: Epoch(1), sequence: Sequence(record.epoch.0) };
         let nonce = ask.expect("it asks the feed");
-        self.hear(CONTROL, Message::Feed(FeedMessage::News { nonce, place, matter }));
+        self.hear(CONTROL, Message::Feed(FeedMessage::Update { nonce, position, content }));
     }
 
     /// Lets time pass with a control node that returns each asking of the feed.
@@ -125,12 +127,12 @@
             self.sent.clear();
             self.run(TICK.0);
             let asked = self.sent.iter().find_map(|(_, message)| match message {
-                Message::Feed(FeedMessage::Ask { nonce, after, .. }) => Some((*nonce, *after)),
+                Message::Feed(FeedMessage::Request { nonce, after, .. }) => Some((*nonce, *after)),
                 _ => None,
             });
-            if let Some((nonce, place)) = asked {
-                let matter = Matter::Changes(Vec::new());
-                self.hear(CONTROL, Message::Feed(FeedMessage::News { nonce, place, matter }));
+            if let Some((nonce, position)) = asked {
+                let content = UpdateContent::Changes(Vec::new());
+                self.hear(CONTROL, Message::Feed(FeedMessage::Update { nonce, position, content }));
             }
         }
     }
@@ -148,12 +150,12 @@
             round: 1,
             sequence: Sequence(0),
             digests,
-            of: topazyard_wire::message::replica::Follows::AsBackup,
+            of: topazyard_wire::message::replica::FollowerRole::Backup,
         });
         let mut batches = topazyard_storage::batches::Batches::taken_over(
             SHARD,
             &empty,
-            topazyard_types::Life(3),
+            topazyard_types::BootId(3),
             self.now,
         );
         let changes = batches.submit(BATCH, &[]);
@@ -161,7 +163,7 @@
     }
 
     fn ask_aside(&mut self) {
-        let body = BatchBody::Aside(BatchCall::Read(BATCH));
+        let body = BatchBody::ReplicaRead(BatchCall::Read(BATCH));
         let message = BatchMessage { shard: SHARD, epoch: Epoch(1), call: 7, body };
         self.hear(RELAY, Message::Batch(message));
     }
@@ -169,7 +171,7 @@
     /// The last question to control.
     fn asked(&self) -> u64 {
         let asked = self.sent.iter().rev().find_map(|(to, message)| match message {
-            Message::Confirm(ConfirmMessage::AskRecords { nonce }) => Some((*to, *nonce)),
+            Message::Confirm(ConfirmMessage::RequestRecords { nonce }) => Some((*to, *nonce)),
             _ => None,
         });
         let (to, nonce) = asked.expect("it asks control");
@@ -190,9 +192,9 @@
 
     fn has_answered(&self) -> bool {
         self.sent.iter().any(|(to, message)| match message {
-            Message::Batch(BatchMessage { body: BatchBody::Return(value), .. }) => {
+            Message::Batch(BatchMessage { body: BatchBody::Response(value), .. }) => {
                 assert_eq!(*to, address(RELAY));
-                matches!(value, BatchReturn::Standing(_))
+                matches!(value, BatchResponse::Status(_))
             }
             _ => false,
         })
@@ -263,7 +265,7 @@
     let mut storage = backup_of(2);
     let ask = |epoch, sequence| {
         let (epoch, sequence) = (Epoch(epoch), Sequence(sequence));
-        Message::Confirm(ConfirmMessage::AskSynced { shard: SHARD, epoch, sequence })
+        Message::Confirm(ConfirmMessage::CheckSynced { shard: SHARD, epoch, sequence })
     };
     storage.hear(OTHER_BACKUP, ask(1, 2));
     storage.hear(OTHER_BACKUP, ask(2, 1));
@@ -290,7 +292,7 @@
     storage.learn(&record(1));
     storage.run(200);
     let wishes = storage.sent.iter().any(|(_, message)| match message {
-        Message::Wish(wish) => wish.wish == Wish::HandOver,
+        Message::ShardChangeRequest(wish) => wish.change == ShardChange::HandOver,
         _ => false,
     });
     assert!(wishes, "its backup should lead");
@@ -304,7 +306,9 @@
     storage.learn_of(ShardId::COUNTER, &record(1));
     let drops = |storage: &Storage| {
         storage.sent.iter().any(|(_, message)| match message {
-            Message::Wish(wish) => wish.wish == Wish::DropBackups(vec![NodeId(BACKUP)]),
+            Message::ShardChangeRequest(wish) => {
+                wish.change == ShardChange::DropBackups(vec![NodeId(BACKUP)])
+            }
             _ => false,
         })
     };
--- a/programs/topazyard-storage/tests/counter.rs
+++ b/programs/topazyard-storage/tests/counter.rs
@@ -3,10 +3,10 @@
 use topazyard_replication::Copy;
 use topazyard_storage::counter::{Checked, Counter, LEASE, Report};
 use topazyard_types::{
-    DurationMs, Epoch, HoldId, Life, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
+    BootId, DurationMs, Epoch, HoldId, MonotonicMs, NodeId, Sequence, ShardId, Tokens,
 };
 use topazyard_wire::RowChange;
-use topazyard_wire::message::counter::{Hold, HoldKind, Terms};
+use topazyard_wire::message::counter::{Hold, HoldKind, HoldTerms};
 
 const RELAY: NodeId = NodeId(7);
 const NOW: MonotonicMs = MonotonicMs(100_000);
@@ -14,13 +14,13 @@
 /// A counter with a history, so that it need not gather.
 fn counter() -> Counter {
     let mut copy = Copy::default();
-    copy.apply(Epoch(1), Sequence(1), vec![RowChange::gone("none")]);
+    copy.apply(Epoch(1), Sequence(1), vec![RowChange::delete("none")]);
     Counter::taken_over(&copy, NOW)
 }
 
 fn hold(id: u64, cost: u64, kind: HoldKind) -> Hold {
     let part = if kind == HoldKind::Live { 1_000 } else { 300 };
-    let terms = Terms { limit: Tokens(1_000), part: Tokens(part), expiry: DurationMs(60_000) };
+    let terms = HoldTerms { limit: Tokens(1_000), part: Tokens(part), expiry: DurationMs(60_000) };
     Hold {
         id: HoldId(id),
         pool: "main".into(),
@@ -94,9 +94,9 @@
 #[test]
 fn waiting_work_is_checked_against_its_ceiling_and_a_restarted_shard_is_heard() {
     let mut counter = counter();
-    let told = |life, number, total| Report {
+    let told = |boot_id, number, total| Report {
         shard_epoch: Epoch(1),
-        life: Life(life),
+        boot_id: BootId(boot_id),
         number,
         total: Tokens(total),
     };
@@ -214,7 +214,8 @@
     assert_eq!(counter.held(&"main".into()), Tokens(1_000));
     // 200 used and a reserve of 1.5 times the root of 100 squares of 8 leave 680 to items.
     let item = |id, cost| {
-        let terms = Terms { limit: Tokens(1_000), part: Tokens(900), expiry: DurationMs(60_000) };
+        let terms =
+            HoldTerms { limit: Tokens(1_000), part: Tokens(900), expiry: DurationMs(60_000) };
         Hold { terms, ..hold(id, cost, HoldKind::Item) }
     };
     assert!(is_added(&counter.add(RELAY, &item(8, 680), NOW)));
--- a/programs/topazyard-storage/tests/disks.rs
+++ b/programs/topazyard-storage/tests/disks.rs
@@ -8,7 +8,7 @@
 use topazyard_types::{Sequence, ShardId};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchReturn};
+use topazyard_wire::message::batch::{BatchBody, BatchCall, BatchMessage, BatchResponse};
 use topazyard_wire::message::control::ShardRecord;
 use topazyard_wire::message::feed::{FeedMessage, Health};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
@@ -87,7 +87,7 @@
             let Message::Replica(ReplicaMessage { body, .. }) = message else { continue };
             let body = match body {
                 ReplicaBody::Digests { round, sequence, .. } => {
-                    ReplicaBody::InStep { round, sequence }
+                    ReplicaBody::InSync { round, sequence }
                 }
                 ReplicaBody::Append { round, .. } => ReplicaBody::Appended { round },
                 _ => continue,
@@ -100,13 +100,13 @@
     /// How it told control last that it fares.
     fn told_health(&self) -> Option<Health> {
         self.sent.iter().rev().find_map(|message| match message {
-            Message::Feed(FeedMessage::Ask { health, .. }) => Some(health.clone()),
+            Message::Feed(FeedMessage::Request { health, .. }) => Some(health.clone()),
             _ => None,
         })
     }
 
     /// A relay asks about a batch; gives what it is told at once or once the backup confirmed.
-    fn ask_batch(&mut self) -> Option<BatchReturn> {
+    fn ask_batch(&mut self) -> Option<BatchResponse> {
         self.sent.clear();
         let call = BatchCall::Read(BatchId { shard: SHARD, number: 7 });
         let body = BatchBody::Call(call);
@@ -120,9 +120,9 @@
         self.returned()
     }
 
-    fn returned(&self) -> Option<BatchReturn> {
+    fn returned(&self) -> Option<BatchResponse> {
         self.sent.iter().find_map(|message| match message {
-            Message::Batch(BatchMessage { body: BatchBody::Return(value), .. }) => {
+            Message::Batch(BatchMessage { body: BatchBody::Response(value), .. }) => {
                 Some(value.clone())
             }
             _ => None,
@@ -134,11 +134,11 @@
 fn a_primary_without_room_takes_no_calls_until_there_is_some() {
     let mut node = Node::new();
     node.lead();
-    assert_eq!(node.ask_batch(), Some(BatchReturn::Unknown), "there is no such batch");
+    assert_eq!(node.ask_batch(), Some(BatchResponse::Unknown), "there is no such batch");
     node.step(Input::Disk(DiskState::Full));
-    assert_eq!(node.ask_batch(), Some(BatchReturn::NotHere));
+    assert_eq!(node.ask_batch(), Some(BatchResponse::NotPrimary));
     node.step(Input::Disk(DiskState::Healthy));
-    assert_eq!(node.ask_batch(), Some(BatchReturn::Unknown), "it goes on as before");
+    assert_eq!(node.ask_batch(), Some(BatchResponse::Unknown), "it goes on as before");
 }
 
 #[test]
@@ -175,14 +175,14 @@
     // Its primary compares again and again, as it does while nobody answers.
     for round in 1..=5_000 {
         let digests = vec![Digest::default(); topazyard_replication::copy::RANGE_COUNT];
-        let of = topazyard_wire::message::replica::Follows::AsBackup;
+        let of = topazyard_wire::message::replica::FollowerRole::Backup;
         let body = ReplicaBody::Digests { round, sequence: Sequence(0), digests, of };
         let message = ReplicaMessage { group: Group::Shard(SHARD), epoch: EPOCH, body };
         node.hear(BACKUP, Message::Replica(message));
     }
     assert!(node.unsynced.len() <= 200, "{} writes wait", node.unsynced.len());
     let confirms = |message: &Message| {
-        matches!(message, Message::Replica(ReplicaMessage { body: ReplicaBody::InStep { .. }, .. }))
+        matches!(message, Message::Replica(ReplicaMessage { body: ReplicaBody::InSync { .. }, .. }))
     };
     assert!(!node.sent.iter().any(confirms));
     for token in std::mem::take(&mut node.unsynced) {
--- a/programs/topazyard-storage/tests/displaced.rs
+++ b/programs/topazyard-storage/tests/displaced.rs
@@ -6,7 +6,7 @@
 use topazyard_storage::{StorageCall, StorageMachine};
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, NodeId, Sequence, ShardId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::control::{ShardRecord, ShardWish, Wish};
+use topazyard_wire::message::control::{ShardChange, ShardChangeRequest, ShardRecord};
 use topazyard_wire::message::replica::{ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine as _};
 
@@ -81,11 +81,11 @@
         self.pass(25);
     }
 
-    fn wishes(&self) -> Vec<&ShardWish> {
+    fn wishes(&self) -> Vec<&ShardChangeRequest> {
         self.sent
             .iter()
             .filter_map(|message| match message {
-                Message::Wish(wish) => Some(wish),
+                Message::ShardChangeRequest(wish) => Some(wish),
                 _ => None,
             })
             .collect()
@@ -103,8 +103,11 @@
 fn a_backup_whose_address_another_id_answers_from_is_let_go_at_once() {
     let mut storage = Storage::told_of(ME);
     storage.hear_not_held(BLANK, BACKUP, 1);
-    let wish =
-        ShardWish { shard: SHARD, epoch: Epoch(1), wish: Wish::DropBackups(vec![NodeId(BACKUP)]) };
+    let wish = ShardChangeRequest {
+        shard: SHARD,
+        epoch: Epoch(1),
+        change: ShardChange::DropBackups(vec![NodeId(BACKUP)]),
+    };
     assert_eq!(storage.wishes().first(), Some(&&wish));
 }
 
--- a/programs/topazyard-storage/tests/letting_go.rs
+++ b/programs/topazyard-storage/tests/letting_go.rs
@@ -8,7 +8,7 @@
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, NodeId, Sequence, ShardId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
-use topazyard_wire::message::replica::{Follows, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine as _, WriteToken};
 
 const SHARD: ShardId = ShardId(1);
@@ -74,7 +74,7 @@
     /// The primary compares, with a copy that is as empty as this one.
     fn compare(&mut self, epoch: u64, round: u64) {
         let digests = topazyard_replication::Copy::default().digests().to_vec();
-        let (sequence, of) = (Sequence(0), Follows::AsLearner);
+        let (sequence, of) = (Sequence(0), FollowerRole::Learner);
         let body = ReplicaBody::Digests { round, sequence, digests, of };
         let group = Group::Shard(SHARD);
         let message = ReplicaMessage { group, epoch: Epoch(epoch), body };
@@ -84,7 +84,7 @@
     fn says_in_step(&self, round: u64) -> bool {
         self.sent.iter().any(|message| match message {
             Message::Replica(ReplicaMessage { body, .. }) => {
-                matches!(body, ReplicaBody::InStep { round: said, .. } if *said == round)
+                matches!(body, ReplicaBody::InSync { round: said, .. } if *said == round)
             }
             _ => false,
         })
--- a/programs/topazyard-storage/tests/routed_batches.rs
+++ b/programs/topazyard-storage/tests/routed_batches.rs
@@ -4,12 +4,14 @@
 use topazyard_replication::Copy;
 use topazyard_storage::batches::{Batches, LEASE, routed};
 use topazyard_types::{
-    BatchId, DurationMs, Epoch, ItemNumber, Life, MonotonicMs, NodeId, RouteName, Sequence, Tokens,
+    BatchId, BootId, DurationMs, Epoch, ItemNumber, MonotonicMs, NodeId, RouteName, Sequence,
+    Tokens,
 };
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{Invariant, violations};
 use topazyard_wire::message::batch::{
-    Directions, Item, ItemEnd, ItemReturn, LeasedItem, Progress, RoutedBatch, Run, RunEnd, Terms,
+    Item, ItemEnd, ItemResult, ItemRouting, LeasedItem, Progress, RoutedBatch, RoutedBatchTerms,
+    Run, RunEnd,
 };
 
 const A: NodeId = NodeId(11);
@@ -27,7 +29,7 @@
         body: bytes::Bytes::from(format!("body of {id}")),
         repeatable: true,
         cost: Tokens(10),
-        directions: Some(Directions {
+        routing: Some(ItemRouting {
             id: id.to_owned(),
             path: "/p/1".to_owned(),
             headers: Vec::new(),
@@ -39,7 +41,7 @@
 fn routed_batch(id: &str, items: u32) -> RoutedBatch {
     RoutedBatch {
         batch: BatchId::of_host(HOST, id),
-        terms: Terms {
+        terms: RoutedBatchTerms {
             route: "r".into(),
             host: HOST.to_owned(),
             run_target: DurationMs(8_000),
@@ -63,15 +65,15 @@
         Self { copy, batches }
     }
 
-    fn of(copy: &Copy, life: u64, now_ms: u64) -> Batches {
+    fn of(copy: &Copy, boot_id: u64, now_ms: u64) -> Batches {
         let shard = BatchId::of_host(HOST, "").shard;
-        Batches::taken_over(shard, copy, Life(life << 40), at(now_ms))
+        Batches::taken_over(shard, copy, BootId(boot_id << 40), at(now_ms))
     }
 
     /// Another node goes on from what was committed; its clock has a beginning of its own.
-    fn hand_over(&mut self, life: u64, now_ms: u64) {
+    fn hand_over(&mut self, boot_id: u64, now_ms: u64) {
         self.copy = Copy::from_rows(self.copy.rows().clone());
-        self.batches = Self::of(&self.copy, life, now_ms);
+        self.batches = Self::of(&self.copy, boot_id, now_ms);
     }
 
     fn keep(&mut self, changes: Vec<RowChange>) {
@@ -108,14 +110,14 @@
         self.keep(changes);
     }
 
-    fn results(&self, id: &str) -> Vec<ItemReturn> {
+    fn results(&self, id: &str) -> Vec<ItemResult> {
         let found = routed::results(&self.copy, BatchId::of_host(HOST, id), 0);
         found.expect("it is known").1
     }
 }
 
 fn done(text: &str) -> RunEnd {
-    RunEnd::Done { text: text.to_owned() }
+    RunEnd::StreamComplete { text: text.to_owned() }
 }
 
 #[test]
@@ -211,7 +213,7 @@
     shard.finish(A, old, done("a"), LEASE.0 + 2);
     shard.finish(B, new, done("b"), LEASE.0 + 3);
     assert_eq!(shard.results("1").len(), 1);
-    assert_eq!(shard.results("1")[0].end, ItemEnd::Whole { status: 200, body: "a".into() });
+    assert_eq!(shard.results("1")[0].end, ItemEnd::Complete { status: 200, body: "a".into() });
 }
 
 #[test]
@@ -232,7 +234,7 @@
     shard.finish(A, first, RunEnd::Failed, 1);
     // Told again: it must not count twice.
     shard.finish(A, first, RunEnd::Failed, 2);
-    for end in [RunEnd::NotRun, RunEnd::Unknown, RunEnd::Broken(Progress::default())] {
+    for end in [RunEnd::NotRun, RunEnd::Unknown, RunEnd::Interrupted(Progress::default())] {
         let run = shard.lease_one(A, 3);
         shard.finish(A, run, end, 4);
     }
@@ -309,7 +311,7 @@
     let near = Progress { last_event: Some(2), text: "to two".to_owned() };
     for progress in [&far, &near] {
         let run = shard.lease_one(A, 1);
-        shard.finish(A, run, RunEnd::Broken(progress.clone()), 2);
+        shard.finish(A, run, RunEnd::Interrupted(progress.clone()), 2);
     }
     assert_eq!(shard.lease(B, 1, 3)[0].progress, far);
 }
@@ -378,7 +380,7 @@
     let mut shard = Shard::new();
     assert!(shard.submit(&routed_batch("a", 2), 0));
     let run = shard.lease_one(A, 0);
-    shard.finish(A, run, RunEnd::Done { text: "out".to_owned() }, 10);
+    shard.finish(A, run, RunEnd::StreamComplete { text: "out".to_owned() }, 10);
     shard.hand_over(4, 20);
     assert_eq!(violations(Invariant::BatchIsWhole), 0);
     for (seen, kind) in [(1, "result/"), (2, "work/")] {
--- a/programs/topazyard-storage/tests/storage_node/mod.rs
+++ b/programs/topazyard-storage/tests/storage_node/mod.rs
@@ -1,12 +1,12 @@
 //! A storage node's machine, and what control tells it, as several tests play them.
 
 use topazyard_storage::StorageMachine;
-use topazyard_types::{Epoch, NodeId, Place, Sequence, ShardId};
+use topazyard_types::{Epoch, LogPosition, NodeId, Sequence, ShardId};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
+use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// The control node that tells of records.
 pub const CONTROL: u64 = 9;
@@ -23,7 +23,7 @@
         name: None,
         address: node(id).address,
         http: None,
-        duty: Duty::Storage,
+        role: MemberRole::Storage,
         zone: "north".into(),
     };
     StorageMachine::new(DiskStart {
@@ -33,14 +33,14 @@
         loaded: Default::default(),
         bounds: Default::default(),
         resources: Default::default(),
-        may_found: false,
+        may_bootstrap: false,
     })
 }
 
 /// Which asking of the feed was sent last.
 pub fn asked(sent: &[Message]) -> Option<u64> {
     sent.iter().rev().find_map(|message| match message {
-        Message::Feed(FeedMessage::Ask { nonce, .. }) => Some(*nonce),
+        Message::Feed(FeedMessage::Request { nonce, .. }) => Some(*nonce),
         _ => None,
     })
 }
@@ -48,7 +48,7 @@
 /// Control's answer to an asking: everything, which is that record.
 pub fn news_of(nonce: u64, shard: ShardId, sequence: u64, record: &ShardRecord) -> Message {
     let key = topazyard_wire::state::shard_key(shard);
-    let matter = Matter::View(vec![(key, topazyard_wire::rows::encode(record))]);
-    let place = Place { epoch: Epoch(1), sequence: Sequence(sequence) };
-    Message::Feed(FeedMessage::News { nonce, place, matter })
+    let content = UpdateContent::Snapshot(vec![(key, topazyard_wire::rows::encode(record))]);
+    let position = LogPosition { epoch: Epoch(1), sequence: Sequence(sequence) };
+    Message::Feed(FeedMessage::Update { nonce, position, content })
 }
