--- a/programs/topazyard-control/src/engine_load.rs
+++ b/programs/topazyard-control/src/engine_load.rs
@@ -1,11 +1,11 @@
-//! What engines say of their own load, in the published text-generation `/metrics` form. Nothing
-//! else here knows it.
+//! Reads the load of engines from their `/metrics`, in the published text-generation format. No
+//! other module depends on that format.
 
 use crate::tuner::EngineLoad;
 
 const REQUEST_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(800);
 
-/// The requests that wait inside an engine, by its metrics.
+/// The number of requests queued inside an engine, from its metrics.
 ///
 /// ```
 /// let text = "# TYPE tgi_queue_size gauge\ntgi_queue_size 3\n";
@@ -17,7 +17,7 @@
     (value.is_finite() && value >= 0.0).then_some(value as u64)
 }
 
-/// Asks engines for their load; those that don't answer in time are left out.
+/// Fetches the load of engines. Engines that don't respond in time are left out.
 pub async fn fetch(engines: &[topazyard_spec::Engine]) -> Vec<EngineLoad> {
     let mut requests = tokio::task::JoinSet::new();
     for engine in engines {
--- a/programs/topazyard-control/src/external.rs
+++ b/programs/topazyard-control/src/external.rs
@@ -1,5 +1,5 @@
-//! What a control node speaks with outside the fleet: its operators, the platform's list of
-//! engines, and the engines themselves.
+//! The interface of a control node to the outside: its operators, the platform's list of engines,
+//! and the engines themselves.
 
 use crate::tuner::EngineLoad;
 use topazyard_wire::http::Body;
@@ -7,27 +7,27 @@
 /// The handle of a control node's machine.
 pub type Handle = topazyard_wire::driver::Handle<crate::ControlMachine>;
 
-/// Speaks for a control node. It translates and decides nothing.
+/// Translates between a control node and the outside. It makes no decisions.
 pub trait ExternalInterface: Send + 'static {
-    /// Answers an HTTP request at the node's address.
+    /// Responds to an HTTP request that was sent to the node's address.
     fn respond(
         handle: Handle,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> impl Future<Output = hyper::Response<Body>> + Send + 'static;
 
-    /// How often the list of engines is to be read; none where it is handed in.
+    /// How often to read the list of engines, or none if the platform submits it.
     fn engine_list_interval(&self) -> Option<topazyard_types::DurationMs>;
 
-    /// Reads the whole list of engines; none if it can't be read whole.
+    /// Reads the complete list of engines, or returns none if it can't be read completely.
     fn list_engines(&mut self) -> impl Future<Output = Option<Vec<topazyard_spec::Engine>>> + Send;
 
-    /// Asks engines for their load; those that don't say it are left out.
+    /// Fetches the load of engines. Engines that don't report it are left out.
     fn fetch_loads(
         engines: Vec<topazyard_spec::Engine>,
     ) -> impl Future<Output = Vec<EngineLoad>> + Send + 'static;
 }
 
-/// The product's own interface.
+/// The interface of the product itself.
 #[derive(Debug)]
 pub struct DefaultInterface;
 
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -1,11 +1,11 @@
-//! HTTP for operators and the platform.
+//! The HTTP interface for operators and the platform.
 
 use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
 
-/// The largest declaration taken, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(serde::Deserialize)]
@@ -30,7 +30,7 @@
     by: String,
 }
 
-/// Answers one request of an operator or the platform.
+/// Responds to one request of an operator or the platform.
 pub async fn respond(
     handle: topazyard_wire::driver::Handle<crate::ControlMachine>,
     request: hyper::Request<hyper::body::Incoming>,
@@ -60,13 +60,13 @@
     }
 }
 
-/// What a request asks, or why it can't be understood.
+/// Parses a request into a command or query.
 ///
 /// ```
 /// use topazyard_control::http::parse_request;
 /// use topazyard_wire::message::operate::{Operate, Query};
-/// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(asked, Ok(Operate::Query(Query::ReadConfiguration(None))));
+/// let operation = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
+/// assert_eq!(operation, Ok(Operate::Query(Query::ReadConfiguration(None))));
 /// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
--- a/programs/topazyard-control/src/lib.rs
+++ b/programs/topazyard-control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The core: specs, engines, placement, weights, and the epochs under which they are kept.
+//! The control plane: configurations, engines, placement, weights, and the epochs that order
+//! changes to them.
 
 pub mod engine_load;
 pub mod external;
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -39,8 +39,9 @@
 /// Applies a patch to the text of a configuration.
 fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Configuration, ApiError> {
     let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::from_read_error)?;
-    let bundle = topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
-    bundle.patched(&patch).map_err(ApiError::from_read_error)
+    let configuration =
+        topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
+    configuration.patched(&patch).map_err(ApiError::from_read_error)
 }
 
 /// Applies a patch to the source text that operators read back.
@@ -65,15 +66,15 @@
 impl ControlMachine {
     pub(super) fn evaluate(&self, command: &Command, now: MonotonicMs) -> CommandResult {
         match command {
-            Command::SubmitConfiguration { base, text } => self.submit_spec(*base, text),
+            Command::SubmitConfiguration { base, text } => self.submit_configuration(*base, text),
             Command::SignOff { version, by } => self.sign_off(*version, by),
             Command::RollOut { version } => self.roll_out(*version),
             Command::ApplyConfiguration { base, version, text, source } => {
-                self.take_spec(*base, *version, text, source)
+                self.apply_configuration(*base, *version, text, source)
             }
             Command::SubmitPatch { base, patch } => self.submit_patch(*base, patch),
             Command::PatchConfiguration { base, version, patch, source } => {
-                self.patch_spec(*base, *version, patch, source)
+                self.patch_configuration(*base, *version, patch, source)
             }
             Command::ListEngines(engines) => Ok(self.replace_engines(engines)),
             Command::PutEngines { text } => self.put_engines(text),
@@ -120,7 +121,7 @@
         }
     }
 
-    fn submit_spec(&self, base: ConfigurationVersion, text: &str) -> CommandResult {
+    fn submit_configuration(&self, base: ConfigurationVersion, text: &str) -> CommandResult {
         let version = ConfigurationVersion(base.0.saturating_add(1));
         let done = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
@@ -146,8 +147,8 @@
             OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.newest_version())?;
-        let bundle = apply_patch(&self.patch_base(base)?.text, patch)?;
-        let text = serde_json::to_string(&bundle).unwrap_or_default();
+        let configuration = apply_patch(&self.patch_base(base)?.text, patch)?;
+        let text = serde_json::to_string(&configuration).unwrap_or_default();
         Ok((self.submission_changes(base, &text, digest), done))
     }
 
@@ -176,7 +177,7 @@
 
     /// Checks, accepts and activates a configuration in one step. A source that was accepted under
     /// its version before is acknowledged again, even after newer ones.
-    fn take_spec(
+    fn apply_configuration(
         &self,
         base: ConfigurationVersion,
         version: ConfigurationVersion,
@@ -190,7 +191,7 @@
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
-        let bundle =
+        let configuration =
             topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.version_in_force())?;
         self.check_version_increases(version)?;
@@ -202,12 +203,12 @@
             text: text.to_owned(),
             source: Some(source.clone()),
         };
-        Ok((self.acceptance_changes(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), done))
     }
 
     /// Applies a patch to the configuration in force and to the source that is read back, and
     /// activates the result in one step.
-    fn patch_spec(
+    fn patch_configuration(
         &self,
         base: ConfigurationVersion,
         version: ConfigurationVersion,
@@ -223,7 +224,7 @@
         }
         Self::check_base(base, self.version_in_force())?;
         let before = self.patch_base(base)?;
-        let bundle = apply_patch(&before.text, patch)?;
+        let configuration = apply_patch(&before.text, patch)?;
         let source = apply_source_patch(before.source.as_deref(), source)?;
         self.check_version_increases(version)?;
         let row = ConfigurationRow {
@@ -231,10 +232,10 @@
             base,
             stage: ConfigurationStage::RolledOut,
             signed_by: None,
-            text: serde_json::to_string(&bundle).unwrap_or_default(),
+            text: serde_json::to_string(&configuration).unwrap_or_default(),
             source: Some(source),
         };
-        Ok((self.acceptance_changes(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), done))
     }
 
     /// The version that a patch is based on.
@@ -263,14 +264,14 @@
     fn acceptance_changes(
         &self,
         row: &ConfigurationRow,
-        bundle: topazyard_spec::Configuration,
+        configuration: topazyard_spec::Configuration,
         digest: Digest,
     ) -> Vec<RowChange> {
         let change = RowChange::put(configuration_key(row.version), row);
         let mut changes = self.drop_old_texts(&change, row.version);
         changes.push(change);
         changes.extend(self.remember_order(row.version, digest));
-        changes.extend(self.activation_changes(row.version, bundle));
+        changes.extend(self.activation_changes(row.version, configuration));
         changes
     }
 
@@ -279,10 +280,10 @@
     fn activation_changes(
         &self,
         version: ConfigurationVersion,
-        mut bundle: topazyard_spec::Configuration,
+        mut configuration: topazyard_spec::Configuration,
     ) -> Vec<RowChange> {
-        let routes = std::mem::take(&mut bundle.routes);
-        let text = serde_json::to_string(&bundle).unwrap_or_default();
+        let routes = std::mem::take(&mut configuration.routes);
+        let text = serde_json::to_string(&configuration).unwrap_or_default();
         let mut changes = vec![RowChange::put(IN_FORCE, &InForceRow { version, text })];
         let mut removed: std::collections::BTreeSet<String> =
             self.replica.copy().with_prefix(ROUTES).map(|(key, _)| key.to_owned()).collect();
@@ -332,13 +333,13 @@
                 Ok((Vec::new(), done))
             }
             ConfigurationStage::Signed if version > in_force_version => {
-                let bundle = topazyard_spec::Configuration::read(&row.text)
+                let configuration = topazyard_spec::Configuration::read(&row.text)
                     .map_err(ApiError::from_read_error)?;
                 let rolled = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
                 let change = RowChange::put(configuration_key(version), &rolled);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
-                changes.extend(self.activation_changes(version, bundle));
+                changes.extend(self.activation_changes(version, configuration));
                 let done = serde_json::json!({ "version": version, "in_force": true });
                 Ok((changes, done))
             }
@@ -466,11 +467,13 @@
             return Err(ApiError::not_run(Code::StaleBase).at("epoch"));
         }
         let in_force: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
-        let bundle = in_force
+        let configuration = in_force
             .and_then(|row| serde_json::from_str::<topazyard_spec::Configuration>(&row.text).ok());
         let missing = || ApiError::not_run(Code::NotFound).at("pool");
-        let bundle = bundle.filter(|bundle| bundle.pool(pool).is_some()).ok_or_else(missing)?;
-        let bounds = &bundle.weights;
+        let configuration = configuration
+            .filter(|configuration| configuration.pool(pool).is_some())
+            .ok_or_else(missing)?;
+        let bounds = &configuration.weights;
         let live_percent =
             live_percent.clamp(bounds.live_floor_percent, bounds.live_ceiling_percent);
         let change = RowChange::put(weight_key(pool), &WeightRow { live_percent });
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -41,10 +41,10 @@
     /// Whether this node is a primary or backup that has reason to request the next epoch.
     fn needs_epoch_change(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let Some(turn) = record.rank(self.me.id) else { return false };
-        let is_primary = turn == 0;
+        let Some(rank) = record.rank(self.me.id) else { return false };
+        let is_primary = rank == 0;
         let timeout = DurationMs(
-            self.timeouts.primary.0 + self.timeouts.per_rank.0 * turn.saturating_sub(1) as u64,
+            self.timeouts.primary.0 + self.timeouts.per_rank.0 * rank.saturating_sub(1) as u64,
         );
         let is_full = self.disk.is_full();
         if is_full && !is_primary {
@@ -248,8 +248,9 @@
         let (base, backups) = (change.base.clone(), change.learners.clone());
         let witnesses = self.next_witnesses(&base, &backups, now);
         let witnesses = witnesses.unwrap_or_else(|| base.witnesses.clone());
-        let wanted = EpochRecord { epoch: base.epoch.next(), primary: self.me, backups, witnesses };
-        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, base, wanted, now);
+        let proposed =
+            EpochRecord { epoch: base.epoch.next(), primary: self.me, backups, witnesses };
+        let (proposal, message) = Proposal::begin(self.me.id, self.boot_id, base, proposed, now);
         if let Some(change) = &mut self.epoch_change {
             change.proposal = Some(proposal);
         }
@@ -297,7 +298,7 @@
         effects: &mut Effects,
     ) {
         let Some(record) = self.witness.record() else { return };
-        let Some(turn) = record.rank(sender) else { return };
+        let Some(rank) = record.rank(sender) else { return };
         let requests_epoch = message.epoch == record.epoch.next()
             && matches!(message.body, ReplicaBody::Digests { .. });
         if !requests_epoch || sender == self.me.id || self.disk.is_full() {
@@ -306,7 +307,7 @@
         if let Some(change) = &self.epoch_change {
             // Two members request the epoch: the one of higher rank number yields unless it has
             // already proposed its record to the witnesses.
-            let is_ahead = record.rank(self.me.id).is_none_or(|own| turn < own);
+            let is_ahead = record.rank(self.me.id).is_none_or(|own| rank < own);
             if change.proposal.is_some() || !is_ahead {
                 return;
             }
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -119,10 +119,10 @@
     }
 
     /// Keeps the newest change request of a shard primary until no other change is pending.
-    pub(super) fn receive_change_request(&mut self, sender: NodeId, wish: ShardChangeRequest) {
-        let is_shard = topazyard_types::ShardId::all().any(|shard| shard == wish.shard);
+    pub(super) fn receive_change_request(&mut self, sender: NodeId, request: ShardChangeRequest) {
+        let is_shard = topazyard_types::ShardId::all().any(|shard| shard == request.shard);
         if self.replica.is_serving() && is_shard {
-            self.change_requests.insert(wish.shard, (sender, wish));
+            self.change_requests.insert(request.shard, (sender, request));
         }
     }
 
@@ -139,13 +139,14 @@
         let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
         let mut changes = Vec::new();
-        for (shard, (sender, wish)) in requests {
+        for (shard, (sender, request)) in requests {
             let record = fleet.shards.get(&shard);
             // Only a request made in the shard's current epoch counts.
-            let is_current =
-                |record: &&ShardRecord| record.epoch == wish.epoch && record.primary.id == sender;
+            let is_current = |record: &&ShardRecord| {
+                record.epoch == request.epoch && record.primary.id == sender
+            };
             let Some(record) = record.filter(is_current) else { continue };
-            if let Some(next) = changed_record(&fleet, &status, record, &wish.change) {
+            if let Some(next) = changed_record(&fleet, &status, record, &request.change) {
                 let key = topazyard_wire::state::shard_key(shard);
                 changes.push(RowChange::put(key, &next));
             }
@@ -169,9 +170,9 @@
     fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
-    wish: &ShardChange,
+    change: &ShardChange,
 ) -> Option<ShardRecord> {
-    match wish {
+    match change {
         ShardChange::DropBackups(silent) => {
             crate::planner::replace_backups(fleet, status, record, silent)
         }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -532,7 +532,9 @@
                 Message::Feed(message) => {
                     self.receive_feed(sender, from, message, now, &mut effects)
                 }
-                Message::ShardChangeRequest(wish) => self.receive_change_request(sender, wish),
+                Message::ShardChangeRequest(request) => {
+                    self.receive_change_request(sender, request)
+                }
                 Message::Operate(message) => {
                     self.receive_operate(sender, from, message, now, &mut effects);
                 }
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -85,7 +85,9 @@
     error: &ApiError,
 ) -> Option<Effect<OperateOutcome, super::ControlTask>> {
     let order = match command {
-        Command::ApplyConfiguration { base, version, .. } => format!("spec {version} on {base}"),
+        Command::ApplyConfiguration { base, version, .. } => {
+            format!("configuration {version} on {base}")
+        }
         Command::PatchConfiguration { base, version, .. } => format!("patch {version} on {base}"),
         Command::SubmitConfiguration { base, .. } | Command::SubmitPatch { base, .. } => {
             format!("submission on {base}")
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -13,9 +13,9 @@
 impl ControlMachine {
     pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperateOutcome {
         let found = match query {
-            Query::ReadConfiguration(version) => self.read_spec(*version),
+            Query::ReadConfiguration(version) => self.read_configuration(*version),
             Query::ReadSource => return self.read_source(),
-            Query::ListConfigurations => Some(self.list_specs()),
+            Query::ListConfigurations => Some(self.list_configurations()),
             Query::ListEngines => {
                 let fleet = FleetSnapshot::read(self.replica.copy().rows());
                 Some(serde_json::json!({ "engines": fleet.engines.values().collect::<Vec<_>>() }))
@@ -55,16 +55,19 @@
         }
     }
 
-    fn read_spec(&self, version: Option<ConfigurationVersion>) -> Option<serde_json::Value> {
+    fn read_configuration(
+        &self,
+        version: Option<ConfigurationVersion>,
+    ) -> Option<serde_json::Value> {
         let copy = self.replica.copy();
         let version = match version {
             Some(version) => version,
             None => copy.get::<InForceRow>(IN_FORCE)?.version,
         };
         let row: ConfigurationRow = copy.get(&configuration_key(version))?;
-        let bundle: serde_json::Value = serde_json::from_str(&row.text).ok()?;
+        let configuration: serde_json::Value = serde_json::from_str(&row.text).ok()?;
         let mut value = Self::describe(&row);
-        value["bundle"] = bundle;
+        value["bundle"] = configuration;
         Some(value)
     }
 
@@ -77,15 +80,15 @@
         })
     }
 
-    fn list_specs(&self) -> serde_json::Value {
+    fn list_configurations(&self) -> serde_json::Value {
         let copy = self.replica.copy();
         let in_force: Option<InForceRow> = copy.get(IN_FORCE);
-        let specs: Vec<_> = copy
+        let configurations: Vec<_> = copy
             .with_prefix(CONFIGURATIONS)
             .filter_map(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value))
             .map(|row| Self::describe(&row))
             .collect();
-        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": specs })
+        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": configurations })
     }
 
     fn list_storage(&self, now: MonotonicMs) -> serde_json::Value {
--- a/programs/topazyard-control/src/machine/quorum_reads.rs
+++ b/programs/topazyard-control/src/machine/quorum_reads.rs
@@ -88,7 +88,7 @@
     /// The current record, if this node is a backup in it that holds everything committed.
     fn confirmable_record(&self) -> Option<&EpochRecord> {
         let record = self.witness.record()?;
-        let is_backup = record.rank(self.me.id).is_some_and(|turn| turn > 0);
+        let is_backup = record.rank(self.me.id).is_some_and(|rank| rank > 0);
         (is_backup && self.holds_all_acknowledged(record)).then_some(record)
     }
 
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -59,7 +59,7 @@
     /// The demand known to the primary.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
         let fleet = FleetSnapshot::read(self.replica.copy().rows());
-        let (_, bundle) = fleet.configuration.as_ref()?;
+        let (_, configuration) = fleet.configuration.as_ref()?;
         let mut demand = Demand::default();
         for report in self.reports.by_node.values() {
             match &report.health {
@@ -75,12 +75,12 @@
         }
         // Waiting and refused prompts are not broken down by pool: a fleet has few pools, and
         // raising the live share of one too many only slows down batches.
-        let pools = bundle.pools.iter().filter_map(|pool| {
+        let pools = configuration.pools.iter().filter_map(|pool| {
             let weight = fleet.weights.get(&pool.name)?;
             let demand = Demand {
                 limit_tokens: fleet.limit(pool).0,
-                floor_percent: bundle.weights.live_floor_percent,
-                ceiling_percent: bundle.weights.live_ceiling_percent,
+                floor_percent: configuration.weights.live_floor_percent,
+                ceiling_percent: configuration.weights.live_ceiling_percent,
                 ..demand.clone()
             };
             Some(PoolLoad { pool: pool.name.clone(), live_percent: weight.live_percent, demand })
--- a/programs/topazyard-control/src/main.rs
+++ b/programs/topazyard-control/src/main.rs
@@ -1,8 +1,8 @@
-//! A control node.
+//! Entry point of a control node.
 
 use clap::Parser as _;
 
-/// Keeps the fleet's specs, engines, placement and weights
+/// Manages the fleet's configurations, engines, placement and weights
 #[derive(clap::Parser)]
 #[command(version)]
 struct Flags {
--- a/programs/topazyard-control/src/metrics.rs
+++ b/programs/topazyard-control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control node tells of itself to whoever fetches its metrics.
+//! Metrics of a control node.
 
 use crate::external::Handle;
 use crate::machine::{ControlCall, ControlHealth};
@@ -6,11 +6,11 @@
 use topazyard_wire::message::operate::OperateOutcome;
 use topazyard_wire::metrics::{Figures, Writer};
 
-/// A control node's figures at one moment.
+/// The metrics of a control node, from one health report.
 #[derive(Debug)]
 pub struct ControlFigures(pub ControlHealth);
 
-/// Serves them, if the settings say where.
+/// Serves the metrics if the settings name an address for them.
 pub(crate) async fn serve(address: Option<std::net::SocketAddr>, handle: &Handle) {
     let handle = handle.clone();
     let fetch = move || fetch(handle.clone());
@@ -21,7 +21,7 @@
     health(&handle).await.map(ControlFigures)
 }
 
-/// How the node fares, unless its machine has ended.
+/// The health of the node, or none if its machine has ended.
 pub(crate) async fn health(handle: &Handle) -> Option<ControlHealth> {
     match handle.call(ControlCall::Health).await {
         Ok(OperateOutcome::Done(text)) => serde_json::from_str(&text).ok(),
--- a/programs/topazyard-control/src/planner.rs
+++ b/programs/topazyard-control/src/planner.rs
@@ -1,7 +1,7 @@
 //! Placement: which storage nodes hold each shard. Every change gives the shard a new epoch.
 //!
-//! A copy is only ever let go when as many others hold everything as the tolerated loss needs: a
-//! learner is filled first, then the record switches.
+//! A copy is only released when enough others hold everything to survive the tolerated loss: a
+//! learner is filled first, and then the record changes.
 
 use topazyard_types::{DurationMs, Epoch, NodeId, ShardId, ZoneName};
 use topazyard_wire::RowChange;
@@ -11,30 +11,30 @@
     FleetSnapshot, StorageRow, StorageStage, WeightRow, shard_key, storage_key, weight_key,
 };
 
-/// How often placement is looked at.
+/// How often placement is planned.
 pub const PLAN_INTERVAL: DurationMs = DurationMs(200);
 
-/// How the storage nodes stand.
+/// The status of the storage nodes.
 #[derive(Debug)]
 pub struct StorageStatus {
-    /// How many copies each shard has, its primary's among them: one more than may be lost.
+    /// How many copies each shard has, including the primary's: one more than may be lost.
     pub copies: u16,
-    /// Those heard just now.
+    /// Nodes that reported recently.
     pub reachable: std::collections::BTreeMap<NodeId, Member>,
-    /// Those of them that have missed an asking or two.
+    /// Reachable nodes that have missed a report or two.
     pub suspected: std::collections::BTreeSet<NodeId>,
-    /// Those that count as down.
+    /// Nodes that count as down.
     pub down: std::collections::BTreeSet<NodeId>,
-    /// Those whose disk is slow.
+    /// Nodes whose disk is slow.
     pub slow: std::collections::BTreeSet<NodeId>,
-    /// Those whose disk is full.
+    /// Nodes whose disk is full.
     pub full: std::collections::BTreeSet<NodeId>,
-    /// Whether the primary has served long enough to have heard everyone.
+    /// Whether the primary has served long enough to have received a report of every node.
     pub settled: bool,
 }
 
 impl Default for StorageStatus {
-    /// Nobody heard, and one machine that may be lost.
+    /// No reachable nodes, and one machine that may be lost.
     fn default() -> Self {
         Self {
             copies: 2,
@@ -58,20 +58,20 @@
         self.reachable.contains_key(&id) && !self.cannot_write(id)
     }
 
-    /// Whether a node can take no write, be it down or full.
+    /// Whether a node accepts no writes, because it is down or full.
     fn cannot_write(&self, id: NodeId) -> bool {
         self.down.contains(&id) || self.full.contains(&id)
     }
 }
 
-/// The record without fallbacks if it may answer: they are sent nothing, and one that led later would
-/// lack what was answered meanwhile.
+/// Drops the fallbacks of a record that may serve: they receive no writes, so a fallback that
+/// became primary later would lack what was acknowledged meanwhile.
 fn without_unneeded_fallbacks(record: ShardRecord) -> ShardRecord {
     let fallbacks = if record.is_complete() { Vec::new() } else { record.fallbacks };
     ShardRecord { fallbacks, ..record }
 }
 
-/// The record after backups are let go; they are kept as fallbacks until it is complete again.
+/// Drops backups from a record. They are kept as fallbacks until the record is complete again.
 ///
 /// ```
 /// # use topazyard_control::planner::dropped_backups;
@@ -109,7 +109,7 @@
     without(nodes, more).into_iter().chain(more.iter().copied()).collect()
 }
 
-/// The record after backups that don't confirm are let go, with whom to fill in their place.
+/// Drops backups that don't confirm, and adds learners to replace them.
 pub fn replace_backups(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -120,8 +120,8 @@
     Some(with_learners(fleet, status, &dropped, silent))
 }
 
-/// The record with learners for all backups that are missing, if so many nodes work. Those that
-/// have just failed come last, though control may still hear them.
+/// Adds learners for all missing backups, as far as enough nodes are usable. Nodes that have just
+/// failed are chosen last, though they may still be reachable from control.
 fn with_learners(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -139,16 +139,16 @@
     next
 }
 
-/// The record after the primary and a backup change places. While none is heard, one may only be
-/// starting, as after a loss of power: they are let go once all of them are down.
+/// Swaps the primary with a backup. Backups that are unreachable may only be starting, as after a
+/// power loss, so they are dropped only once all of them are down.
 pub fn hand_over_primary(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
     let is_usable = |node: &&CoreNode| status.is_usable(node.id);
-    let rank = |node: &&CoreNode| status.slow.contains(&node.id);
-    if let Some(successor) = record.backups.iter().filter(is_usable).min_by_key(rank) {
+    let preference = |node: &&CoreNode| status.slow.contains(&node.id);
+    if let Some(successor) = record.backups.iter().filter(is_usable).min_by_key(preference) {
         return Some(swap_primary(record, *successor));
     }
     let all: Vec<NodeId> = record.backups.iter().map(|node| node.id).collect();
@@ -156,7 +156,7 @@
     if all_down { replace_backups(fleet, status, record, &all) } else { None }
 }
 
-/// The record after a backup leads and its primary takes its place.
+/// Makes a backup the primary and the primary a backup.
 fn swap_primary(record: &ShardRecord, successor: CoreNode) -> ShardRecord {
     let place = |node: &CoreNode| if node.id == successor.id { record.primary } else { *node };
     ShardRecord {
@@ -168,7 +168,7 @@
     }
 }
 
-/// The record after its learners become backups, in place of the worst where that makes too many.
+/// Promotes the learners to backups, replacing the worst placed ones if that makes too many.
 pub fn promote_learners(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -198,9 +198,9 @@
     Some(next)
 }
 
-/// How ill a node is placed in a record, whether as backup or in place of one: unfit, then in the
-/// zone of another copy, then with a slow disk.
-fn rank(
+/// Cost of placing a node in a record, as a backup or instead of one: unfit first, then sharing the
+/// zone of another copy, then a slow disk.
+fn placement_cost(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
     others: &[CoreNode],
@@ -217,7 +217,8 @@
         || fleet.storage.get(&node.id).is_none_or(|row| row.stage != StorageStage::Active)
 }
 
-/// The backup that is placed worst; of several alike the one whose node holds most.
+/// The backup with the highest placement cost. Among equals, the one whose node holds the most
+/// copies.
 fn worst_placed_backup(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -225,17 +226,17 @@
 ) -> Option<CoreNode> {
     let members: Vec<CoreNode> = record.members().copied().collect();
     let key = |node: &&CoreNode| {
-        (rank(fleet, status, &members, node), hosted_copies(fleet, node.id), node.id)
+        (placement_cost(fleet, status, &members, node), hosted_copies(fleet, node.id), node.id)
     };
     record.backups.iter().max_by_key(key).copied()
 }
 
-/// How many copies a node holds or is being given.
+/// How many copies a node holds or is being filled with.
 pub fn hosted_copies(fleet: &FleetSnapshot, id: NodeId) -> usize {
     fleet.shards.values().filter(|record| record.holders().any(|node| node.id == id)).count()
 }
 
-/// Whether so many nodes that work would be left to keep shards on if this one were emptied.
+/// Whether at least `needed` other nodes remain usable if this one is emptied.
 pub fn has_capacity_without(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -248,7 +249,7 @@
     others.count() >= needed
 }
 
-/// What should change now.
+/// The changes to make now.
 pub fn plan(fleet: &FleetSnapshot, status: &StorageStatus) -> Vec<RowChange> {
     let mut changes = Vec::new();
     register_nodes(fleet, status, &mut changes);
@@ -258,11 +259,11 @@
     }
     let mut next = fleet.clone();
     for shard in ShardId::all() {
-        let wanted = match next.shards.get(&shard) {
+        let next_record = match next.shards.get(&shard) {
             None => place_shard(&next, status),
             Some(record) => repair(&next, status, shard, record),
         };
-        if let Some(record) = wanted {
+        if let Some(record) = next_record {
             changes.push(RowChange::put(shard_key(shard), &record));
             next.shards.insert(shard, record);
         }
@@ -275,7 +276,7 @@
     changes
 }
 
-/// Takes in storage nodes that are new, and forgets those that are down and hold nothing.
+/// Registers new storage nodes, and removes those that are down and hold nothing.
 fn register_nodes(fleet: &FleetSnapshot, status: &StorageStatus, changes: &mut Vec<RowChange>) {
     for (id, member) in &status.reachable {
         let known = fleet.storage.get(id);
@@ -298,16 +299,17 @@
     }
 }
 
-/// Gives each pool of the spec in force a weight to begin with, and takes those of other pools away.
+/// Gives each pool of the configuration in force an initial weight, and deletes the weights of
+/// other pools.
 fn initialize_weights(fleet: &FleetSnapshot, changes: &mut Vec<RowChange>) {
-    let Some((_, bundle)) = &fleet.configuration else { return };
-    for pool in &bundle.pools {
+    let Some((_, configuration)) = &fleet.configuration else { return };
+    for pool in &configuration.pools {
         if !fleet.weights.contains_key(&pool.name) {
-            let weight = WeightRow { live_percent: bundle.weights.live_start_percent };
+            let weight = WeightRow { live_percent: configuration.weights.live_start_percent };
             changes.push(RowChange::put(weight_key(&pool.name), &weight));
         }
     }
-    for pool in fleet.weights.keys().filter(|pool| bundle.pool(pool).is_none()) {
+    for pool in fleet.weights.keys().filter(|pool| configuration.pool(pool).is_none()) {
         changes.push(RowChange::delete(weight_key(pool)));
     }
 }
@@ -320,8 +322,8 @@
     fleet.storage.get(&id).map(|row| &row.member.zone)
 }
 
-/// Nodes that may be given a copy: those that speak before the silent, then those of other
-/// zones, then the least laden.
+/// Nodes that may be given a copy: responsive nodes first, then those in other zones, then those
+/// with the fewest copies.
 fn candidates(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -346,7 +348,7 @@
     nodes.into_iter().map(|(_, _, _, _, _, node)| node).collect()
 }
 
-/// Zones of nodes, as far as they are known.
+/// The zones of nodes, as far as they are known.
 fn zones<'a>(
     fleet: &'a FleetSnapshot,
     nodes: impl Iterator<Item = &'a CoreNode>,
@@ -373,7 +375,8 @@
     Some(record)
 }
 
-/// Chooses whom to fill besides those that are being filled: who already holds most comes first.
+/// Chooses the next learner, besides those being filled. A healthy fallback in a zone of its own
+/// comes first, since it already holds most of the data.
 fn choose_learner(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -394,7 +397,7 @@
     fallback.or(all.first()).copied()
 }
 
-/// The record after a holder takes over, with whom to fill; the old primary stays as fallback.
+/// Makes a holder the primary and adds learners. The old primary becomes a fallback.
 fn promote(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -416,7 +419,7 @@
     with_learners(fleet, status, &promoted, &[])
 }
 
-/// What a shard's record should become, if it should change.
+/// The record that repairs a shard, if it needs repair.
 fn repair(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -425,12 +428,12 @@
 ) -> Option<ShardRecord> {
     let is_usable = |node: &CoreNode| status.is_usable(node.id);
     if status.cannot_write(record.primary.id) {
-        // Whoever is named here holds all that was ever answered.
+        // Every node named in the record holds everything that was ever acknowledged.
         let slow = |node: &&CoreNode| status.slow.contains(&node.id);
         let successor = record.backups.iter().filter(|node| is_usable(node)).min_by_key(slow);
         let successor = successor.or_else(|| record.fallbacks.iter().find(|node| is_usable(node)));
         let Some(successor) = successor else {
-            // A counter whose disk is full goes on: it needs none.
+            // A counter needs no disk, so one whose disk is full continues.
             return if shard.is_counter() && status.down.contains(&record.primary.id) {
                 replace_counter(fleet, status, record)
             } else {
@@ -447,7 +450,7 @@
     if let Some(first) = working.first() {
         let successor = working.iter().find(fit);
         if let Some(successor) = successor.filter(|_| is_slow(&record.primary)) {
-            // A disk that stalls would hold up its successor's first batch, were it a backup.
+            // As a backup, a stalling disk would delay its successor's first batch.
             let promoted = promote(fleet, status, record, *successor);
             if promoted.learners.iter().any(|learner| !is_slow(learner)) {
                 return Some(promoted);
@@ -472,19 +475,20 @@
         return found.then(|| ShardRecord { epoch: record.epoch.next(), ..next });
     }
     if record.copies > status.copies {
-        // Less may be lost than before: the copies there are suffice.
+        // Fewer losses must be tolerated than before, and the existing copies suffice.
         let fewer =
             ShardRecord { epoch: record.epoch.next(), copies: status.copies, ..record.clone() };
         return Some(without_unneeded_fallbacks(fewer));
     }
-    // Only for a strictly better copy: in place of a backup that is unfit, stands in the zone of
-    // another copy, or has a slow disk, in that order.
+    // Only a strictly better copy replaces a backup: one that is unfit, shares the zone of another
+    // copy, or has a slow disk, in that order.
     let worst = worst_placed_backup(fleet, status, record)?;
     let others: Vec<CoreNode> =
         record.members().filter(|node| node.id != worst.id).copied().collect();
     let base = ShardRecord { learners: Vec::new(), ..record.clone() };
     let better = choose_replacement(fleet, status, &base, &worst)?;
-    let is_better = rank(fleet, status, &others, &better) < rank(fleet, status, &others, &worst);
+    let is_better = placement_cost(fleet, status, &others, &better)
+        < placement_cost(fleet, status, &others, &worst);
     let learner_unfit = record.learners.iter().any(unfit);
     if is_better && (record.learners.is_empty() || learner_unfit) {
         return Some(ShardRecord {
@@ -496,7 +500,7 @@
     None
 }
 
-/// Whom to fill so that it takes a backup's place.
+/// Chooses the learner that is to replace a backup.
 fn choose_replacement(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -509,7 +513,7 @@
     choose_learner(fleet, status, &without, &[backup.id])
 }
 
-/// The record with a learner that may take the place of a backup.
+/// Adds a learner that may replace a backup, unless there is a learner already.
 fn add_replacement_learner(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -524,8 +528,8 @@
     Some(ShardRecord { epoch, learners: vec![learner], ..record.clone() })
 }
 
-/// A counter whose copies are all gone starts empty elsewhere and gathers the holds of all live
-/// relays before it grants.
+/// A counter whose copies are all lost restarts empty on another node, and collects the holds of
+/// all live relays before it grants any.
 fn replace_counter(
     fleet: &FleetSnapshot,
     status: &StorageStatus,
@@ -535,11 +539,11 @@
     Some(ShardRecord { epoch: record.epoch.next(), ..fresh })
 }
 
-/// One move that evens the number of copies, when nothing else is under way.
+/// One move that evens out the number of copies, if nothing else is in progress.
 fn rebalance(fleet: &FleetSnapshot, status: &StorageStatus) -> Option<(ShardId, ShardRecord)> {
     let settled = |record: &ShardRecord| record.is_complete() && record.learners.is_empty();
-    // A slow disk is no place to move to, and moving off one is mending, not balancing. Who is
-    // silent may be down: moving then would only get in the way of mending.
+    // A slow disk is no target for a move, and moving copies off one is a repair. A suspected node
+    // may be down: a move would then only delay the repair.
     let all_healthy = status.slow.is_empty() && status.suspected.is_empty();
     let all_usable = fleet.storage.keys().all(|id| status.is_usable(*id));
     if !fleet.shards.values().all(settled) || !all_healthy || !all_usable {
@@ -552,7 +556,7 @@
         if record.primary.id == *most_loaded
             && let Some(backup) = record.backups.first()
         {
-            // Its backup's place can't be eased by a move; hand the primary duty over first.
+            // Moving its backup would not relieve this node: swap the primary role first.
             let avoided = zones(fleet, record.backups.iter());
             let target = candidates(fleet, status, &avoided, &excluded);
             if target.first().is_some_and(|target| load(*most_loaded) >= load(target.id) + 2)
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -1,17 +1,17 @@
-//! The program as a whole: its machine, its links and its HTTP.
+//! Runs a control node: its machine, its links and its HTTP server.
 
 use crate::external::{ExternalInterface, Handle};
 use topazyard_wire::driver::{StartError, start_with_disk};
 use topazyard_wire::http::server::Server;
 use topazyard_wire::message::membership::MemberRole;
 
-/// The longest that one reading of the list of engines may take.
+/// Maximum time for one read of the engine list.
 const LIST_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_500);
 
-/// Runs the program on its settings until it ends.
+/// Runs the node until the process is terminated.
 ///
 /// # Errors
-/// A setting that is missing, an address that is taken, or a disk that can't be used.
+/// A missing setting, an address that is already in use, or an unusable disk.
 pub fn run<O: ExternalInterface>(
     settings: topazyard_spec::NodeSettings,
     external: O,
@@ -19,11 +19,10 @@
     run_until(settings, external, topazyard_wire::driver::terminated())
 }
 
-/// Runs the program on its settings until `terminated` says that the process is to end, and then
-/// ends in order.
+/// Runs the node until `terminated` completes, and then shuts down gracefully.
 ///
 /// # Errors
-/// A setting that is missing, an address that is taken, or a disk that can't be used.
+/// A missing setting, an address that is already in use, or an unusable disk.
 pub fn run_until<O: ExternalInterface>(
     settings: topazyard_spec::NodeSettings,
     external: O,
@@ -67,18 +66,18 @@
     })
 }
 
-/// For how long a process that ends lets its last word go out.
+/// Time for the node's last messages to be sent before the process ends.
 const FINAL_SEND_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
-/// How long a process that ends waits to hear how its machine stands.
+/// How long a process that shuts down waits for a health report of its machine.
 const HEALTH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(50);
-/// The longest that a process that ends waits to be replaced, whatever the machine says.
+/// How long a process that shuts down waits to be replaced, whatever the machine reports.
 const LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(2_500);
 
-/// Ends in order: has this node replaced, then answers the calls that were read.
+/// Shuts down gracefully: has this node replaced, then responds to the calls that were read.
 ///
-/// Calls are taken until the node is replaced, for a node that leaves still passes them on. What it has
-/// read by then waits for an answer, which its machine gives within a time of its own. A call that is
-/// not answered within the grace is cut by the end of the process.
+/// Calls are accepted until the node is replaced, since a leaving node still forwards them. The
+/// machine responds to the calls read by then within its own timeouts. A call without a response at
+/// the end of the grace period is cut off when the process ends.
 async fn shut_down(server: Server, handle: &Handle, grace: std::time::Duration) {
     let started_at = std::time::Instant::now();
     log_health("SIGTERM", handle).await;
@@ -88,13 +87,13 @@
     let all_answered = server.end(grace.saturating_sub(replaced)).await;
     let ended = started_at.elapsed();
     if all_answered {
-        spdlog::info!("ends in order after {ended:?}, {replaced:?} of them to be replaced");
+        spdlog::info!("shuts down gracefully after {ended:?}, {replaced:?} of it to be replaced");
     } else {
-        spdlog::warn!("ends after {ended:?} with calls that were read and not answered");
+        spdlog::warn!("shuts down after {ended:?} with calls that got no response");
     }
 }
 
-/// Lets the others stand in this node's place.
+/// Has other nodes replace this one.
 async fn leave(handle: &Handle, grace: std::time::Duration) {
     let timeout = LEAVE_TIMEOUT.min(grace / 2);
     let replaced = tokio::time::timeout(timeout, handle.call(crate::ControlCall::Leave)).await;
@@ -103,15 +102,15 @@
     } else {
         spdlog::warn!("gave up waiting to be replaced after {} ms", timeout.as_millis());
     }
-    log_health("may end now", handle).await;
+    log_health("ready to shut down", handle).await;
 }
 
-/// Logs how the node stands at one moment of its end. Orders that still wait at the last one are
-/// given up: their callers are told nothing.
+/// Logs the node's health at a phase of the shutdown. Orders still waiting at the last phase are
+/// abandoned, and their callers get no response.
 async fn log_health(phase: &str, handle: &Handle) {
     let health = crate::metrics::health(handle);
     let Ok(Some(health)) = tokio::time::timeout(HEALTH_TIMEOUT, health).await else {
-        return spdlog::warn!("{phase}: the machine did not say how it stands");
+        return spdlog::warn!("{phase}: the machine reported no health");
     };
     let epoch = health.epoch.map_or(0, |epoch| epoch.0);
     let primary = health.primary.map_or("none".to_owned(), |primary| primary.to_string());
@@ -122,7 +121,8 @@
     );
 }
 
-/// Does what the machine begins outside: lists one after the other, loads beside them.
+/// Runs the tasks that the machine starts: reads of the engine list one after the other, load
+/// requests concurrently.
 async fn run_tasks<O: ExternalInterface>(
     mut external: O,
     handle: Handle,
--- a/programs/topazyard-control/src/tuner.rs
+++ b/programs/topazyard-control/src/tuner.rs
@@ -1,58 +1,59 @@
-//! How the live share of a pool is tuned: up at once when live prompts want for room, down slowly
-//! while batches wait and live prompts leave room. Between bounds that the spec sets.
+//! Tuning of a pool's share for live prompts, within the bounds of the configuration. The share
+//! rises at once when live prompts lack capacity, and falls slowly while batches wait and live
+//! prompts leave capacity unused.
 
 use topazyard_types::EngineName;
 
-/// How far the share rises in one step when live prompts want for room.
+/// How far the share rises in one step when live prompts lack capacity.
 const RISE_PERCENT: u64 = 15;
 /// How far it falls in one step while batches wait.
 const FALL_PERCENT: u64 = 8;
-/// How much room above what live prompts use is kept for a jump, in percent of what they use.
+/// Share reserved for live prompts, in percent of what they use, to absorb a burst.
 const HEADROOM_PERCENT: u64 = 150;
 
-/// What an engine says of its load.
+/// The load reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineLoad {
     /// The engine.
     pub engine: EngineName,
-    /// Requests that wait inside it.
+    /// Requests queued inside it.
     pub queued: u64,
 }
 
-/// What is wanted of a pool.
+/// The demand on a pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Demand {
     /// The pool's budget.
     pub limit_tokens: u64,
-    /// Tokens that live prompts hold.
+    /// Tokens held by live prompts.
     pub live_tokens: u64,
-    /// Prompts that wait in relays.
+    /// Prompts waiting in relays.
     pub live_waiting: u64,
-    /// Prompts refused for want of room since the relays last spoke.
+    /// Prompts refused for lack of capacity since the relays' previous report.
     pub live_refused: u64,
-    /// The cost of items that wait.
+    /// The cost of waiting batch items.
     pub batch_tokens: u64,
-    /// The least live share.
+    /// The minimum live share.
     pub floor_percent: u8,
-    /// The greatest.
+    /// The maximum live share.
     pub ceiling_percent: u8,
 }
 
-/// The share for the next while.
+/// The live share to apply next.
 ///
 /// ```
 /// use topazyard_control::tuner::{next_share, Demand};
-/// let calm = Demand { limit_tokens: 1_000, live_tokens: 100, batch_tokens: 500,
+/// let steady = Demand { limit_tokens: 1_000, live_tokens: 100, batch_tokens: 500,
 ///     floor_percent: 40, ceiling_percent: 90, ..Demand::default() };
-/// assert_eq!(next_share(70, &calm, &[]), 62); // batches wait: give them some
-/// let crowd = Demand { live_refused: 4, ..calm };
-/// assert_eq!(next_share(70, &crowd, &[]), 85); // a jump: take it back at once
+/// assert_eq!(next_share(70, &steady, &[]), 62); // batches wait, so the share falls
+/// let burst = Demand { live_refused: 4, ..steady };
+/// assert_eq!(next_share(70, &burst, &[]), 85); // a burst raises it at once
 /// ```
 pub fn next_share(current_percent: u8, demand: &Demand, engines: &[&EngineLoad]) -> u8 {
     let current = u64::from(current_percent);
     let queued = engines.iter().any(|engine| engine.queued > 0);
     let live_constrained = demand.live_waiting > 0 || demand.live_refused > 0;
-    // What live prompts use, with room for a jump.
+    // What live prompts use, with a reserve for bursts.
     let used = demand.live_tokens * 100 / demand.limit_tokens.max(1);
     let reserved = used * HEADROOM_PERCENT / 100;
     let next = if live_constrained || queued {
@@ -84,22 +85,22 @@
     }
 
     #[test]
-    fn batches_are_not_starved_at_rest_and_live_prompts_are_protected_in_a_jump() {
+    fn share_falls_to_its_floor_at_rest_and_rises_in_a_burst() {
         let mut share = 90;
         for _ in 0..30 {
             share = next_share(share, &demand(), &[]);
         }
-        assert_eq!(share, 40, "at rest the share falls to its floor");
-        let jump = Demand { live_waiting: 9, ..demand() };
+        assert_eq!(share, 40, "the share falls to its floor at rest");
+        let burst = Demand { live_waiting: 9, ..demand() };
         let steps = (1..).find(|_| {
-            share = next_share(share, &jump, &[]);
+            share = next_share(share, &burst, &[]);
             share == 90
         });
-        assert_eq!(steps, Some(4), "in a jump it reaches its ceiling within four steps");
+        assert_eq!(steps, Some(4), "it reaches its ceiling within four steps of a burst");
     }
 
     #[test]
-    fn it_settles_rather_than_swinging() {
+    fn share_settles_without_oscillating() {
         let steady = Demand { live_tokens: 5_000, ..demand() };
         let mut share = 90;
         let shares: Vec<u8> = (0..40)
@@ -112,23 +113,23 @@
     }
 
     #[test]
-    fn an_engine_that_queues_takes_room_from_batches() {
+    fn queueing_engine_raises_the_live_share() {
         let load = EngineLoad { engine: "e".into(), queued: 3 };
         assert_eq!(next_share(50, &demand(), &[&load]), 65);
     }
 
     #[test]
-    fn any_demand_stays_within_bounds() {
+    fn share_stays_within_bounds_for_any_demand() {
         bolero::check!().with_type::<(u8, u64, u64, u64, u64)>().with_iterations(2_000).for_each(
             |(current, live, waiting, refused, batches)| {
-                let wild = Demand {
+                let demand = Demand {
                     live_tokens: *live % 1_000_000_000,
                     live_waiting: *waiting,
                     live_refused: *refused,
                     batch_tokens: *batches,
                     ..demand()
                 };
-                assert!((40..=90).contains(&next_share(*current, &wild, &[])));
+                assert!((40..=90).contains(&next_share(*current, &demand, &[])));
             },
         );
     }
--- a/programs/topazyard-control/src/witnesses.rs
+++ b/programs/topazyard-control/src/witnesses.rs
@@ -1,4 +1,4 @@
-//! The choice of witnesses: as many as decide through the tolerated loss, spread over zones.
+//! Choice of witnesses: enough for a majority after the tolerated loss, spread over zones.
 
 use topazyard_types::{DurationMs, NodeId, ZoneName};
 use topazyard_wire::message::control::CoreNode;
@@ -6,20 +6,20 @@
 /// A control node that is or may become a witness.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// It.
+    /// The node.
     pub node: CoreNode,
-    /// Its zone, where it is known.
+    /// Its zone, if known.
     pub zone: Option<ZoneName>,
-    /// For how long it has not been heard.
+    /// How long it has been silent.
     pub silence: DurationMs,
 }
 
-/// What a choice of witnesses must hold to.
+/// The requirements on a set of witnesses.
 #[derive(Debug)]
 pub struct Requirements {
-    /// How many there should be.
+    /// How many witnesses there should be.
     pub count: usize,
-    /// After how long without a word a witness is replaced.
+    /// How long a witness may be silent before it is replaced.
     pub silence_timeout: DurationMs,
     /// How many zones may be lost at once.
     pub lost_zones: usize,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Takes the candidate whose zone holds fewest of the chosen ones.
+/// Removes and returns the candidate whose zone has the fewest chosen nodes.
 fn take_next(chosen: &[Candidate], candidates: &mut Vec<Candidate>) -> Option<Candidate> {
     let in_same_zone = |candidate: &Candidate| in_zone(chosen, &candidate.zone);
     let (at, _) = candidates
@@ -42,8 +42,8 @@
     Some(candidates.remove(at))
 }
 
-/// Those that must be chosen, and of the candidates as many more as are wanted, over as many zones as
-/// can be.
+/// Chooses all required nodes and as many candidates as are missing, over as many zones as
+/// possible.
 pub fn spread(
     required: Vec<Candidate>,
     mut candidates: Vec<Candidate>,
@@ -57,7 +57,7 @@
     chosen.into_iter().map(|candidate| candidate.node).collect()
 }
 
-/// Whether a majority is left after the loss of the zones that hold most of them.
+/// Whether a majority remains after the loss of the zones that have the most witnesses.
 pub fn survive_zone_loss(witnesses: &[Candidate], lost_zones: usize) -> bool {
     let mut zones = std::collections::BTreeMap::<&ZoneName, usize>::new();
     for zone in witnesses.iter().filter_map(|witness| witness.zone.as_ref()) {
@@ -69,8 +69,8 @@
     witnesses.len() - lost > witnesses.len() / 2
 }
 
-/// The witnesses after these: all that must be named are, silent ones give way to spares, and where
-/// too many stand in one zone, one of them gives way to a spare of another.
+/// The witnesses to follow `present`: all required nodes are included, silent ones are replaced by
+/// spares, and where too many share a zone, one of them is replaced by a spare of another zone.
 pub fn next(
     present: Vec<Candidate>,
     required: &[NodeId],
@@ -106,7 +106,7 @@
     witnesses.into_iter().map(|witness| witness.node).collect()
 }
 
-/// Adds a witness where there are too few, or else puts it in the place of one.
+/// Adds a witness if there are too few, and otherwise replaces the given one.
 fn add_or_replace(
     witnesses: &mut Vec<Candidate>,
     next: Candidate,
@@ -130,7 +130,7 @@
     silent.max_by_key(|(at, witness)| (witness.silence, *at)).map(|(at, _)| at)
 }
 
-/// A witness of the zone that holds most, and a spare of a zone that holds fewer by two at least.
+/// A witness of the zone that has the most, and a spare of a zone that has at least two fewer.
 fn better_spread(
     witnesses: &[Candidate],
     is_required: impl Fn(&Candidate) -> bool,
