--- a/programs/topazyard-control/src/planner.rs
+++ b/programs/topazyard-control/src/planner.rs
@@ -74,15 +74,15 @@
 /// Drops backups from a record. They are kept as fallbacks until the record is complete again.
 ///
 /// ```
-/// # use topazyard_control::planner::dropped_backups;
+/// # use topazyard_control::planner::drop_backups;
 /// # use topazyard_types::{Epoch, NodeId};
 /// # use topazyard_wire::message::control::{CoreNode, ShardRecord};
 /// # let node = |id| CoreNode { id: NodeId(id), address: "127.0.0.1:1".parse().unwrap() };
 /// let full = ShardRecord { epoch: Epoch(3), copies: 3, primary: node(1),
 ///     backups: vec![node(2), node(4)], fallbacks: vec![], learners: vec![] };
-/// let next = dropped_backups(&full, &[NodeId(2)]).unwrap();
+/// let next = drop_backups(&full, &[NodeId(2)]).unwrap();
 /// assert_eq!((next.epoch, next.backups, next.fallbacks), (Epoch(4), vec![node(4)], vec![node(2)]));
-/// assert_eq!(dropped_backups(&full, &[NodeId(7)]), None);
+/// assert_eq!(drop_backups(&full, &[NodeId(7)]), None);
 /// ```
 pub fn drop_backups(record: &ShardRecord, silent: &[NodeId]) -> Option<ShardRecord> {
     let is_silent = |node: &CoreNode| silent.contains(&node.id);
--- a/programs/topazyard-control/tests/wishes.rs
+++ b/programs/topazyard-control/tests/change_requests.rs
@@ -1,4 +1,4 @@
-//! Wishes of shard primaries, as a fleet that starts together makes them: for every shard at once.
+//! Change requests of shard primaries. A fleet that starts all at once sends one for every shard.
 
 mod fleet;
 
@@ -9,9 +9,9 @@
 use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
 use topazyard_wire::state::FleetSnapshot;
 
-/// The shards' records, as the feed tells them.
+/// The shards' records, read from the feed.
 fn records(fleet: &mut Fleet) -> std::collections::BTreeMap<ShardId, ShardRecord> {
-    fleet.told.clear();
+    fleet.storage_messages.clear();
     let member = storage(1);
     let health = Health::Storage {
         member: member.clone(),
@@ -20,17 +20,17 @@
         live_tokens: None,
         disk: topazyard_wire::disk::DiskState::Healthy,
     };
-    let ask = FeedMessage::Request {
+    let request = FeedMessage::Request {
         nonce: 77,
         after: LogPosition::default(),
         part: None,
         last_response_age: None,
         health,
     };
-    let primary = fleet.primary().expect("one leads");
-    fleet.hear(primary, &member, Message::Feed(ask));
+    let primary = fleet.primary().expect("a primary");
+    fleet.deliver_from(primary, &member, Message::Feed(request));
     fleet.run(2 * TICK.0);
-    let rows = fleet.told.iter().find_map(|message| match message {
+    let rows = fleet.storage_messages.iter().find_map(|message| match message {
         Message::Feed(FeedMessage::Update {
             nonce: 77,
             content: UpdateContent::Snapshot(rows),
@@ -38,28 +38,28 @@
         }) => Some(rows.iter().cloned().collect()),
         _ => None,
     });
-    FleetSnapshot::read(&rows.expect("everything")).shards
+    FleetSnapshot::read(&rows.expect("a snapshot")).shards
 }
 
 #[test]
-fn wishes_for_all_shards_that_come_in_one_moment_are_all_fulfilled() {
-    // Only the first was looked at, and the others 100 ms later, one at a time.
+fn simultaneous_requests_for_all_shards_are_applied() {
+    // Guards against handling only the first request at once, and the others 100 ms apart.
     let mut fleet = Fleet::new(3, 3);
     fleet.storage = (1..=3).map(storage).collect();
     fleet.run(4_000);
     let before = records(&mut fleet);
     assert_eq!(before.len(), ShardId::all().count());
-    let primary = fleet.primary().expect("one leads");
-    // The first wish's batch is under way for as long as the control backup is away.
+    let primary = fleet.primary().expect("a primary");
+    // The first request stays pending for as long as the control backup is away.
     fleet.stop(1, false);
     for (shard, record) in &before {
-        let wish = ShardChangeRequest {
+        let request = ShardChangeRequest {
             shard: *shard,
             epoch: record.epoch,
             change: ShardChange::HandOver,
         };
         let owner = (1..=3).map(storage).find(|member| member.id == record.primary.id);
-        fleet.hear(primary, &owner.expect("known"), Message::ShardChangeRequest(wish));
+        fleet.deliver_from(primary, &owner.expect("known"), Message::ShardChangeRequest(request));
     }
     fleet.start(1);
     fleet.run(400);
@@ -71,28 +71,29 @@
 }
 
 #[test]
-fn a_wish_of_another_epoch_or_of_another_node_changes_nothing() {
+fn request_of_another_epoch_or_node_changes_nothing() {
     let mut fleet = Fleet::new(3, 3);
     fleet.storage = (1..=3).map(storage).collect();
     fleet.run(4_000);
     let before = records(&mut fleet);
-    let primary = fleet.primary().expect("one leads");
+    let primary = fleet.primary().expect("a primary");
     let (shard, record) = before.iter().next().expect("a shard");
-    let wish = |epoch| ShardChangeRequest { shard: *shard, epoch, change: ShardChange::HandOver };
+    let request =
+        |epoch| ShardChangeRequest { shard: *shard, epoch, change: ShardChange::HandOver };
     for member in (1..=3).map(storage) {
         let epoch = match member.id == record.primary.id {
             true => Epoch(record.epoch.0 + 1),
             false => record.epoch,
         };
-        fleet.hear(primary, &member, Message::ShardChangeRequest(wish(epoch)));
+        fleet.deliver_from(primary, &member, Message::ShardChangeRequest(request(epoch)));
     }
     fleet.run(TICK.0);
     assert_eq!(records(&mut fleet), before);
 }
 
-// Else all that a blank machine led waits until its former id has been silent for long enough.
+// Otherwise every shard led by a machine that lost its disk waits until the old id times out.
 #[test]
-fn shards_whose_primary_lost_its_disk_move_as_soon_as_its_machine_is_heard_under_another_id() {
+fn shards_move_when_their_machine_returns_under_another_id() {
     let mut fleet = Fleet::new(3, 3);
     fleet.storage = (1..=3).map(storage).collect();
     fleet.run(4_000);
@@ -102,6 +103,6 @@
     fleet.storage[0].id = topazyard_types::NodeId(77);
     fleet.run(500);
     let after = records(&mut fleet);
-    let still: Vec<_> = after.iter().filter(|(_, record)| record.primary.id == lost).collect();
-    assert!(still.is_empty(), "{still:?}");
+    let remaining: Vec<_> = after.iter().filter(|(_, record)| record.primary.id == lost).collect();
+    assert!(remaining.is_empty(), "{remaining:?}");
 }
--- a/programs/topazyard-control/tests/claims.rs
+++ b/programs/topazyard-control/tests/epoch_changes.rs
@@ -1,4 +1,4 @@
-//! What a node confirms while epochs change hands: a backup only knows what its record says.
+//! What a node confirms during an epoch change: a backup knows only the record it has received.
 
 use topazyard_control::ControlMachine;
 use topazyard_replication::Copy;
@@ -27,7 +27,7 @@
     }
 }
 
-/// The third control node, spoken to by the first two.
+/// The third control node, which receives messages from the first two.
 struct Third {
     machine: ControlMachine,
     disk: Vec<(Group, Vec<RowChange>)>,
@@ -56,11 +56,11 @@
         Self { machine, disk: Vec::new() }
     }
 
-    /// Takes a message and syncs what is written; gives what was said to control nodes' copies.
-    fn hear(&mut self, from: u64, message: Message) -> Vec<ReplicaBody> {
+    /// Delivers a message and syncs what is written. Returns the replica messages that were sent.
+    fn receive(&mut self, from: u64, message: Message) -> Vec<ReplicaBody> {
         let (sender, from) = (NodeId(from), node(from).address);
         let mut effects = self.machine.step(Input::Frame { sender, from, message }, NOW);
-        let mut said = Vec::new();
+        let mut sent = Vec::new();
         while !effects.is_empty() {
             let mut synced: Vec<WriteToken> = Vec::new();
             for effect in effects {
@@ -68,7 +68,7 @@
                     Effect::Send {
                         message: Message::Replica(ReplicaMessage { body, .. }), ..
                     } => {
-                        said.push(body);
+                        sent.push(body);
                     }
                     Effect::Write { token, changes } => {
                         self.disk.push((token.group, changes));
@@ -82,17 +82,17 @@
                 .flat_map(|token| self.machine.step(Input::Written(token), NOW))
                 .collect();
         }
-        said
+        sent
     }
 
     fn learn(&mut self, from: u64, record: EpochRecord) {
-        let tick = CoreMessage::Heartbeat {
+        let heartbeat = CoreMessage::Heartbeat {
             record: Some(record),
             reachable: vec![node(ME)],
             zone: format!("zone-{from}").as_str().into(),
             takes_writes: true,
         };
-        self.hear(from, Message::Core(tick));
+        self.receive(from, Message::Core(heartbeat));
     }
 
     fn compare(
@@ -110,14 +110,15 @@
             of,
         };
         let message = ReplicaMessage { group: Group::Control, epoch: Epoch(epoch), body };
-        let said = self.hear(from, Message::Replica(message));
-        said.iter().any(|body| matches!(body, ReplicaBody::InSync { .. }))
+        let sent = self.receive(from, Message::Replica(message));
+        sent.iter().any(|body| matches!(body, ReplicaBody::InSync { .. }))
     }
 }
 
-// Else what is answered on its word could be copied over: see the next test.
+// Otherwise data acknowledged on the strength of its confirmation could be overwritten: see the
+// next test.
 #[test]
-fn a_backup_confirms_nothing_before_it_knows_the_record_that_names_it() {
+fn backup_confirms_nothing_before_it_knows_its_record() {
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
     let empty = Copy::default();
@@ -125,14 +126,14 @@
     assert!(!third.compare(1, 2, FollowerRole::Backup, 101, &empty), "the record is not known");
     let append = ReplicaBody::Append { round: 102, sequence: Sequence(0), changes: Vec::new() };
     let message = ReplicaMessage { group: Group::Control, epoch: Epoch(2), body: append };
-    assert_eq!(third.hear(1, Message::Replica(message)), [], "nor is anything appended");
+    assert_eq!(third.receive(1, Message::Replica(message)), [], "nor is anything appended");
     third.learn(1, record(2, 1, 3));
     third.disk.clear();
     assert!(third.compare(1, 2, FollowerRole::Backup, 103, &empty));
 }
 
 #[test]
-fn the_record_is_on_disk_before_anything_is_confirmed_under_it() {
+fn record_is_on_disk_before_anything_is_confirmed_under_it() {
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
     third.compare(1, 2, FollowerRole::Learner, 100, &Copy::default());
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_backup_that_confirmed_is_not_copied_over_by_another_that_asks_for_the_same_epoch() {
+fn confirming_backup_is_not_overwritten_by_another_candidate() {
     let mut third = Third::new();
     third.learn(1, record(1, 1, 2));
     third.compare(1, 2, FollowerRole::Learner, 100, &Copy::default());
--- a/programs/topazyard-control/tests/fleet/mod.rs
+++ b/programs/topazyard-control/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few control nodes that speak over a perfect network and disks that sync at once.
+//! A few control nodes connected by a reliable network, with disks that sync at once.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -17,25 +17,25 @@
 pub struct Node {
     pub machine: Option<ControlMachine>,
     pub rows: topazyard_wire::rows::Loaded,
-    pub returned: Option<OperateOutcome>,
-    pub lists_begun: usize,
-    /// What waits for room, where its disk is full.
+    pub outcome: Option<OperateOutcome>,
+    pub list_reads: usize,
+    /// Writes waiting for disk space, if the disk is full.
     pub full: Option<Vec<(WriteToken, Vec<RowChange>)>>,
-    lives: u64,
+    starts: u64,
 }
 
 /// What the network does with a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It arrives.
-    Arrives,
-    /// It arrives, and a copy of it when the test says so.
-    ArrivesTwice,
-    /// It arrives when the test says so.
-    Waits,
+pub enum Delivery {
+    /// Delivers it.
+    Once,
+    /// Delivers it at once, and a copy when the test asks for it.
+    Twice,
+    /// Delivers it when the test asks for it.
+    Delayed,
 }
 
-/// A frame that is under way.
+/// A frame in transit.
 #[derive(Debug, Clone)]
 pub struct Frame {
     pub to: usize,
@@ -48,26 +48,26 @@
     pub nodes: Vec<Node>,
     pub seeds: Vec<std::net::SocketAddr>,
     pub storage: Vec<Member>,
-    /// Those of them whose disk is full.
+    /// The storage nodes whose disk is full.
     pub full_storage: Vec<NodeId>,
     pub now: MonotonicMs,
     pub may_bootstrap: bool,
     pub resources: topazyard_spec::Resources,
     /// Decides what happens to each frame.
-    pub network: fn(&Message) -> Fate,
-    /// Frames that the test lets arrive.
-    pub late: Vec<Frame>,
-    /// A node outside the fleet, and what it was sent.
-    outside: Option<(std::net::SocketAddr, Vec<Message>)>,
-    /// What was said to storage nodes.
-    pub told: Vec<Message>,
+    pub network: fn(&Message) -> Delivery,
+    /// Frames delivered on the test's request.
+    pub delayed: Vec<Frame>,
+    /// A node outside the fleet, and the messages it received.
+    external: Option<(std::net::SocketAddr, Vec<Message>)>,
+    /// The messages sent to storage nodes.
+    pub storage_messages: Vec<Message>,
 }
 
 pub fn at(number: usize) -> std::net::SocketAddr {
     ([127, 0, 0, 1], 1_000 + number as u16).into()
 }
 
-/// A storage node that says it is well.
+/// A storage node.
 pub fn storage(number: u64) -> Member {
     Member {
         id: NodeId(100 + number),
@@ -80,7 +80,7 @@
 }
 
 impl Fleet {
-    /// A fleet of so many control nodes, of which the first `seeds` are in the settings.
+    /// A fleet of `size` control nodes, of which the first `seeds` are named in the settings.
     pub fn new(size: usize, seeds: usize) -> Self {
         topazyard_wire::invariants::panic_on_violation(true);
         let mut fleet = Self {
@@ -91,10 +91,10 @@
             now: MonotonicMs(86_400_000),
             may_bootstrap: true,
             resources: topazyard_spec::Resources::default(),
-            network: |_| Fate::Arrives,
-            late: Vec::new(),
-            outside: None,
-            told: Vec::new(),
+            network: |_| Delivery::Once,
+            delayed: Vec::new(),
+            external: None,
+            storage_messages: Vec::new(),
         };
         (0..size).for_each(|_| fleet.add());
         fleet
@@ -105,20 +105,20 @@
         self.nodes.push(Node {
             machine: None,
             rows: Default::default(),
-            returned: None,
-            lists_begun: 0,
+            outcome: None,
+            list_reads: 0,
             full: None,
-            lives: 0,
+            starts: 0,
         });
         self.start(self.nodes.len() - 1);
     }
 
-    /// Starts a node with what its disk holds.
+    /// Starts a node from its disk.
     pub fn start(&mut self, number: usize) {
         let node = &mut self.nodes[number];
-        node.lives += 1;
+        node.starts += 1;
         // A node with an empty disk draws a new id.
-        let fresh = NodeId(10 * node.lives + number as u64 + 1);
+        let fresh = NodeId(10 * node.starts + number as u64 + 1);
         let kept = node.rows.entry(topazyard_wire::Group::Node).or_default();
         let id = kept.get("id").and_then(|id| topazyard_wire::rows::decode(id)).unwrap_or(fresh);
         kept.insert("id".to_owned(), topazyard_wire::rows::encode(&id));
@@ -134,7 +134,7 @@
             resources: self.resources.clone(),
             member,
             seeds: self.seeds.clone(),
-            chance: (node.lives << 40) + ((number as u64) << 32) + 1,
+            chance: (node.starts << 40) + ((number as u64) << 32) + 1,
             loaded: node.rows.clone(),
             bounds: topazyard_spec::Bounds::default(),
             may_bootstrap: self.may_bootstrap,
@@ -142,10 +142,10 @@
         let (mut machine, first) = ControlMachine::new(start, self.now);
         machine.set_engine_list_interval(DurationMs(500));
         self.nodes[number].machine = Some(machine);
-        self.happen(number, first);
+        self.run_effects(number, first);
     }
 
-    /// Ends a node; its disk stays, or is lost too.
+    /// Stops a node, and erases its disk if `wipe` is set.
     pub fn stop(&mut self, number: usize, wipe: bool) {
         self.nodes[number].machine = None;
         if wipe {
@@ -163,29 +163,29 @@
         machine.map(|machine| machine.step(input, now)).unwrap_or_default()
     }
 
-    pub fn happen(&mut self, number: usize, first: Vec<Effect<OperateOutcome, ControlTask>>) {
+    pub fn run_effects(&mut self, number: usize, first: Vec<Effect<OperateOutcome, ControlTask>>) {
         let mut queue: std::collections::VecDeque<(usize, Effect<_, _>)> =
             first.into_iter().map(|effect| (number, effect)).collect();
         while let Some((number, effect)) = queue.pop_front() {
             let (to, input) = match effect {
                 Effect::Send { to, message } => {
-                    if let Some((address, messages)) = &mut self.outside
+                    if let Some((address, messages)) = &mut self.external
                         && *address == to
                     {
                         messages.push(message);
                         continue;
                     }
                     let Some(to) = (0..self.nodes.len()).find(|other| at(*other) == to) else {
-                        self.told.push(message);
+                        self.storage_messages.push(message);
                         continue;
                     };
                     let sender = self.id(number);
                     let from = at(number);
-                    let fate = (self.network)(&message);
-                    if fate != Fate::Arrives {
-                        self.late.push(Frame { to, sender, from, message: message.clone() });
+                    let delivery = (self.network)(&message);
+                    if delivery != Delivery::Once {
+                        self.delayed.push(Frame { to, sender, from, message: message.clone() });
                     }
-                    if fate == Fate::Waits {
+                    if delivery == Delivery::Delayed {
                         continue;
                     }
                     (to, Input::Frame { sender, from, message })
@@ -200,11 +200,11 @@
                     }
                 }
                 Effect::Return { value, .. } => {
-                    self.nodes[number].returned = Some(value);
+                    self.nodes[number].outcome = Some(value);
                     continue;
                 }
                 Effect::Start(ControlTask::ListEngines) => {
-                    self.nodes[number].lists_begun += 1;
+                    self.nodes[number].list_reads += 1;
                     continue;
                 }
                 Effect::Start(ControlTask::FetchLoads(_)) | Effect::Note { .. } => continue,
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Lets a node outside the fleet send a frame, and gives what it is sent.
+    /// Sends a frame from a node outside the fleet, and returns what that node receives.
     pub fn frame(
         &mut self,
         to: usize,
@@ -222,25 +222,25 @@
         from: std::net::SocketAddr,
         message: Message,
     ) -> Vec<Message> {
-        self.outside = Some((from, Vec::new()));
+        self.external = Some((from, Vec::new()));
         let effects = self.step(to, Input::Frame { sender, from, message });
-        self.happen(to, effects);
-        self.outside.take().map(|(_, messages)| messages).unwrap_or_default()
+        self.run_effects(to, effects);
+        self.external.take().map(|(_, messages)| messages).unwrap_or_default()
     }
 
-    /// Lets a frame arrive.
-    pub fn arrive(&mut self, frame: Frame) {
+    /// Delivers a frame.
+    pub fn deliver(&mut self, frame: Frame) {
         let Frame { to, sender, from, message } = frame;
         let effects = self.step(to, Input::Frame { sender, from, message });
-        self.happen(to, effects);
+        self.run_effects(to, effects);
     }
 
-    /// Lets all frames arrive that were held back or doubled; what follows from them arrives at
+    /// Delivers all frames that were delayed or duplicated. The frames that result are delivered at
     /// once.
-    pub fn arrive_all(&mut self) {
-        self.network = |_| Fate::Arrives;
-        for frame in std::mem::take(&mut self.late) {
-            self.arrive(frame);
+    pub fn deliver_delayed(&mut self) {
+        self.network = |_| Delivery::Once;
+        for frame in std::mem::take(&mut self.delayed) {
+            self.deliver(frame);
         }
     }
 
@@ -254,22 +254,22 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn run(&mut self, for_ms: u64) {
-        let until = self.now.plus(DurationMs(for_ms));
-        while self.now < until {
+        let end = self.now.plus(DurationMs(for_ms));
+        while self.now < end {
             self.now = self.now.plus(TICK);
             for number in 0..self.nodes.len() {
                 let effects = self.step(number, Input::Tick);
-                self.happen(number, effects);
+                self.run_effects(number, effects);
             }
             if self.now.0.is_multiple_of(200) {
-                self.storage_asks();
+                self.send_storage_requests();
             }
         }
     }
 
-    fn storage_asks(&mut self) {
+    fn send_storage_requests(&mut self) {
         for member in self.storage.clone() {
             let health = Health::Storage {
                 member: member.clone(),
@@ -282,7 +282,7 @@
                 live_tokens: None,
             };
             for number in 0..self.nodes.len() {
-                let ask = FeedMessage::Request {
+                let request = FeedMessage::Request {
                     nonce: 1,
                     after: Default::default(),
                     part: None,
@@ -290,9 +290,9 @@
                     health: health.clone(),
                 };
                 let (sender, from) = (member.id, member.address);
-                let message = Message::Feed(ask);
+                let message = Message::Feed(request);
                 let effects = self.step(number, Input::Frame { sender, from, message });
-                self.happen(number, effects);
+                self.run_effects(number, effects);
             }
         }
     }
@@ -303,37 +303,37 @@
         topazyard_wire::rows::decode(&rows["id"]).expect("an id")
     }
 
-    /// Has a node hear what a storage node says.
-    pub fn hear(&mut self, number: usize, from: &Member, message: Message) {
+    /// Delivers a message of a storage node.
+    pub fn deliver_from(&mut self, number: usize, from: &Member, message: Message) {
         let (sender, from) = (from.id, from.address);
         let effects = self.step(number, Input::Frame { sender, from, message });
-        self.happen(number, effects);
+        self.run_effects(number, effects);
     }
 
-    /// Which node serves, if one does.
+    /// The node that serves as primary, if there is one.
     pub fn primary(&self) -> Option<usize> {
         self.nodes.iter().position(|node| node.machine.as_ref().is_some_and(|m| m.is_serving()))
     }
 
-    /// Hands in a call from within a node's process.
-    pub fn tell(&mut self, number: usize, request: ControlCall) {
+    /// Makes a call from within a node's process.
+    pub fn call(&mut self, number: usize, request: ControlCall) {
         let effects = self.step(number, Input::Call { call: CallId(1), request });
-        self.happen(number, effects);
+        self.run_effects(number, effects);
     }
 
-    /// Asks a node and gives what it returns.
-    pub fn ask(&mut self, number: usize, operate: Operate) -> Option<OperateOutcome> {
-        self.nodes[number].returned = None;
-        self.tell(number, ControlCall::Operate(operate));
+    /// Sends an operation to a node and returns its outcome.
+    pub fn operate(&mut self, number: usize, operate: Operate) -> Option<OperateOutcome> {
+        self.nodes[number].outcome = None;
+        self.call(number, ControlCall::Operate(operate));
         self.run(100);
-        self.nodes[number].returned.take()
+        self.nodes[number].outcome.take()
     }
 
     pub fn command(&mut self, number: usize, command: Command) -> Option<OperateOutcome> {
-        self.ask(number, Operate::Command(command))
+        self.operate(number, Operate::Command(command))
     }
 
     pub fn query(&mut self, number: usize, query: Query) -> Option<OperateOutcome> {
-        self.ask(number, Operate::Query(query))
+        self.operate(number, Operate::Query(query))
     }
 }
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant that control checks, seen violated.
+//! Violates each invariant that control checks.
 
 use topazyard_control::machine::configurations::Configurations;
 use topazyard_types::ConfigurationVersion;
@@ -7,7 +7,7 @@
 use topazyard_wire::message::operate::OperateOutcome;
 
 #[test]
-fn a_configuration_that_goes_back_is_a_violation() {
+fn older_configuration_in_force_is_a_violation() {
     let done = OperateOutcome::Done(String::new());
     let refused = OperateOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
--- a/programs/topazyard-control/tests/leaving.rs
+++ b/programs/topazyard-control/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving in order: a loss right after a node was replaced leaves a majority and a whole copy.
+//! Graceful shutdown: a loss right after a node was replaced leaves a majority and a complete copy.
 
 mod fleet;
 
@@ -11,17 +11,17 @@
     let route = serde_json::json!({ "name": "r", "host": "a.example", "path_prefix": "/r/",
         "kind": "safe", "pools": [{ "pool": "main", "weight": 1 }], "timeout_ms": 5000,
         "max_attempts": 2 });
-    let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [route] });
+    let configuration = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [route] });
     Command::ApplyConfiguration {
         base: ConfigurationVersion(base),
         version: ConfigurationVersion(version),
-        text: bundle.to_string(),
+        text: configuration.to_string(),
         source: bytes::Bytes::from(format!("{version}")),
     }
 }
 
 /// Three control nodes and a fourth that has just joined, with a configuration in force.
-fn with_a_successor() -> Fleet {
+fn with_spare_node() -> Fleet {
     let mut fleet = Fleet::new(3, 3);
     fleet.run(2_000);
     let taken = fleet.command(0, configuration(0, 3));
@@ -32,38 +32,38 @@
     fleet
 }
 
-/// The second loss comes at once: the node ends as soon as it may, and another loses its disk.
+/// The second loss follows at once: the node stops as soon as it may, and another loses its disk.
 #[test]
-fn a_loss_right_after_a_planned_replacement_leaves_a_majority() {
-    for leaves in 0..3 {
-        for lost in (0..4).filter(|lost| *lost != leaves) {
-            let mut fleet = with_a_successor();
-            fleet.nodes[leaves].returned = None;
-            fleet.tell(leaves, ControlCall::Leave);
+fn loss_right_after_a_planned_replacement_leaves_a_majority() {
+    for leaving in 0..3 {
+        for lost in (0..4).filter(|lost| *lost != leaving) {
+            let mut fleet = with_spare_node();
+            fleet.nodes[leaving].outcome = None;
+            fleet.call(leaving, ControlCall::Leave);
             let mut waited = 0;
-            while fleet.nodes[leaves].returned.is_none() {
+            while fleet.nodes[leaving].outcome.is_none() {
                 fleet.run(25);
                 waited += 25;
-                assert!(waited <= 1_500, "node {leaves} never may end");
+                assert!(waited <= 1_500, "node {leaving} is never released");
             }
-            fleet.stop(leaves, true);
+            fleet.stop(leaving, true);
             fleet.stop(lost, true);
             fleet.run(4_000);
-            let asked = (0..4).find(|number| *number != leaves && *number != lost).expect("one");
-            let read = fleet.query(asked, Query::ReadSource);
-            assert_eq!(read, Some(OperateOutcome::Done("3".into())), "{leaves} left, {lost} lost");
+            let queried = (0..4).find(|number| *number != leaving && *number != lost).expect("one");
+            let read = fleet.query(queried, Query::ReadSource);
+            assert_eq!(read, Some(OperateOutcome::Done("3".into())), "{leaving} left, {lost} lost");
         }
     }
 }
 
 #[test]
-fn a_node_that_nobody_can_replace_ends_at_once() {
+fn irreplaceable_node_stops_at_once() {
     let mut fleet = Fleet::new(3, 3);
     fleet.run(2_000);
     for number in 0..3 {
-        fleet.nodes[number].returned = None;
-        fleet.tell(number, ControlCall::Leave);
-        assert!(fleet.nodes[number].returned.is_some(), "node {number}");
+        fleet.nodes[number].outcome = None;
+        fleet.call(number, ControlCall::Leave);
+        assert!(fleet.nodes[number].outcome.is_some(), "node {number}");
         fleet.stop(number, false);
         fleet.run(1_000);
         assert!(fleet.primary().is_some(), "without node {number}");
@@ -72,39 +72,39 @@
     }
 }
 
-/// The least that time goes on by here.
+/// The smallest step of time in these tests.
 const TICK_MS: u64 = fleet::TICK.0;
 
-/// What callers at a node were returned while so much time passed.
-fn returned(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperateOutcome> {
+/// What a node's callers received over a period of time.
+fn outcomes(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperateOutcome> {
     let mut all = Vec::new();
     for _ in 0..for_ms / TICK_MS {
-        all.extend(fleet.nodes[number].returned.take());
+        all.extend(fleet.nodes[number].outcome.take());
         fleet.run(TICK_MS);
     }
-    all.extend(fleet.nodes[number].returned.take());
+    all.extend(fleet.nodes[number].outcome.take());
     all
 }
 
-/// Else an order that was read by a primary, or passed on to it, is answered by nobody: an operator
-/// waits for 900 ms at most.
+/// Otherwise an order that was read by a primary or forwarded to it gets no response, while an
+/// operator waits 900 ms at most.
 #[test]
-fn an_order_that_a_leaving_primary_has_taken_is_answered_in_time() {
+fn order_read_by_a_leaving_primary_gets_a_response_in_time() {
     let order = || ControlCall::Operate(Operate::Command(configuration(3, 4)));
     for before_ms in [0, 25, 50, 75, 100, 200] {
-        for passes_on in [false, true] {
-            let mut fleet = with_a_successor();
-            let primary = fleet.primary().expect("one leads");
-            let asked = if passes_on { (primary + 1) % 3 } else { primary };
-            fleet.nodes.iter_mut().for_each(|node| node.returned = None);
-            // The order may come before the signal or after it.
-            fleet.tell(primary, ControlCall::Leave);
-            let mut got = returned(&mut fleet, asked, before_ms);
-            fleet.tell(asked, order());
-            got.extend(returned(&mut fleet, asked, 800));
+        for forwards in [false, true] {
+            let mut fleet = with_spare_node();
+            let primary = fleet.primary().expect("a primary");
+            let queried = if forwards { (primary + 1) % 3 } else { primary };
+            fleet.nodes.iter_mut().for_each(|node| node.outcome = None);
+            // The order may arrive before the signal or after it.
+            fleet.call(primary, ControlCall::Leave);
+            let mut received = outcomes(&mut fleet, queried, before_ms);
+            fleet.call(queried, order());
+            received.extend(outcomes(&mut fleet, queried, 800));
             let of_order =
-                got.iter().filter(|outcome| **outcome != OperateOutcome::Done(String::new()));
-            assert_eq!(of_order.count(), 1, "{before_ms} ms, passed on {passes_on}: {got:?}");
+                received.iter().filter(|outcome| **outcome != OperateOutcome::Done(String::new()));
+            assert_eq!(of_order.count(), 1, "{before_ms} ms, forwarded {forwards}: {received:?}");
         }
     }
 }
--- a/programs/topazyard-control/tests/metrics.rs
+++ b/programs/topazyard-control/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control node tells in its metrics.
+//! The metrics of a control node.
 
 mod fleet;
 
@@ -19,12 +19,12 @@
 }
 
 fn text(fleet: &mut Fleet, number: usize) -> String {
-    fleet.nodes[number].returned = None;
-    fleet.tell(number, ControlCall::Health);
-    let Some(OperateOutcome::Done(told)) = fleet.nodes[number].returned.take() else {
+    fleet.nodes[number].outcome = None;
+    fleet.call(number, ControlCall::Health);
+    let Some(OperateOutcome::Done(text)) = fleet.nodes[number].outcome.take() else {
         panic!("no health");
     };
-    let health: ControlHealth = serde_json::from_str(&told).expect("its health");
+    let health: ControlHealth = serde_json::from_str(&text).expect("its health");
     topazyard_wire::metrics::text(Some(ControlFigures(health))).unwrap()
 }
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_primary_counts_the_configurations_that_it_acknowledged_and_refused() {
+fn primary_counts_acknowledged_and_refused_configurations() {
     let mut fleet = Fleet::new(3, 3);
     fleet.storage = (1..=3).map(storage).collect();
     (0..3).for_each(|number| fleet.start(number));
--- a/programs/topazyard-control/tests/ending.rs
+++ b/programs/topazyard-control/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A control process that ends in order, over loopback: what it has read is answered.
+//! Graceful shutdown of a control process, over loopback: the calls it has read get a response.
 
 use std::io::{Read as _, Write as _};
 use topazyard_control::ExternalInterface;
@@ -9,24 +9,24 @@
 
 type Address = std::net::SocketAddr;
 
-/// How long the test waits for anything.
-const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
+/// How long the test waits for any event.
+const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
 
-/// Answers a call once the test says so.
-struct SlowOutside;
+/// Responds to a call when the test asks for it.
+struct SlowInterface;
 
-/// The calls that were read; each is answered when its sender is used.
+/// The calls that were read. Each gets its response when its sender is used.
 type Reads = std::sync::mpsc::Sender<tokio::sync::oneshot::Sender<()>>;
 
 static READS: std::sync::OnceLock<Reads> = std::sync::OnceLock::new();
 
-impl ExternalInterface for SlowOutside {
+impl ExternalInterface for SlowInterface {
     async fn respond(
         _: Handle,
         request: hyper::Request<hyper::body::Incoming>,
     ) -> hyper::Response<Body> {
-        let (let_go, wait) = tokio::sync::oneshot::channel();
-        READS.get().expect("it is set").send(let_go).expect("the test waits for it");
+        let (release, wait) = tokio::sync::oneshot::channel();
+        READS.get().expect("it is initialized").send(release).expect("the test receives it");
         let _ = wait.await;
         json_text(200, request.uri().path().to_owned())
     }
@@ -54,7 +54,7 @@
         http: Some(http),
         ready: None,
         zone: "north".into(),
-        // Nobody listens there: the node stays alone and needs nobody to replace it.
+        // Nobody listens there: the node stays alone and needs no replacement.
         seeds: vec![stand_ins::loopback::free_address()],
         data: Some(folder.to_owned()),
         beside: None,
@@ -66,31 +66,31 @@
 }
 
 fn connect(address: Address) -> std::net::TcpStream {
-    let until = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + TIMEOUT;
     loop {
         match std::net::TcpStream::connect(address) {
             Ok(stream) => {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+                stream.set_read_timeout(Some(TIMEOUT)).expect("a read timeout");
                 return stream;
             }
-            Err(error) => assert!(std::time::Instant::now() < until, "{error}"),
+            Err(error) => assert!(std::time::Instant::now() < deadline, "{error}"),
         }
         std::thread::yield_now();
     }
 }
 
 fn wait_until_closed(address: Address) {
-    let until = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + TIMEOUT;
     while std::net::TcpStream::connect(address).is_ok() {
-        assert!(std::time::Instant::now() < until, "it still takes connections");
+        assert!(std::time::Instant::now() < deadline, "it still accepts connections");
         std::thread::yield_now();
     }
 }
 
-/// The call was read before the process was told to end, and its answer takes longer than being
-/// replaced: an operator must not see its connection break.
+/// The call is read before the process is told to stop, and its response takes longer than being
+/// replaced: an operator's connection must not be cut off.
 #[test]
-fn a_call_that_was_read_is_answered_before_a_control_process_ends() {
+fn call_that_was_read_gets_a_response_before_shutdown() {
     let (reads, read) = std::sync::mpsc::channel();
     READS.set(reads).expect("one test uses it");
     let folder = std::env::temp_dir().join(format!("topazyard-ending-{}", std::process::id()));
@@ -98,26 +98,26 @@
     let settings = settings(http, &folder);
     let (terminate, terminated) = tokio::sync::oneshot::channel::<()>();
     let process = std::thread::spawn(move || {
-        let told = async { drop(terminated.await) };
-        topazyard_control::run::run_until(settings, SlowOutside, told)
+        let terminated = async { drop(terminated.await) };
+        topazyard_control::run::run_until(settings, SlowInterface, terminated)
     });
 
     let mut operator = connect(http);
-    operator.write_all(b"GET /slow HTTP/1.1\r\nHost: c\r\n\r\n").expect("it is sent");
-    let let_go = read.recv_timeout(PATIENCE).expect("it is read");
+    operator.write_all(b"GET /slow HTTP/1.1\r\nHost: c\r\n\r\n").expect("the request is sent");
+    let release = read.recv_timeout(TIMEOUT).expect("the call is read");
     let mut idle = connect(http);
-    terminate.send(()).expect("it runs");
-    // It takes nothing more once it may go.
+    terminate.send(()).expect("the process runs");
+    // It accepts no more connections once it may stop.
     wait_until_closed(http);
-    let _ = let_go.send(());
-    let mut got = String::new();
-    operator.read_to_string(&mut got).expect("an answer, and a connection closed in order");
-    assert!(got.starts_with("HTTP/1.1 200"), "{got:?}");
-    assert!(got.to_lowercase().contains("connection: close"), "{got}");
-    assert!(got.ends_with("/slow"), "{got}");
-    let mut nothing = String::new();
-    idle.read_to_string(&mut nothing).expect("closed in order");
-    assert_eq!(nothing, "");
-    process.join().expect("it ends").expect("in order");
+    let _ = release.send(());
+    let mut response = String::new();
+    operator.read_to_string(&mut response).expect("a response, and a connection closed gracefully");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response:?}");
+    assert!(response.to_lowercase().contains("connection: close"), "{response}");
+    assert!(response.ends_with("/slow"), "{response}");
+    let mut idle_response = String::new();
+    idle.read_to_string(&mut idle_response).expect("closed gracefully");
+    assert_eq!(idle_response, "");
+    process.join().expect("the thread ends").expect("a graceful shutdown");
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/programs/topazyard-control/tests/witnesses.rs
+++ b/programs/topazyard-control/tests/witnesses.rs
@@ -1,4 +1,4 @@
-//! Which nodes are named witnesses: a majority outlives the tolerated loss of machines and zones.
+//! Choice of witnesses: a majority survives the tolerated loss of machines and zones.
 
 use topazyard_control::witnesses::{Candidate, Requirements, next, spread, survive_zone_loss};
 use topazyard_types::{DurationMs, NodeId};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn first_witnesses_stand_in_as_many_zones_as_there_are() {
+fn first_witnesses_are_spread_over_all_zones() {
     let others = vec![
         candidate(2, "a", 0),
         candidate(3, "a", 0),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_zone_with_a_majority_gives_one_up_to_another_zone() {
+fn zone_with_a_majority_gives_a_witness_to_another_zone() {
     let present = vec![candidate(1, "a", 0), candidate(2, "a", 0), candidate(3, "b", 0)];
     assert!(!survive_zone_loss(&present, 1));
     let chosen = next(present, &[NodeId(1)], vec![candidate(4, "c", 0)], &requirements(3));
@@ -41,44 +41,45 @@
 }
 
 #[test]
-fn a_spare_of_the_same_crowded_zone_changes_nothing() {
+fn spare_of_the_largest_zone_changes_nothing() {
     let present = vec![candidate(1, "a", 0), candidate(2, "a", 0), candidate(3, "b", 0)];
     let chosen = next(present, &[NodeId(1)], vec![candidate(4, "a", 0)], &requirements(3));
     assert_eq!(ids(&chosen), [1, 2, 3]);
 }
 
 #[test]
-fn a_silent_witness_gives_way_to_the_spare_of_the_emptiest_zone() {
+fn silent_witness_is_replaced_from_the_smallest_zone() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 5_000), candidate(3, "c", 100)];
     let spares = vec![candidate(4, "a", 0), candidate(5, "b", 0)];
     assert_eq!(ids(&next(present, &[NodeId(1)], spares, &requirements(3))), [1, 5, 3]);
 }
 
 #[test]
-fn a_witness_that_is_silent_for_less_stays() {
+fn witness_silent_for_less_than_the_timeout_stays() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 1_999), candidate(3, "c", 0)];
     let chosen = next(present, &[NodeId(1)], vec![candidate(4, "b", 0)], &requirements(3));
     assert_eq!(ids(&chosen), [1, 2, 3]);
 }
 
 #[test]
-fn all_that_must_be_named_are_and_the_most_silent_goes() {
+fn required_nodes_replace_the_most_silent_witness() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 900), candidate(3, "c", 50)];
     let spares = vec![candidate(4, "b", 0)];
     assert_eq!(ids(&next(present, &[NodeId(1), NodeId(4)], spares, &requirements(3))), [1, 4, 3]);
 }
 
 #[test]
-fn too_few_are_filled_up_at_once() {
+fn missing_witnesses_are_added_at_once() {
     let present = vec![candidate(1, "a", 0), candidate(2, "b", 0)];
     let spares = vec![candidate(3, "b", 0), candidate(4, "c", 0)];
     assert_eq!(ids(&next(present, &[NodeId(1)], spares, &requirements(3))), [1, 2, 4]);
 }
 
-/// Whatever is heard or silent: never more than wanted, nobody twice, all that must be named are,
-/// and the choice is a fixed point, so that no epoch follows another for nothing.
+/// For any silences, there are never more witnesses than requested, none twice, and all required
+/// nodes are included. The choice is a fixed point, so that no epoch change happens without a
+/// reason.
 #[test]
-fn a_choice_stands_until_something_changes() {
+fn choice_of_witnesses_is_a_fixed_point() {
     bolero::check!().with_type::<Vec<(u8, u16)>>().with_iterations(2_000).for_each(|drawn| {
         let all: Vec<Candidate> = (1..)
             .zip(drawn.iter().take(9))
@@ -90,20 +91,20 @@
             return;
         }
         let present: Vec<Candidate> = all.iter().take(5).cloned().collect();
-        let must = [NodeId(1)];
-        let chosen = next(present, &must, all.clone(), &requirements(5));
+        let required = [NodeId(1)];
+        let chosen = next(present, &required, all.clone(), &requirements(5));
         assert!(chosen.len() <= 5 && chosen.contains(&all[0].node), "{chosen:?}");
         let unique: std::collections::BTreeSet<u64> = ids(&chosen).into_iter().collect();
         assert_eq!(unique.len(), chosen.len(), "{chosen:?}");
         let heard: Vec<Candidate> =
-            all.iter().filter(|one| one.silence < DurationMs(1_000)).cloned().collect();
+            all.iter().filter(|candidate| candidate.silence < DurationMs(1_000)).cloned().collect();
         let of = |nodes: &[CoreNode]| -> Vec<Candidate> {
             nodes
                 .iter()
-                .flat_map(|node| all.iter().find(|one| one.node == *node).cloned())
+                .flat_map(|node| all.iter().find(|candidate| candidate.node == *node).cloned())
                 .collect()
         };
-        let first = next(of(&chosen), &must, heard.clone(), &requirements(5));
-        assert_eq!(next(of(&first), &must, heard, &requirements(5)), first);
+        let first = next(of(&chosen), &required, heard.clone(), &requirements(5));
+        assert_eq!(next(of(&first), &required, heard, &requirements(5)), first);
     });
 }
