--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -6,7 +6,7 @@
 use topazyard_relay::RelayCall;
 use topazyard_relay::drain::DrainTimes;
 use topazyard_types::{DurationMs, ShardId};
-use topazyard_wire::message::operate::{Command, Operate};
+use topazyard_wire::message::operate::{Command, OperatorRequest};
 
 /// Whom a fault strikes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -323,7 +323,7 @@
             Fault::Empty(_) => {
                 if let (Some(index), Some(control)) = (struck, self.draw_node(Kind::Control)) {
                     let command = Command::EmptyStorage(self.nodes[index.0].id);
-                    self.call_control(control, Operate::Command(command), Caller::Nobody);
+                    self.call_control(control, OperatorRequest::Command(command), Caller::Nobody);
                 }
             }
             Fault::Ceiling(tokens) => self.people.habits.waiting_ceiling = tokens,
--- a/fleet-simulator/src/model/network.rs
+++ b/fleet-simulator/src/model/network.rs
@@ -5,7 +5,7 @@
 use topazyard_wire::Message;
 use topazyard_wire::message::control::CoreMessage;
 use topazyard_wire::message::feed::FeedMessage;
-use topazyard_wire::message::operate::{Operate, OperateMessage, OperateOutcome};
+use topazyard_wire::message::operate::{OperatorMessage, OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::replica::ReplicaBody;
 
 /// What is under way.
@@ -27,14 +27,14 @@
         /// Which asking.
         asking: usize,
         /// What is asked.
-        request: Operate,
+        request: OperatorRequest,
     },
     /// The return of one.
     Answer {
         /// Which asking.
         asking: usize,
         /// What came of it.
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
     },
 }
 
@@ -61,8 +61,8 @@
     pub fn label(&self) -> &'static str {
         match &self.payload {
             Payload::Frame { message, .. } => label_of(message),
-            Payload::Call { request: Operate::Command(_), .. } => "Order",
-            Payload::Call { request: Operate::Query(_), .. } => "Read",
+            Payload::Call { request: OperatorRequest::Command(_), .. } => "Order",
+            Payload::Call { request: OperatorRequest::Query(_), .. } => "Read",
             Payload::Answer { .. } => "Answer",
         }
     }
@@ -93,8 +93,8 @@
         Message::Feed(FeedMessage::Request { .. }) => "FeedAsk",
         Message::Feed(FeedMessage::Update { .. }) => "FeedNews",
         Message::Feed(FeedMessage::Redirect { .. }) => "FeedElsewhere",
-        Message::Operate(OperateMessage::Request { .. }) => "PassedOn",
-        Message::Operate(OperateMessage::Response { .. }) => "PassedBack",
+        Message::Operate(OperatorMessage::Request { .. }) => "PassedOn",
+        Message::Operate(OperatorMessage::Response { .. }) => "PassedBack",
         Message::Membership(_) => "Membership",
         _ => "Other",
     }
--- a/fleet-simulator/src/model/node.rs
+++ b/fleet-simulator/src/model/node.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use topazyard_control::ControlMachine;
 use topazyard_types::{CallId, MonotonicMs, NodeId};
-use topazyard_wire::rows::Loaded;
+use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
 
 /// A write that is not synced.
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
     /// What is synced.
-    pub synced: Loaded,
+    pub synced: LoadedRows,
     /// What is not, the oldest first.
     pub unsynced: VecDeque<Write>,
 }
--- a/fleet-simulator/src/model/world/apply.rs
+++ b/fleet-simulator/src/model/world/apply.rs
@@ -9,7 +9,7 @@
 use topazyard_types::{ConfigurationVersion, DurationMs};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{Operate, Query};
+use topazyard_wire::message::operate::{OperatorRequest, Query};
 use topazyard_wire::{Input, WriteToken};
 
 /// What happens next by itself.
@@ -76,7 +76,7 @@
             Action::Order { operator, node, skip } => self.order(*operator, *node, *skip),
             Action::Resend { operator, node } => self.resend(*operator, *node),
             Action::Read { operator, node } => {
-                self.call(*operator, *node, Asked::Read, Operate::Query(Query::ReadSource))
+                self.call(*operator, *node, Asked::Read, OperatorRequest::Query(Query::ReadSource))
             }
             Action::Calm => self.calm(),
         }
@@ -185,11 +185,17 @@
 
     fn resend(&mut self, operator: usize, node: usize) -> bool {
         let Some(order) = self.operators[operator].open.clone() else { return false };
-        let request = Operate::Command(order.command());
+        let request = OperatorRequest::Command(order.command());
         self.call(operator, node, Asked::Order(order.number), request)
     }
 
-    fn call(&mut self, operator: usize, node: usize, asked: Asked, request: Operate) -> bool {
+    fn call(
+        &mut self,
+        operator: usize,
+        node: usize,
+        asked: Asked,
+        request: OperatorRequest,
+    ) -> bool {
         let since = self.judge.newest_acknowledged();
         self.askings.push(Asking { operator, asked, since, arrived: None });
         let asking = self.askings.len() - 1;
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/carry.rs
@@ -11,11 +11,11 @@
 use topazyard_wire::api::Code;
 use topazyard_wire::message::control::CoreMessage;
 use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Input, Machine as _, Message};
 
-pub(super) type ControlEffect = Effect<OperateOutcome, ControlTask>;
+pub(super) type ControlEffect = Effect<OperatorOutcome, ControlTask>;
 
 /// What a planted fault remembers.
 #[derive(Debug, Clone, Default)]
@@ -29,17 +29,17 @@
 }
 
 /// Whether an outcome is final: the order is taken, or refused for good.
-fn is_final(outcome: &OperateOutcome) -> bool {
+fn is_final(outcome: &OperatorOutcome) -> bool {
     match outcome {
-        OperateOutcome::Done(_) => true,
-        OperateOutcome::Refused(error) => {
+        OperatorOutcome::Done(_) => true,
+        OperatorOutcome::Refused(error) => {
             matches!(error.code, Code::StaleBase | Code::InvalidSpec | Code::NotFound)
         }
     }
 }
 
-fn stale_base() -> OperateOutcome {
-    OperateOutcome::Refused(topazyard_wire::ApiError::not_run(Code::StaleBase))
+fn stale_base() -> OperatorOutcome {
+    OperatorOutcome::Refused(topazyard_wire::ApiError::not_run(Code::StaleBase))
 }
 
 impl World {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn answer(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperateOutcome) {
+    fn answer(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperatorOutcome) {
         let node = Node::change(&mut self.nodes[number]);
         let Some(asking) = node.calls.remove(&call) else { return };
         if is_final(&outcome) {
@@ -252,12 +252,12 @@
         FeedMessage::Update { nonce, position, content }
     }
 
-    fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperateOutcome) {
+    fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperatorOutcome) {
         let asking = self.askings[asking];
         let outcome = self.plant_outcome(asking.asked, outcome);
         let operator = &mut self.operators[number];
         match (asking.asked, &outcome) {
-            (Asked::Order(order), OperateOutcome::Done(_)) => {
+            (Asked::Order(order), OperatorOutcome::Done(_)) => {
                 let version = self.judge.order(order).map(|order| order.version);
                 operator.knows = operator.knows.max(version.unwrap_or_default());
                 operator.open.take_if(|open| open.number == order);
@@ -267,7 +267,7 @@
                 operator.open.take_if(|open| open.number == order);
                 self.judge.refuse(order);
             }
-            (Asked::Read, OperateOutcome::Done(source)) => {
+            (Asked::Read, OperatorOutcome::Done(source)) => {
                 let read = crate::model::order::number_of(source);
                 let version = read.and_then(|number| self.judge.order(number)).map(|o| o.version);
                 operator.knows = operator.knows.max(version.unwrap_or_default());
@@ -281,9 +281,9 @@
         self.note(|| format!("    operator{number}: {:?} -> {outcome:?}", asking.asked));
     }
 
-    fn plant_outcome(&mut self, asked: Asked, outcome: OperateOutcome) -> OperateOutcome {
+    fn plant_outcome(&mut self, asked: Asked, outcome: OperatorOutcome) -> OperatorOutcome {
         let Some(plant) = self.settings.plant else { return outcome };
-        let is_done = matches!(outcome, OperateOutcome::Done(_));
+        let is_done = matches!(outcome, OperatorOutcome::Done(_));
         match (plant, asked) {
             // The first order founds what follows.
             (_, Asked::Order(0)) => outcome,
@@ -292,14 +292,14 @@
                 if self.planted.answered.insert(order) { outcome } else { stale_base() }
             }
             (Plant::TakeRefused, Asked::Order(_)) if !is_done && is_final(&outcome) => {
-                OperateOutcome::Done("{}".to_owned())
+                OperatorOutcome::Done("{}".to_owned())
             }
             (Plant::OldSource, Asked::Read) => match &outcome {
-                OperateOutcome::Done(source) => {
+                OperatorOutcome::Done(source) => {
                     let first = self.planted.source.get_or_insert_with(|| source.clone());
-                    OperateOutcome::Done(first.clone())
+                    OperatorOutcome::Done(first.clone())
                 }
-                OperateOutcome::Refused(_) => outcome,
+                OperatorOutcome::Refused(_) => outcome,
             },
             _ => outcome,
         }
--- a/fleet-simulator/src/people/batches.rs
+++ b/fleet-simulator/src/people/batches.rs
@@ -3,7 +3,7 @@
 use super::Doing;
 use crate::history::{BatchSeen, ListedReturn, ReadSeen, ReadTold, Us};
 use crate::world::{Caller, Event, Plant, World};
-use topazyard_relay::{RelayCall, RelayReturn};
+use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
 use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, ItemEnd};
 
@@ -140,7 +140,7 @@
                     cost: Tokens(work.cost),
                     routing: None,
                 });
-                RelayCall::Submit(id, items.collect())
+                RelayCall::SubmitBatch(id, items.collect())
             }
             Asked::Read => RelayCall::Batch(BatchCall::Read(id), limit),
             Asked::List => {
@@ -170,7 +170,7 @@
         batch: usize,
         serial: u64,
         asked: &Asked,
-        value: RelayReturn,
+        value: RelayResponse,
     ) {
         if self.people.batches[batch].serial != serial {
             return;
@@ -179,8 +179,8 @@
         let time = self.time;
         if matches!(asked, Asked::Read | Asked::List) {
             let told = match &value {
-                RelayReturn::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
-                RelayReturn::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
+                RelayResponse::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
+                RelayResponse::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
                     ReadTold::Given
                 }
                 _ => ReadTold::Refused,
@@ -189,7 +189,7 @@
                 read.told = Some((time, told));
             }
         }
-        let RelayReturn::Batch(value) = value else { return };
+        let RelayResponse::Batch(value) = value else { return };
         let shard = self.history.batches[batch].id.shard;
         self.note_batch_told(batch, asked, value);
         self.batch_answered(shard);
--- a/fleet-simulator/src/people/configurations.rs
+++ b/fleet-simulator/src/people/configurations.rs
@@ -10,7 +10,7 @@
 use contents::Fault;
 pub(crate) use contents::fingerprint;
 use topazyard_wire::api::Code;
-use topazyard_wire::message::operate::{Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest, Query};
 
 /// Something that an operator with numbered configurations does.
 #[derive(Debug, Clone, Copy)]
@@ -86,7 +86,7 @@
     }
 
     /// A control node answered an operator.
-    pub(super) fn order_told(&mut self, doing: OrderDoing, outcome: OperateOutcome) {
+    pub(super) fn order_told(&mut self, doing: OrderDoing, outcome: OperatorOutcome) {
         let lost = self.people.habits.answers_lost_percent;
         let loses_all = self.plant == Some(Plant::LoseAnswers) && self.people.orders.newest > 0;
         if loses_all || (lost > 0 && self.draw(0..100) < lost) {
@@ -273,16 +273,16 @@
         }
         if self.nodes[node.0].is_on() {
             let caller = Caller::Person(Doing::Configuration(OrderDoing::ReadAnswered(read)));
-            self.call_control(node, Operate::Query(Query::ReadSource), caller);
+            self.call_control(node, OperatorRequest::Query(Query::ReadSource), caller);
         }
     }
 
-    fn read_told(&mut self, read: usize, outcome: OperateOutcome) {
+    fn read_told(&mut self, read: usize, outcome: OperatorOutcome) {
         let time = self.time;
         let read_back = match outcome {
-            OperateOutcome::Done(source) => ReadBack::Given(source.into()),
-            OperateOutcome::Refused(error) if error.code == Code::NotFound => ReadBack::Missing,
-            OperateOutcome::Refused(_) => ReadBack::Unclear,
+            OperatorOutcome::Done(source) => ReadBack::Given(source.into()),
+            OperatorOutcome::Refused(error) if error.code == Code::NotFound => ReadBack::Missing,
+            OperatorOutcome::Refused(_) => ReadBack::Unclear,
         };
         let read_back = match (self.plant, read_back) {
             (Some(Plant::ReadFirst), ReadBack::Given(_)) => {
@@ -299,10 +299,10 @@
     }
 }
 
-fn answer_of(outcome: &OperateOutcome) -> OrderAnswer {
+fn answer_of(outcome: &OperatorOutcome) -> OrderAnswer {
     match outcome {
-        OperateOutcome::Done(_) => OrderAnswer::Acknowledged,
-        OperateOutcome::Refused(error) => match error.code.status() {
+        OperatorOutcome::Done(_) => OrderAnswer::Acknowledged,
+        OperatorOutcome::Refused(error) => match error.code.status() {
             408 | 429 | 500.. => OrderAnswer::Unclear,
             _ => OrderAnswer::Refused,
         },
--- a/fleet-simulator/src/people/configurations/sending.rs
+++ b/fleet-simulator/src/people/configurations/sending.rs
@@ -6,7 +6,7 @@
 use crate::people::Doing;
 use crate::world::{Caller, Kind, NodeIndex, Plant, World};
 use topazyard_types::ConfigurationVersion;
-use topazyard_wire::message::operate::{Command, Operate, SourcePatch};
+use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
 /// After how long without an answer an operator goes on to another node.
 const SILENCE_US: Us = 1_000_000;
@@ -59,7 +59,7 @@
         let seen = &self.history.orders[order];
         let command = command_of(seen);
         let caller = Caller::Person(Doing::Configuration(OrderDoing::Answered(order, attempt)));
-        self.call_control(node, Operate::Command(command), caller);
+        self.call_control(node, OperatorRequest::Command(command), caller);
     }
 
     pub(super) fn send_later(&mut self, order: usize) {
--- a/fleet-simulator/src/people/mod.rs
+++ b/fleet-simulator/src/people/mod.rs
@@ -225,7 +225,7 @@
     }
 
     /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, doing: Doing, value: topazyard_relay::RelayReturn) {
+    pub(crate) fn relay_told(&mut self, doing: Doing, value: topazyard_relay::RelayResponse) {
         match doing {
             Doing::Ready(relay) => self.ready_told(relay, &value),
             Doing::BatchCall(batch, serial, asked) => {
@@ -239,7 +239,7 @@
     pub(crate) fn control_told(
         &mut self,
         doing: Doing,
-        outcome: topazyard_wire::message::operate::OperateOutcome,
+        outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
         match doing {
             Doing::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
--- a/fleet-simulator/src/people/operators.rs
+++ b/fleet-simulator/src/people/operators.rs
@@ -6,7 +6,7 @@
 use crate::world::{Caller, Event, Kind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Execution;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// A step of a spec.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -134,19 +134,19 @@
         let version = ConfigurationVersion(self.history.specs[spec].version.unwrap_or(0));
         let step = self.people.specs[spec].step;
         let request = match step {
-            Step::Look => Operate::Query(Query::ListConfigurations),
-            Step::Submit(base) => Operate::Command(Command::SubmitConfiguration {
+            Step::Look => OperatorRequest::Query(Query::ListConfigurations),
+            Step::Submit(base) => OperatorRequest::Command(Command::SubmitConfiguration {
                 base: ConfigurationVersion(base),
                 text: self.bundle(spec),
             }),
             Step::Sign => {
                 let by = format!("operator {spec}");
-                Operate::Command(Command::SignOff { version, by })
+                OperatorRequest::Command(Command::SignOff { version, by })
             }
             Step::RollOut => {
                 let time = self.time;
                 self.history.specs[spec].asked.get_or_insert(time);
-                Operate::Command(Command::RollOut { version })
+                OperatorRequest::Command(Command::RollOut { version })
             }
             Step::Over => return,
         };
@@ -168,7 +168,7 @@
         spec: usize,
         serial: u64,
         step: Step,
-        outcome: &OperateOutcome,
+        outcome: &OperatorOutcome,
     ) {
         let operator = &mut self.people.specs[spec];
         if operator.serial != serial || operator.step != step {
@@ -176,8 +176,8 @@
         }
         operator.asked = None;
         let text = match outcome {
-            OperateOutcome::Done(text) => text,
-            OperateOutcome::Refused(error) => {
+            OperatorOutcome::Done(text) => text,
+            OperatorOutcome::Refused(error) => {
                 let status = error.code.status();
                 match (step, status, error.ran) {
                     // Surely nothing happened, or asking again is harmless.
@@ -218,14 +218,14 @@
         }
         self.after(1_000_000, Event::Person(Doing::ReadSpec));
         if let Some(control) = self.draw_node(Kind::Control) {
-            let request = Operate::Query(Query::ReadConfiguration(None));
+            let request = OperatorRequest::Query(Query::ReadConfiguration(None));
             let asked = Doing::SpecAsked(self.time);
             self.call_control(control, request, Caller::Person(asked));
         }
     }
 
-    pub(super) fn spec_read(&mut self, asked: Us, outcome: &OperateOutcome) {
-        if let OperateOutcome::Done(text) = outcome {
+    pub(super) fn spec_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
+        if let OperatorOutcome::Done(text) = outcome {
             let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
             if let Some(version) = shown["version"].as_u64() {
                 self.history.spec_reads.push(SpecRead { asked, version });
--- a/fleet-simulator/src/people/platform.rs
+++ b/fleet-simulator/src/people/platform.rs
@@ -3,8 +3,8 @@
 use super::Doing;
 use crate::history::EngineListSeen;
 use crate::world::{Caller, Event, Kind, NodeIndex, World};
-use topazyard_relay::{RelayCall, RelayReturn};
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
+use topazyard_relay::{RelayCall, RelayResponse};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 
 impl World {
     pub(super) fn ask_ready(&mut self) {
@@ -24,8 +24,8 @@
         }
     }
 
-    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayReturn) {
-        if matches!(value, RelayReturn::Noted) {
+    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayResponse) {
+        if matches!(value, RelayResponse::Done) {
             self.people.ready.insert(relay);
         } else {
             self.people.ready.remove(&relay);
@@ -63,12 +63,12 @@
             })
             .collect();
         let text = serde_json::json!({ "engines": engines }).to_string();
-        let request = Operate::Command(Command::PutEngines { text });
+        let request = OperatorRequest::Command(Command::PutEngines { text });
         self.call_control(control, request, Caller::Person(Doing::EnginesSent(list)));
     }
 
-    pub(super) fn engines_told(&mut self, list: usize, outcome: &OperateOutcome) {
-        if matches!(outcome, OperateOutcome::Done(_)) {
+    pub(super) fn engines_told(&mut self, list: usize, outcome: &OperatorOutcome) {
+        if matches!(outcome, OperatorOutcome::Done(_)) {
             let time = self.time;
             self.history.engine_lists[list].acknowledged.get_or_insert(time);
         }
--- a/fleet-simulator/src/people/retirement.rs
+++ b/fleet-simulator/src/people/retirement.rs
@@ -3,7 +3,7 @@
 use super::Doing;
 use crate::history::Us;
 use crate::world::{Caller, Event, Kind, NodeIndex, World};
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// How often it is asked for and after.
 const ASK_EVERY_US: Us = 500_000;
@@ -16,11 +16,11 @@
         }
         self.after(ASK_EVERY_US, Event::Person(Doing::Retire(node)));
         let command = Command::RetireNamed(self.name_in_fleet(node));
-        self.ask_of_retirement(Operate::Command(command), Doing::RetireAnswered(node));
+        self.ask_of_retirement(OperatorRequest::Command(command), Doing::RetireAnswered(node));
     }
 
-    pub(super) fn retire_told(&mut self, node: NodeIndex, outcome: &OperateOutcome) {
-        if matches!(outcome, OperateOutcome::Done(_)) && self.people.retiring.insert(node) {
+    pub(super) fn retire_told(&mut self, node: NodeIndex, outcome: &OperatorOutcome) {
+        if matches!(outcome, OperatorOutcome::Done(_)) && self.people.retiring.insert(node) {
             self.after(0, Event::Person(Doing::AskRetired(node)));
         }
     }
@@ -32,11 +32,11 @@
         }
         self.after(ASK_EVERY_US, Event::Person(Doing::AskRetired(node)));
         let query = Query::Retirement(self.name_in_fleet(node));
-        self.ask_of_retirement(Operate::Query(query), Doing::RetiredAnswered(node));
+        self.ask_of_retirement(OperatorRequest::Query(query), Doing::RetiredAnswered(node));
     }
 
-    pub(super) fn retired_told(&mut self, node: NodeIndex, outcome: &OperateOutcome) {
-        let is_done = matches!(outcome, OperateOutcome::Done(text) if text.contains("completed"));
+    pub(super) fn retired_told(&mut self, node: NodeIndex, outcome: &OperatorOutcome) {
+        let is_done = matches!(outcome, OperatorOutcome::Done(text) if text.contains("completed"));
         if is_done && !self.nodes[node.0].is_replaced() {
             self.remove(node);
         }
@@ -46,7 +46,7 @@
         format!("node-{}", self.nodes[node.0].id)
     }
 
-    fn ask_of_retirement(&mut self, request: Operate, doing: Doing) {
+    fn ask_of_retirement(&mut self, request: OperatorRequest, doing: Doing) {
         if let Some(control) = self.draw_node(Kind::Control) {
             self.call_control(control, request, Caller::Person(doing));
         }
--- a/fleet-simulator/src/world/disk.rs
+++ b/fleet-simulator/src/world/disk.rs
@@ -2,14 +2,14 @@
 
 use super::{Event, NodeIndex, Plant, World};
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::rows::Loaded;
+use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
 
 /// A disk.
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
     /// What is synced.
-    pub synced: Loaded,
+    pub synced: LoadedRows,
     pub(crate) queue: std::collections::VecDeque<(u64, WriteToken, Vec<RowChange>)>,
     pub(crate) last_write: u64,
     /// How long a sync takes besides its usual time, in microseconds.
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -2,10 +2,10 @@
 
 use super::{Body, NodeIndex};
 use crate::world::{Caller, Event, World};
-use topazyard_relay::{RelayCall, RelayReturn, RelayTask};
+use topazyard_relay::{RelayCall, RelayResponse, RelayTask};
 use topazyard_types::{CallId, NodeId};
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::operate::{Operate, OperateOutcome};
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::{Effect, Input, Machine as _, Message, WriteToken};
 
 /// How often a process ticks.
@@ -13,8 +13,8 @@
 
 /// What a machine put out, whichever machine it is.
 enum Outcome {
-    Operate(OperateOutcome),
-    Relay(RelayReturn),
+    Operate(OperatorOutcome),
+    Relay(RelayResponse),
 }
 
 impl World {
@@ -66,7 +66,12 @@
     }
 
     /// Calls into a control node's machine.
-    pub(crate) fn call_control(&mut self, index: NodeIndex, request: Operate, caller: Caller) {
+    pub(crate) fn call_control(
+        &mut self,
+        index: NodeIndex,
+        request: OperatorRequest,
+        caller: Caller,
+    ) {
         let call = self.note_call(index, caller);
         let request = topazyard_control::ControlCall::Operate(request);
         self.step(index, StepInput::Control(call, request));
@@ -154,7 +159,7 @@
     pub(super) fn make_control(
         &mut self,
         index: NodeIndex,
-        effect: Effect<OperateOutcome, topazyard_control::ControlTask>,
+        effect: Effect<OperatorOutcome, topazyard_control::ControlTask>,
     ) {
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
@@ -224,9 +229,9 @@
         match task {
             RelayTask::RunItem { run, target, body } => self.begin_item(index, run, target, body),
             // Nobody here hands in routed items.
-            RelayTask::RunRouted(_) | RelayTask::BreakOffRuns => {}
+            RelayTask::RunRoutedItem(_) | RelayTask::AbortRoutedRuns => {}
             // Lanes alone are simulated: no engine is ever reached for a route.
-            RelayTask::Look(target) | RelayTask::Reach(target) => {
+            RelayTask::CheckHealth(target) | RelayTask::ProbeConnection(target) => {
                 let is_well = self.engine_takes_looks(&target.engine);
                 let us = if is_well { 2 * self.way() } else { 800_000 };
                 self.after(us, Event::Looked(index, life, target.engine, is_well));
@@ -248,7 +253,7 @@
         if self.defer_if_frozen(index, || Event::Looked(index, life, name, is_well)) {
             return;
         }
-        self.call_relay(index, RelayCall::Looked(engine, is_well), Caller::Nobody);
+        self.call_relay(index, RelayCall::HealthChecked(engine, is_well), Caller::Nobody);
     }
 }
 
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -4,9 +4,9 @@
 use super::engines::{EngineEvent, RunFor};
 use super::{Caller, Event, NodeIndex, Plant, World};
 use crate::history::{Piece, PromptEnd, Us};
-use topazyard_relay::machine::{EngineUse, Prompt, PromptId, Target};
-use topazyard_relay::prompt::{Chart, Failure, Next, State};
-use topazyard_relay::{RelayCall, RelayReturn};
+use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId, Target};
+use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine, State};
+use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_types::{DurationMs, EngineName};
 use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::message::batch::{Run, RunEnd};
@@ -18,7 +18,7 @@
     life: u64,
     /// The prompt in the history.
     prompt: usize,
-    chart: Chart,
+    state_machine: RequestStateMachine,
     body: bytes::Bytes,
     pieces: u32,
     target: Option<Target>,
@@ -79,13 +79,13 @@
         let deadline = self.relay_moment(node, wait);
         let id = PromptId(self.sessions.len() as u64 + 1);
         let prefix = vec![format!("house-{}", prompt % 5), format!("part-{}", prompt % 3)];
-        let mut chart = Chart::arrived(repeatable, deadline);
-        chart.wait();
+        let mut state_machine = RequestStateMachine::arrived(repeatable, deadline);
+        state_machine.enqueue();
         self.sessions.push(Session {
             node,
             life: self.nodes[node.0].life,
             prompt,
-            chart,
+            state_machine,
             body,
             pieces,
             target: None,
@@ -99,7 +99,7 @@
         self.after(wait, Event::Session(session, SessionEvent::Deadline));
         let cost = topazyard_types::Tokens(cost);
         let prompt = Prompt { id, model: model.as_str().into(), cost, deadline, prefix };
-        self.call_relay(node, RelayCall::Allow(prompt), Caller::Session(session));
+        self.call_relay(node, RelayCall::AdmitPrompt(prompt), Caller::Session(session));
     }
 
     fn is_live(&self, at: usize) -> bool {
@@ -107,15 +107,15 @@
         !session.is_over && self.nodes[session.node.0].life == session.life
     }
 
-    fn end_session(&mut self, at: usize, engine_use: EngineUse, end: PromptEnd) {
+    fn end_session(&mut self, at: usize, engine_outcome: EngineOutcome, end: PromptEnd) {
         let session = &mut self.sessions[at];
         session.is_over = true;
         let (node, prompt, run) = (session.node, session.prompt, session.run.take());
-        if let Some(run) = run.filter(|_| !matches!(engine_use, EngineUse::Whole(_))) {
+        if let Some(run) = run.filter(|_| !matches!(engine_outcome, EngineOutcome::Completed(_))) {
             self.close_run(run);
         }
         let id = PromptId(at as u64 + 1);
-        self.call_relay(node, RelayCall::Ended(id, engine_use), Caller::Nobody);
+        self.call_relay(node, RelayCall::PromptEnded(id, engine_outcome), Caller::Nobody);
         let way = self.way();
         self.client_sees(prompt, self.time + way, end);
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    fn answer_error(&mut self, at: usize, engine_use: EngineUse, error: &ApiError) {
+    fn answer_error(&mut self, at: usize, engine_outcome: EngineOutcome, error: &ApiError) {
         let mut ran = error.ran;
         if self.plant == Some(Plant::SayNotRun) {
             ran = Execution::NotRun;
@@ -137,17 +137,17 @@
         let mute = self.plant == Some(Plant::MuteRefusals);
         let says_when = error.code.retry_after_s().is_some() && !mute;
         let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
-        self.end_session(at, engine_use, end);
+        self.end_session(at, engine_outcome, end);
     }
 
-    pub(crate) fn session_returned(&mut self, at: usize, value: RelayReturn) {
+    pub(crate) fn session_returned(&mut self, at: usize, value: RelayResponse) {
         if !self.is_live(at) {
             return;
         }
         match value {
-            RelayReturn::Held(target) => {
+            RelayResponse::SendTo(target) => {
                 let session = &mut self.sessions[at];
-                session.chart.hold();
+                session.state_machine.hold();
                 session.tries += 1;
                 let tries = session.tries;
                 let is_there = self.engine_connects(&target.engine);
@@ -155,24 +155,24 @@
                 let us = if is_there { 2 * self.way() } else { 400_000.min(3 * self.way()) };
                 self.after(us, Event::Session(at, SessionEvent::Connected(tries, is_there)));
             }
-            RelayReturn::GoUntil(until) => {
+            RelayResponse::SendBefore(until) => {
                 if !self.is_ahead(self.sessions[at].node, until) {
                     let stale = ApiError::not_run(topazyard_wire::api::Code::StaleFeed);
-                    let error = self.sessions[at].chart.refuse(stale);
-                    self.answer_error(at, EngineUse::BrokenOff, &error);
+                    let error = self.sessions[at].state_machine.refuse(stale);
+                    self.answer_error(at, EngineOutcome::Aborted, &error);
                     return;
                 }
                 self.send_to_engine(at);
             }
-            RelayReturn::Refused(error) => {
+            RelayResponse::Refused(error) => {
                 let dispatching = self.sessions[at].target.is_some()
-                    && self.sessions[at].chart.state() == State::Held;
+                    && self.sessions[at].state_machine.state() == State::Held;
                 if dispatching && error.code == topazyard_wire::api::Code::NoEngine {
                     self.failed(at, Failure::NotConnected);
                     return;
                 }
-                let error = self.sessions[at].chart.refuse(error);
-                self.answer_error(at, EngineUse::BrokenOff, &error);
+                let error = self.sessions[at].state_machine.refuse(error);
+                self.answer_error(at, EngineOutcome::Aborted, &error);
             }
             _ => {}
         }
@@ -181,13 +181,13 @@
     fn send_to_engine(&mut self, at: usize) {
         let now = self.relay_moment(self.sessions[at].node, 0);
         let session = &mut self.sessions[at];
-        session.chart.dispatch();
+        session.state_machine.dispatch();
         session.sent_at = self.time;
         session.run = None;
         session.got = 0;
         let (body, pieces, tries) = (session.body.clone(), session.pieces, session.tries);
         let name = session.target.as_ref().map(|target| target.engine.clone());
-        let timeout = session.chart.timeout(now);
+        let timeout = session.state_machine.timeout(now);
         let Some(engine) = name.and_then(|name| self.engine_named(&name)) else { return };
         let back = RunFor::Session(at, tries);
         let way = self.way_to_engine(Plant::SentLate);
@@ -224,7 +224,7 @@
             self.defer_if_frozen(node, || Event::Session(at, event));
             return;
         }
-        let (tries, state) = (self.sessions[at].tries, self.sessions[at].chart.state());
+        let (tries, state) = (self.sessions[at].tries, self.sessions[at].state_machine.state());
         match event {
             SessionEvent::Connected(at_try, is_there) if at_try == tries => {
                 if !is_there {
@@ -234,7 +234,7 @@
                 let id = PromptId(at as u64 + 1);
                 let target = self.sessions[at].target.as_ref().map(|t| t.engine.clone());
                 if let Some(engine) = target {
-                    let call = RelayCall::Dispatch(id, engine);
+                    let call = RelayCall::DispatchPrompt(id, engine);
                     self.call_relay(node, call, Caller::Session(at));
                 }
             }
@@ -242,9 +242,9 @@
             SessionEvent::Broken(at_try) if at_try == tries => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
                 if sent && self.plant == Some(Plant::CutLooksWhole) {
-                    self.end_session(at, EngineUse::Failed, PromptEnd::Whole);
+                    self.end_session(at, EngineOutcome::Failed, PromptEnd::Whole);
                 } else if sent {
-                    self.failed(at, Failure::Broken);
+                    self.failed(at, Failure::ConnectionLost);
                 }
             }
             SessionEvent::HeadLate(at_try) if at_try == tries && state == State::Dispatched => {
@@ -259,16 +259,16 @@
 
     fn relay_piece(&mut self, at: usize, piece: Piece) {
         let session = &mut self.sessions[at];
-        if session.pieces == 1 || session.chart.state() == State::Dispatched {
-            session.chart.relay();
+        if session.pieces == 1 || session.state_machine.state() == State::Dispatched {
+            session.state_machine.start_relaying();
         }
         session.got += 1;
         let prompt = session.prompt;
         let took = DurationMs((self.time - session.sent_at) / 1_000);
         self.history.prompts[prompt].pieces.push(piece);
         if piece.index + 1 == piece.of {
-            self.sessions[at].chart.complete();
-            self.end_session(at, EngineUse::Whole(took), PromptEnd::Whole);
+            self.sessions[at].state_machine.complete();
+            self.end_session(at, EngineOutcome::Completed(took), PromptEnd::Whole);
         }
     }
 
@@ -278,15 +278,17 @@
         if let Some(run) = self.sessions[at].run.take() {
             self.close_run(run);
         }
-        match self.sessions[at].chart.fail(failure, now) {
-            Next::Another => {
+        match self.sessions[at].state_machine.fail(failure, now) {
+            FailureAction::TryAnotherEngine => {
                 let failed = self.sessions[at].target.take().map(|target| target.engine);
                 let id = PromptId(at as u64 + 1);
-                let call = RelayCall::Another(id, failed.unwrap_or_default());
+                let call = RelayCall::RetryPrompt(id, failed.unwrap_or_default());
                 self.call_relay(node, call, Caller::Session(at));
             }
-            Next::Answer(error) => self.answer_error(at, EngineUse::Failed, &error),
-            Next::Break => self.end_session(at, EngineUse::Failed, PromptEnd::Broken),
+            FailureAction::Respond(error) => self.answer_error(at, EngineOutcome::Failed, &error),
+            FailureAction::CloseConnection => {
+                self.end_session(at, EngineOutcome::Failed, PromptEnd::Broken)
+            }
         }
     }
 
@@ -330,10 +332,10 @@
         self.after(us, Event::Item(ItemEvent::Connected(at, is_there)));
     }
 
-    pub(crate) fn item_returned(&mut self, at: usize, value: RelayReturn) {
+    pub(crate) fn item_returned(&mut self, at: usize, value: RelayResponse) {
         let node = self.item_runs[at].node;
         match value {
-            RelayReturn::GoUntil(until) if self.is_ahead(node, until) => {
+            RelayResponse::SendBefore(until) if self.is_ahead(node, until) => {
                 let body = self.item_runs[at].body.clone();
                 let name: EngineName = self.item_runs[at].target.engine.clone();
                 let Some(engine) = self.engine_named(&name) else { return };
@@ -341,7 +343,7 @@
                 let back = RunFor::Item(at);
                 let event = EngineEvent::Arrives { engine, body, pieces: 1, back };
                 self.after(way, Event::Engine(event));
-                let limit_us = topazyard_relay::machine::items::RUN_LIMIT.0 * 1_000;
+                let limit_us = topazyard_relay::machine::items::RUN_TIMEOUT.0 * 1_000;
                 self.after(limit_us, Event::Item(ItemEvent::Late(at)));
             }
             _ => self.end_item(at, RunEnd::NotRun),
--- a/libraries/topazyard-membership/src/membership.rs
+++ b/libraries/topazyard-membership/src/membership.rs
@@ -115,14 +115,14 @@
         if id == self.own.member.id {
             return Some(MemberStatus::Alive);
         }
-        self.roll.members.get(&id).map(|known| known.latest.status)
+        self.roll.members.get(&id).map(|known| known.update.status)
     }
 
     /// Where the members of a duty take frames.
     pub fn addresses(&self, role: MemberRole) -> impl Iterator<Item = std::net::SocketAddr> {
         self.present()
-            .filter(move |known| known.latest.member.role == role)
-            .map(|known| known.latest.member.address)
+            .filter(move |known| known.update.member.role == role)
+            .map(|known| known.update.member.address)
     }
 
     /// Probes a member next, as somebody has cause to doubt it.
@@ -175,9 +175,9 @@
         }
         self.last_join = Some(now);
         let own_address = self.own.member.address;
-        let lost = self.roll.members.values().filter(|k| k.latest.status == MemberStatus::Removed);
+        let lost = self.roll.members.values().filter(|k| k.update.status == MemberStatus::Removed);
         let mut ask: Vec<std::net::SocketAddr> =
-            self.seeds.iter().copied().chain(lost.map(|k| k.latest.member.address)).collect();
+            self.seeds.iter().copied().chain(lost.map(|k| k.update.member.address)).collect();
         ask.retain(|address| *address != own_address);
         if !alone {
             ask = ask.choose(&mut self.rng).copied().into_iter().collect();
@@ -189,14 +189,14 @@
 
     fn begin_probe(&mut self, now: MonotonicMs, out: &mut Vec<Outgoing>) {
         if self.turn.is_empty() {
-            self.turn = self.roll.present().map(|known| known.latest.member.id).collect();
+            self.turn = self.roll.present().map(|known| known.update.member.id).collect();
             self.turn.shuffle(&mut self.rng);
         }
         let target = loop {
             let Some(id) = self.turn.pop() else { return };
             match self.roll.members.get(&id) {
-                Some(known) if known.latest.status != MemberStatus::Removed => {
-                    break known.latest.clone();
+                Some(known) if known.update.status != MemberStatus::Removed => {
+                    break known.update.clone();
                 }
                 _ => {}
             }
@@ -232,7 +232,7 @@
             let others: Vec<std::net::SocketAddr> = self
                 .roll
                 .present()
-                .map(|known| &known.latest)
+                .map(|known| &known.update)
                 .filter(|update| update.member.id != target && update.status == MemberStatus::Alive)
                 .map(|update| update.member.address)
                 .collect();
@@ -251,9 +251,9 @@
             .members
             .values()
             .filter(|k| {
-                k.latest.status == MemberStatus::Suspect && now.since(k.since) >= REMOVE_AFTER
+                k.update.status == MemberStatus::Suspect && now.since(k.since) >= REMOVE_AFTER
             })
-            .map(|known| known.latest.member.id)
+            .map(|known| known.update.member.id)
             .collect();
         for id in due {
             if let Some(update) = self.roll.restand(id, MemberStatus::Removed, now) {
@@ -261,7 +261,7 @@
             }
         }
         self.roll.members.retain(|_, known| {
-            known.latest.status != MemberStatus::Removed || now.since(known.since) < REMEMBER
+            known.update.status != MemberStatus::Removed || now.since(known.since) < REMEMBER
         });
     }
 
@@ -303,7 +303,7 @@
             MembershipMessage::Join { update } => {
                 self.take_news(vec![update], now);
                 let mut updates: Vec<MemberUpdate> =
-                    self.roll.members.values().map(|known| known.latest.clone()).collect();
+                    self.roll.members.values().map(|known| known.update.clone()).collect();
                 updates.push(self.own.clone());
                 out.push((from, MembershipMessage::MemberList { updates }));
             }
--- a/libraries/topazyard-membership/src/roll.rs
+++ b/libraries/topazyard-membership/src/roll.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 pub struct KnownMember {
     /// The newest news of it.
-    pub latest: MemberUpdate,
+    pub update: MemberUpdate,
     /// Since when it stands so.
     pub since: MonotonicMs,
 }
@@ -27,13 +27,13 @@
     /// Takes news; gives whether it was new.
     pub(crate) fn take(&mut self, update: &MemberUpdate, now: MonotonicMs) -> bool {
         if let Some(known) = self.members.get_mut(&update.member.id) {
-            if !is_newer(update, &known.latest) {
+            if !is_newer(update, &known.update) {
                 return false;
             }
-            *known = KnownMember { latest: update.clone(), since: now };
+            *known = KnownMember { update: update.clone(), since: now };
         } else {
             self.members
-                .insert(update.member.id, KnownMember { latest: update.clone(), since: now });
+                .insert(update.member.id, KnownMember { update: update.clone(), since: now });
         }
         true
     }
@@ -42,7 +42,7 @@
     pub(crate) fn overtaken_by(&self, update: &MemberUpdate) -> Vec<NodeId> {
         self.members
             .values()
-            .map(|known| &known.latest)
+            .map(|known| &known.update)
             .filter(|other| {
                 other.member.address == update.member.address
                     && other.member.id != update.member.id
@@ -60,16 +60,16 @@
         now: MonotonicMs,
     ) -> Option<MemberUpdate> {
         let known = self.members.get_mut(&id)?;
-        if known.latest.status >= status {
+        if known.update.status >= status {
             return None;
         }
-        known.latest.status = status;
+        known.update.status = status;
         known.since = now;
-        Some(known.latest.clone())
+        Some(known.update.clone())
     }
 
     /// Members that are not removed.
     pub(crate) fn present(&self) -> impl Iterator<Item = &KnownMember> {
-        self.members.values().filter(|known| known.latest.status != MemberStatus::Removed)
+        self.members.values().filter(|known| known.update.status != MemberStatus::Removed)
     }
 }
--- a/libraries/topazyard-wire/src/disk/open.rs
+++ b/libraries/topazyard-wire/src/disk/open.rs
@@ -29,7 +29,7 @@
     /// The file.
     pub database: redb::Database,
     /// Everything it held.
-    pub loaded: crate::rows::Loaded,
+    pub loaded: crate::rows::LoadedRows,
 }
 
 /// The file of a data folder, open and read.
@@ -123,7 +123,7 @@
         FORMAT => {}
         other => return Err(DiskError::UnknownFormat(file, other)),
     }
-    let mut loaded = crate::rows::Loaded::new();
+    let mut loaded = crate::rows::LoadedRows::new();
     for table in table_names(&database).map_err(of_database)? {
         let Some(group) = crate::Group::of_table(&table) else {
             return Err(DiskError::UnknownTable(file, table));
--- a/libraries/topazyard-wire/src/driver/disked.rs
+++ b/libraries/topazyard-wire/src/driver/disked.rs
@@ -14,7 +14,7 @@
     /// Drawn for this life.
     pub chance: u64,
     /// What its disk held.
-    pub loaded: crate::rows::Loaded,
+    pub loaded: crate::rows::LoadedRows,
     /// The bounds of the place that the fleet runs at.
     pub bounds: topazyard_spec::Bounds,
     /// What the process may use.
@@ -152,7 +152,7 @@
     /// use topazyard_wire::driver::disked::Remembered;
     /// assert!(Remembered::read(&Default::default()).with_seeds(&[]).is_empty());
     /// ```
-    pub fn read(loaded: &crate::rows::Loaded) -> Self {
+    pub fn read(loaded: &crate::rows::LoadedRows) -> Self {
         let rows = loaded.get(&crate::Group::Node);
         let value = rows.and_then(|rows| rows.get("remembered"));
         Self(value.and_then(|value| crate::rows::decode(value)).unwrap_or_default())
--- a/libraries/topazyard-wire/src/message/mod.rs
+++ b/libraries/topazyard-wire/src/message/mod.rs
@@ -46,7 +46,7 @@
     /// A shard primary's wish for another record.
     ShardChangeRequest(control::ShardChangeRequest),
     /// An operator's call passed on.
-    Operate(operate::OperateMessage),
+    Operate(operate::OperatorMessage),
     /// Holds on the budget.
     Counter(counter::CounterMessage),
     /// Batches.
--- a/libraries/topazyard-wire/src/message/operate.rs
+++ b/libraries/topazyard-wire/src/message/operate.rs
@@ -4,20 +4,20 @@
 
 /// An operator's call passed on between control nodes.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub enum OperateMessage {
+pub enum OperatorMessage {
     /// Asked of the primary.
     Request {
         /// Marks the return.
         id: u64,
         /// What is asked.
-        request: Operate,
+        request: OperatorRequest,
     },
     /// Returned by it.
     Response {
         /// Of which asking.
         id: u64,
         /// What came of it.
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
     },
     /// Asked by the primary before it works on a command that must not be worked on late: does its
     /// caller still wait?
@@ -36,7 +36,7 @@
 
 /// Anything that may be asked.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub enum Operate {
+pub enum OperatorRequest {
     /// Changes state.
     Command(Command),
     /// Reads state.
@@ -199,7 +199,7 @@
 
 /// What came of a call.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub enum OperateOutcome {
+pub enum OperatorOutcome {
     /// Done; the return as JSON.
     Done(String),
     /// Refused, or unknown.
--- a/libraries/topazyard-wire/src/rows.rs
+++ b/libraries/topazyard-wire/src/rows.rs
@@ -98,5 +98,5 @@
 }
 
 /// Everything a disk held when a process started.
-pub type Loaded =
+pub type LoadedRows =
     std::collections::BTreeMap<Group, std::collections::BTreeMap<String, bytes::Bytes>>;
--- a/libraries/topazyard-wire/src/state.rs
+++ b/libraries/topazyard-wire/src/state.rs
@@ -45,11 +45,11 @@
 /// Whether followers of the feed are told of a row.
 ///
 /// ```
-/// use topazyard_wire::state::{IN_FORCE, ORDERS_FORGOTTEN, is_fed};
-/// assert!(is_fed(IN_FORCE));
-/// assert!(!is_fed(ORDERS_FORGOTTEN) && !is_fed("spec/1") && !is_fed("order/1"));
+/// use topazyard_wire::state::{IN_FORCE, ORDERS_FORGOTTEN, is_in_feed};
+/// assert!(is_in_feed(IN_FORCE));
+/// assert!(!is_in_feed(ORDERS_FORGOTTEN) && !is_in_feed("spec/1") && !is_in_feed("order/1"));
 /// ```
-pub fn is_fed(key: &str) -> bool {
+pub fn is_in_feed(key: &str) -> bool {
     !(key.starts_with(CONFIGURATIONS) || key.starts_with(ORDERS) || key == ORDERS_FORGOTTEN)
 }
 
@@ -256,10 +256,10 @@
     /// use topazyard_wire::state::{FleetSnapshot, WeightRow};
     /// let mut view = FleetSnapshot::default();
     /// view.weights.insert("main".into(), WeightRow { live_percent: 70 });
-    /// let part = view.item_part(&"main".into(), topazyard_types::Tokens(1_000));
+    /// let part = view.batch_share(&"main".into(), topazyard_types::Tokens(1_000));
     /// assert_eq!(part, topazyard_types::Tokens(300));
     /// ```
-    pub fn item_part(
+    pub fn batch_share(
         &self,
         pool: &PoolName,
         limit: topazyard_types::Tokens,
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -3,7 +3,7 @@
 use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
@@ -51,11 +51,11 @@
 }
 
 fn outcome_response(
-    outcome: Result<OperateOutcome, topazyard_wire::driver::CallError>,
+    outcome: Result<OperatorOutcome, topazyard_wire::driver::CallError>,
 ) -> hyper::Response<Body> {
     match outcome {
-        Ok(OperateOutcome::Done(text)) => topazyard_wire::http::json_text(200, text),
-        Ok(OperateOutcome::Refused(error)) => topazyard_wire::http::error(&error),
+        Ok(OperatorOutcome::Done(text)) => topazyard_wire::http::json_text(200, text),
+        Ok(OperatorOutcome::Refused(error)) => topazyard_wire::http::error(&error),
         Err(_) => topazyard_wire::http::error(&ApiError::may_have_run(Code::OutcomeUnknown)),
     }
 }
@@ -64,18 +64,22 @@
 ///
 /// ```
 /// use topazyard_control::http::parse_request;
-/// use topazyard_wire::message::operate::{Operate, Query};
+/// use topazyard_wire::message::operate::{OperatorRequest, Query};
 /// let operation = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(operation, Ok(Operate::Query(Query::ReadConfiguration(None))));
+/// assert_eq!(operation, Ok(OperatorRequest::Query(Query::ReadConfiguration(None))));
 /// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
 /// # Errors
 /// A path that does not exist, or a malformed part of the request.
-pub fn parse_request(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
+pub fn parse_request(
+    method: &hyper::Method,
+    path: &str,
+    body: &[u8],
+) -> Result<OperatorRequest, ApiError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let query = |query| Ok(Operate::Query(query));
-    let command = |command| Ok(Operate::Command(command));
+    let query = |query| Ok(OperatorRequest::Query(query));
+    let command = |command| Ok(OperatorRequest::Command(command));
     match (method.as_str(), parts.as_slice()) {
         ("POST", ["specs"]) => {
             let submit: SubmitBody<'_> = read_json(body)?;
--- a/programs/topazyard-control/src/machine/configurations.rs
+++ b/programs/topazyard-control/src/machine/configurations.rs
@@ -2,7 +2,7 @@
 
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::invariants::{self, Invariant};
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 /// Counts the outcomes since the process started, and keeps the newest acknowledged version.
 #[derive(Clone, Default)]
@@ -24,13 +24,13 @@
 
 impl Configurations {
     /// Counts the outcome of an order that is answered while the version `in_force` is in force.
-    pub fn record_outcome(&mut self, outcome: &OperateOutcome, in_force: ConfigurationVersion) {
+    pub fn record_outcome(&mut self, outcome: &OperatorOutcome, in_force: ConfigurationVersion) {
         match outcome {
-            OperateOutcome::Done(_) => {
+            OperatorOutcome::Done(_) => {
                 self.acknowledged += 1;
                 self.check(in_force);
             }
-            OperateOutcome::Refused(_) => self.refused += 1,
+            OperatorOutcome::Refused(_) => self.refused += 1,
         }
     }
 
--- a/programs/topazyard-control/src/machine/engine_list.rs
+++ b/programs/topazyard-control/src/machine/engine_list.rs
@@ -4,7 +4,7 @@
 use super::{ControlMachine, ControlTask, Effects};
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::Effect;
-use topazyard_wire::message::operate::{Command, Operate};
+use topazyard_wire::message::operate::{Command, OperatorRequest};
 
 /// Time without a report after which a read counts as lost.
 const READ_TIMEOUT: DurationMs = DurationMs(3_000);
@@ -48,7 +48,7 @@
         self.engine_list.in_progress = false;
         let Some(engines) = list.filter(|_| self.replica.is_serving()) else { return };
         if self.changes_engines(&engines) {
-            let command = Operate::Command(Command::ListEngines(engines));
+            let command = OperatorRequest::Command(Command::ListEngines(engines));
             self.handle_operate(super::operations::Origin::EngineList, command, now, effects);
         }
     }
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -125,8 +125,8 @@
     /// own where possible. Returns none if too few nodes are reachable.
     fn choose_learners(&self, change: &EpochChange, now: MonotonicMs) -> Option<Vec<CoreNode>> {
         let zone = |id: NodeId| {
-            let known = self.membership.remembered().find(|known| known.latest.member.id == id);
-            known.map(|known| known.latest.member.zone.clone())
+            let known = self.membership.remembered().find(|known| known.update.member.id == id);
+            known.map(|known| known.update.member.zone.clone())
         };
         let mut zones = vec![self.membership.own_zone().clone()];
         let mut others: Vec<CoreNode> = self.reachable_others(now).collect();
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -10,7 +10,7 @@
 use topazyard_types::{DurationMs, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, PartRequest, UpdateContent};
-use topazyard_wire::state::is_fed;
+use topazyard_wire::state::is_in_feed;
 use topazyard_wire::{Effect, RowChange};
 
 /// Time without a response after which a follower that still sends requests counts as one that
@@ -120,7 +120,7 @@
     /// The changes after a position, if all of them are remembered and fit in one response.
     fn bounded_changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
-        changes.retain(|change| is_fed(&change.key));
+        changes.retain(|change| is_in_feed(&change.key));
         (size_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
@@ -138,7 +138,7 @@
     }
 
     fn feed_rows(&self) -> Vec<Row> {
-        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_fed(key));
+        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_in_feed(key));
         rows.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 }
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -6,7 +6,7 @@
 use topazyard_wire::Effect;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::control::CoreMessage;
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 /// How often the node repeats that it is leaving.
 const SEND_INTERVAL: DurationMs = DurationMs(100);
@@ -37,7 +37,7 @@
         }
         if waited >= self.timeouts.leaving || !self.is_in_record() || !self.can_be_replaced(now) {
             self.leaving = None;
-            let value = OperateOutcome::Done(String::new());
+            let value = OperatorOutcome::Done(String::new());
             effects.push(Effect::Return { call, value });
         } else if is_due {
             self.send_leaving(now, effects);
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -25,7 +25,7 @@
 use topazyard_wire::invariants::Invariant;
 use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardChangeRequest};
 use topazyard_wire::message::membership::MemberRole;
-use topazyard_wire::message::operate::{Operate, OperateOutcome};
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum ControlCall {
     /// An operator's command or query.
-    Operate(Operate),
+    Operate(OperatorRequest),
     /// The load reported by engines.
     Loads(Vec<crate::tuner::EngineLoad>),
     /// The platform's complete list of engines, or none if it could not be read.
@@ -79,7 +79,7 @@
 }
 
 /// The effects of one step of a control node.
-pub(crate) type Effects = Vec<Effect<OperateOutcome, ControlTask>>;
+pub(crate) type Effects = Vec<Effect<OperatorOutcome, ControlTask>>;
 
 /// The state machine of one control node.
 #[derive(Debug, Clone)]
@@ -143,7 +143,7 @@
     /// A command, with the outcome to return once it is committed.
     Command {
         origin: operations::Origin,
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
         /// Whether it activates a configuration.
         is_configuration: bool,
     },
@@ -341,11 +341,11 @@
         match waiting {
             Waiting::Command { origin, .. } => {
                 let unknown = ApiError::may_have_run(Code::OutcomeUnknown);
-                self.respond(*origin, OperateOutcome::Refused(unknown), now, effects);
+                self.respond(*origin, OperatorOutcome::Refused(unknown), now, effects);
             }
             Waiting::Query(origin, _) => {
                 let refused = ApiError::not_run(Code::NoPrimary);
-                self.respond(*origin, OperateOutcome::Refused(refused), now, effects);
+                self.respond(*origin, OperatorOutcome::Refused(refused), now, effects);
             }
             // A follower retries by itself.
             Waiting::Follower { .. } | Waiting::Planner => {}
@@ -401,7 +401,7 @@
     }
 
     /// Health of this node, whether or not it is the primary.
-    fn health(&self, now: MonotonicMs) -> OperateOutcome {
+    fn health(&self, now: MonotonicMs) -> OperatorOutcome {
         let record = self.witness.record();
         let health = ControlHealth {
             node: self.me.id,
@@ -414,7 +414,7 @@
             configurations_refused: self.configurations.refused,
             orders_waiting: self.operations.waiting(),
         };
-        OperateOutcome::Done(serde_json::json!(health).to_string())
+        OperatorOutcome::Done(serde_json::json!(health).to_string())
     }
 
     /// Persists the addresses of other control nodes, so that stale seeds don't isolate this node.
@@ -474,7 +474,7 @@
 
 impl Machine for ControlMachine {
     type Call = ControlCall;
-    type Return = OperateOutcome;
+    type Return = OperatorOutcome;
     type Task = ControlTask;
 
     fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Effects {
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -11,7 +11,9 @@
 use topazyard_wire::Effect;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::operate::{Command, Operate, OperateMessage, OperateOutcome};
+use topazyard_wire::message::operate::{
+    Command, OperatorMessage, OperatorOutcome, OperatorRequest,
+};
 
 /// How many commands may be queued.
 const MAX_QUEUED_COMMANDS: usize = 256;
@@ -83,7 +85,7 @@
 fn refusal_note(
     command: &Command,
     error: &ApiError,
-) -> Option<Effect<OperateOutcome, super::ControlTask>> {
+) -> Option<Effect<OperatorOutcome, super::ControlTask>> {
     let order = match command {
         Command::ApplyConfiguration { base, version, .. } => {
             format!("configuration {version} on {base}")
@@ -134,19 +136,21 @@
     pub(super) fn handle_operate(
         &mut self,
         origin: Origin,
-        request: Operate,
+        request: OperatorRequest,
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
         if self.replica.is_serving() {
             match request {
-                Operate::Query(query) => {
+                OperatorRequest::Query(query) => {
                     self.submit(Vec::new(), Waiting::Query(origin, query));
                 }
-                Operate::Command(command) if self.operations.queued() < MAX_QUEUED_COMMANDS => {
+                OperatorRequest::Command(command)
+                    if self.operations.queued() < MAX_QUEUED_COMMANDS =>
+                {
                     self.enqueue_command(origin, command, now, effects);
                 }
-                Operate::Command(_) => self.refuse(origin, Code::NoPrimary, now, effects),
+                OperatorRequest::Command(_) => self.refuse(origin, Code::NoPrimary, now, effects),
             }
             return;
         }
@@ -155,18 +159,17 @@
             (Origin::Local(_) | Origin::Tuner, Some(primary)) if primary.id != self.me.id => {
                 self.operations.last_id += 1;
                 let id = self.operations.last_id;
-                let must_be_fresh =
-                    matches!(&request, Operate::Command(command) if command.must_be_fresh());
+                let must_be_fresh = matches!(&request, OperatorRequest::Command(command) if command.must_be_fresh());
                 let call = Forwarded {
                     origin,
                     to: primary.id,
-                    is_command: matches!(request, Operate::Command(_)),
+                    is_command: matches!(request, OperatorRequest::Command(_)),
                     sent_at: now,
                     must_be_fresh,
                     confirmed: None,
                 };
                 self.operations.forwarded.insert(id, call);
-                let message = Message::Operate(OperateMessage::Request { id, request });
+                let message = Message::Operate(OperatorMessage::Request { id, request });
                 effects.push(Effect::Send { to: primary.address, message });
             }
             _ => self.refuse(origin, Code::NoPrimary, now, effects),
@@ -200,7 +203,7 @@
         self.operations.last_id += 1;
         let offer = self.operations.last_id;
         self.operations.unconfirmed.insert(offer, Unconfirmed { from, queued });
-        let message = Message::Operate(OperateMessage::ConfirmWaiting { id, offer });
+        let message = Message::Operate(OperatorMessage::ConfirmWaiting { id, offer });
         effects.push(Effect::Send { to, message });
     }
 
@@ -208,15 +211,15 @@
         &mut self,
         sender: NodeId,
         from: std::net::SocketAddr,
-        message: OperateMessage,
+        message: OperatorMessage,
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
         match message {
-            OperateMessage::Request { id, request } => {
+            OperatorMessage::Request { id, request } => {
                 self.handle_operate(Origin::Forwarded(sender, from, id), request, now, effects);
             }
-            OperateMessage::Response { id, outcome } => {
+            OperatorMessage::Response { id, outcome } => {
                 let call = self.operations.forwarded.get(&id);
                 if call.is_none_or(|call| call.to != sender) {
                     return;
@@ -225,13 +228,15 @@
                     self.respond(call.origin, outcome, now, effects);
                 }
             }
-            OperateMessage::ConfirmWaiting { id, offer } => {
+            OperatorMessage::ConfirmWaiting { id, offer } => {
                 if self.confirm_waiting(sender, id, offer, now) {
-                    let message = Message::Operate(OperateMessage::StillWaiting { offer });
+                    let message = Message::Operate(OperatorMessage::StillWaiting { offer });
                     effects.push(Effect::Send { to: from, message });
                 }
             }
-            OperateMessage::StillWaiting { offer } => self.receive_confirmation(sender, offer, now),
+            OperatorMessage::StillWaiting { offer } => {
+                self.receive_confirmation(sender, offer, now)
+            }
         }
     }
 
@@ -272,10 +277,10 @@
         }
         // A refusal is committed like a read, so that the state it is based on is confirmed.
         let (changes, outcome) = match self.evaluate(&command, now) {
-            Ok((changes, done)) => (changes, OperateOutcome::Done(done.to_string())),
+            Ok((changes, done)) => (changes, OperatorOutcome::Done(done.to_string())),
             Err(error) => {
                 effects.extend(refusal_note(&command, &error));
-                (Vec::new(), OperateOutcome::Refused(error))
+                (Vec::new(), OperatorOutcome::Refused(error))
             }
         };
         let is_configuration = command.is_configuration();
@@ -285,7 +290,7 @@
     pub(super) fn respond(
         &mut self,
         origin: Origin,
-        outcome: OperateOutcome,
+        outcome: OperatorOutcome,
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
@@ -296,13 +301,13 @@
             Origin::Local(call) => Effect::Return { call, value: outcome },
             Origin::Forwarded(_, to, id) => Effect::Send {
                 to,
-                message: Message::Operate(OperateMessage::Response { id, outcome }),
+                message: Message::Operate(OperatorMessage::Response { id, outcome }),
             },
         });
     }
 
     fn refuse(&mut self, origin: Origin, code: Code, now: MonotonicMs, effects: &mut Effects) {
-        self.respond(origin, OperateOutcome::Refused(ApiError::not_run(code)), now, effects);
+        self.respond(origin, OperatorOutcome::Refused(ApiError::not_run(code)), now, effects);
     }
 
     /// Refuses commands that were never executed.
@@ -333,7 +338,7 @@
             .collect();
         for id in expired {
             if let Some(call) = self.operations.forwarded.remove(&id) {
-                let outcome = OperateOutcome::Refused(call.no_response_error());
+                let outcome = OperatorOutcome::Refused(call.no_response_error());
                 self.respond(call.origin, outcome, now, effects);
             }
         }
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -4,14 +4,14 @@
 use topazyard_types::{ConfigurationVersion, MonotonicMs};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{OperateOutcome, Query};
+use topazyard_wire::message::operate::{OperatorOutcome, Query};
 use topazyard_wire::state::{
     CONFIGURATIONS, ConfigurationRow, FleetSnapshot, IN_FORCE, InForceRow, StorageStage,
     configuration_key,
 };
 
 impl ControlMachine {
-    pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperateOutcome {
+    pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperatorOutcome {
         let found = match query {
             Query::ReadConfiguration(version) => self.read_configuration(*version),
             Query::ReadSource => return self.read_source(),
@@ -26,32 +26,32 @@
             Query::Load => self.load(),
         };
         match found {
-            Some(value) => OperateOutcome::Done(value.to_string()),
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
+            Some(value) => OperatorOutcome::Done(value.to_string()),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
         }
     }
 
     /// The state of a retirement: `active` or `completed`.
-    fn retirement(&self, name: &str, now: MonotonicMs) -> OperateOutcome {
+    fn retirement(&self, name: &str, now: MonotonicMs) -> OperatorOutcome {
         let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
         match row.map(|row| row.stage) {
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
-            Some(StorageStage::Retired) => OperateOutcome::Done(r#"{"state":"completed"}"#.into()),
-            Some(_) => OperateOutcome::Done(r#"{"state":"active"}"#.into()),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
+            Some(StorageStage::Retired) => OperatorOutcome::Done(r#"{"state":"completed"}"#.into()),
+            Some(_) => OperatorOutcome::Done(r#"{"state":"active"}"#.into()),
         }
     }
 
     /// The source of the configuration in force, as submitted.
-    fn read_source(&self) -> OperateOutcome {
+    fn read_source(&self) -> OperatorOutcome {
         let copy = self.replica.copy();
         let in_force = copy.get::<InForceRow>(IN_FORCE);
         let row =
             in_force.and_then(|row| copy.get::<ConfigurationRow>(&configuration_key(row.version)));
         let source = row.and_then(|row| String::from_utf8(row.source?.to_vec()).ok());
         match source {
-            Some(source) => OperateOutcome::Done(source),
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
+            Some(source) => OperatorOutcome::Done(source),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
         }
     }
 
@@ -145,14 +145,14 @@
             .remembered()
             .map(|known| {
                 serde_json::json!({
-                    "node": known.latest.member.id,
-                    "name": known.latest.member.name,
-                    "address": known.latest.member.address,
-                    "http": known.latest.member.http,
-                    "duty": known.latest.member.role,
-                    "zone": known.latest.member.zone,
-                    "standing": known.latest.status,
-                    "incarnation": known.latest.incarnation,
+                    "node": known.update.member.id,
+                    "name": known.update.member.name,
+                    "address": known.update.member.address,
+                    "http": known.update.member.http,
+                    "duty": known.update.member.role,
+                    "zone": known.update.member.zone,
+                    "standing": known.update.status,
+                    "incarnation": known.update.incarnation,
                 })
             })
             .collect();
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -7,7 +7,7 @@
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 use topazyard_wire::state::FleetSnapshot;
 
 /// How often the weights are tuned.
@@ -52,7 +52,7 @@
             return;
         }
         self.tuning.last_run = now;
-        let request = Operate::Query(Query::Load);
+        let request = OperatorRequest::Query(Query::Load);
         self.handle_operate(super::operations::Origin::Tuner, request, now, effects);
     }
 
@@ -97,11 +97,11 @@
     /// change.
     pub(super) fn apply_tuning(
         &mut self,
-        outcome: &OperateOutcome,
+        outcome: &OperatorOutcome,
         now: MonotonicMs,
         effects: &mut Effects,
     ) {
-        let OperateOutcome::Done(text) = outcome else { return };
+        let OperatorOutcome::Done(text) = outcome else { return };
         // The response to a weight that was set has another shape and needs no action.
         let Ok(load) = serde_json::from_str::<Load>(text) else { return };
         if !self.is_tuner(now) {
@@ -126,7 +126,7 @@
                     live_percent: share,
                 };
                 let origin = super::operations::Origin::Tuner;
-                self.handle_operate(origin, Operate::Command(command), now, effects);
+                self.handle_operate(origin, OperatorRequest::Command(command), now, effects);
             }
         }
         effects.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
--- a/programs/topazyard-control/src/metrics.rs
+++ b/programs/topazyard-control/src/metrics.rs
@@ -3,7 +3,7 @@
 use crate::external::Handle;
 use crate::machine::{ControlCall, ControlHealth};
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 use topazyard_wire::metrics::{Figures, Writer};
 
 /// The metrics of a control node, from one health report.
@@ -24,7 +24,7 @@
 /// The health of the node, or none if its machine has ended.
 pub(crate) async fn health(handle: &Handle) -> Option<ControlHealth> {
     match handle.call(ControlCall::Health).await {
-        Ok(OperateOutcome::Done(text)) => serde_json::from_str(&text).ok(),
+        Ok(OperatorOutcome::Done(text)) => serde_json::from_str(&text).ok(),
         _ => None,
     }
 }
--- a/programs/topazyard-control/tests/bootstrap.rs
+++ b/programs/topazyard-control/tests/bootstrap.rs
@@ -3,12 +3,12 @@
 mod fleet;
 
 use fleet::Fleet;
-use topazyard_wire::message::operate::{OperateOutcome, Query};
+use topazyard_wire::message::operate::{OperatorOutcome, Query};
 
 /// The control nodes and epoch known to a node.
 fn known_control(fleet: &mut Fleet, number: usize) -> Option<serde_json::Value> {
     match fleet.query(number, Query::FleetState) {
-        Some(OperateOutcome::Done(text)) => {
+        Some(OperatorOutcome::Done(text)) => {
             let state: serde_json::Value = serde_json::from_str(&text).expect("JSON");
             Some(state["control"].clone())
         }
--- a/programs/topazyard-control/tests/disks.rs
+++ b/programs/topazyard-control/tests/disks.rs
@@ -8,7 +8,7 @@
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::Input;
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::message::operate::{Command, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, Query};
 
 impl Fleet {
     /// Fills a node's disk. The node learns of it with its next write, or at once if `tell` is set.
@@ -65,7 +65,7 @@
 /// The primary and the backups as reported by the primary, if there is one.
 fn known_members(fleet: &mut Fleet) -> Option<Vec<usize>> {
     let primary = fleet.primary()?;
-    let Some(OperateOutcome::Done(text)) = fleet.query(primary, Query::FleetState) else {
+    let Some(OperatorOutcome::Done(text)) = fleet.query(primary, Query::FleetState) else {
         return None;
     };
     let state: serde_json::Value = serde_json::from_str(&text).expect("json");
@@ -84,7 +84,7 @@
     fleet.nodes[number].outcome = None;
     fleet.call(number, ControlCall::Health);
     match fleet.nodes[number].outcome.take() {
-        Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
+        Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
         other => panic!("no health: {other:?}"),
     }
 }
@@ -101,10 +101,10 @@
     assert!(!members(&mut fleet).contains(&old), "a node that can't write holds no copy");
     assert_eq!(health(&mut fleet, old)["disk"], "full");
     let taken = fleet.command(new, configuration(0, 1));
-    assert!(matches!(taken, Some(OperateOutcome::Done(_))), "{taken:?}");
+    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
     // Operations that write nothing still work there: it forwards a query to the primary.
     let read = fleet.query(old, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     let last = fleet.primary().expect("a primary, with two of three nodes");
     assert!(members(&mut fleet).contains(&old));
     let read = fleet.query(last, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -139,7 +139,7 @@
     assert!(!members(&mut fleet).contains(&backup));
     let primary = fleet.primary().expect("a primary");
     let read = fleet.query(primary, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done("version 1".to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let state = |fleet: &mut Fleet| -> serde_json::Value {
         let primary = fleet.primary().expect("a primary");
         match fleet.query(primary, Query::ListStorage) {
-            Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
+            Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("json"),
             other => panic!("no list: {other:?}"),
         }
     };
--- a/programs/topazyard-control/tests/feed.rs
+++ b/programs/topazyard-control/tests/feed.rs
@@ -10,7 +10,7 @@
 use topazyard_types::{BootId, ConfigurationVersion, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health, UpdateContent};
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 use topazyard_wire::state::FleetSnapshot;
 
 /// Maximum size of a response. What exceeds a part is keys, lengths and the frame.
@@ -60,9 +60,9 @@
         let command = order(self.version, routes, host, self.version);
         let primary = self.fleet.primary().expect("a primary");
         self.fleet.nodes[primary].outcome = None;
-        self.fleet.call(primary, ControlCall::Operate(Operate::Command(command)));
+        self.fleet.call(primary, ControlCall::Operate(OperatorRequest::Command(command)));
         let outcome = self.fleet.nodes[primary].outcome.take();
-        assert!(matches!(outcome, Some(OperateOutcome::Done(_))), "not accepted");
+        assert!(matches!(outcome, Some(OperatorOutcome::Done(_))), "not accepted");
     }
 
     /// Sends one request of a follower and returns the response.
@@ -255,5 +255,5 @@
     feed.change(2, 5);
     feed.follow(&mut follower);
     let rows = follower.copy().rows();
-    assert!(rows.keys().all(|key| topazyard_wire::state::is_fed(key)));
+    assert!(rows.keys().all(|key| topazyard_wire::state::is_in_feed(key)));
 }
--- a/programs/topazyard-control/tests/fleet/mod.rs
+++ b/programs/topazyard-control/tests/fleet/mod.rs
@@ -9,15 +9,15 @@
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health};
 use topazyard_wire::message::membership::{Member, MemberRole};
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 use topazyard_wire::{Effect, Input, Machine as _, RowChange, WriteToken};
 
 pub const TICK: DurationMs = DurationMs(25);
 
 pub struct Node {
     pub machine: Option<ControlMachine>,
-    pub rows: topazyard_wire::rows::Loaded,
-    pub outcome: Option<OperateOutcome>,
+    pub rows: topazyard_wire::rows::LoadedRows,
+    pub outcome: Option<OperatorOutcome>,
     pub list_reads: usize,
     /// Writes waiting for disk space, if the disk is full.
     pub full: Option<Vec<(WriteToken, Vec<RowChange>)>>,
@@ -157,13 +157,13 @@
         &mut self,
         number: usize,
         input: Input<ControlCall>,
-    ) -> Vec<Effect<OperateOutcome, ControlTask>> {
+    ) -> Vec<Effect<OperatorOutcome, ControlTask>> {
         let now = self.now;
         let machine = self.nodes[number].machine.as_mut();
         machine.map(|machine| machine.step(input, now)).unwrap_or_default()
     }
 
-    pub fn run_effects(&mut self, number: usize, first: Vec<Effect<OperateOutcome, ControlTask>>) {
+    pub fn run_effects(&mut self, number: usize, first: Vec<Effect<OperatorOutcome, ControlTask>>) {
         let mut queue: std::collections::VecDeque<(usize, Effect<_, _>)> =
             first.into_iter().map(|effect| (number, effect)).collect();
         while let Some((number, effect)) = queue.pop_front() {
@@ -322,18 +322,18 @@
     }
 
     /// Sends an operation to a node and returns its outcome.
-    pub fn operate(&mut self, number: usize, operate: Operate) -> Option<OperateOutcome> {
+    pub fn operate(&mut self, number: usize, operate: OperatorRequest) -> Option<OperatorOutcome> {
         self.nodes[number].outcome = None;
         self.call(number, ControlCall::Operate(operate));
         self.run(100);
         self.nodes[number].outcome.take()
     }
 
-    pub fn command(&mut self, number: usize, command: Command) -> Option<OperateOutcome> {
-        self.operate(number, Operate::Command(command))
+    pub fn command(&mut self, number: usize, command: Command) -> Option<OperatorOutcome> {
+        self.operate(number, OperatorRequest::Command(command))
     }
 
-    pub fn query(&mut self, number: usize, query: Query) -> Option<OperateOutcome> {
-        self.operate(number, Operate::Query(query))
+    pub fn query(&mut self, number: usize, query: Query) -> Option<OperatorOutcome> {
+        self.operate(number, OperatorRequest::Query(query))
     }
 }
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -4,12 +4,12 @@
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::invariants::{Invariant, violations};
-use topazyard_wire::message::operate::OperateOutcome;
+use topazyard_wire::message::operate::OperatorOutcome;
 
 #[test]
 fn older_configuration_in_force_is_a_violation() {
-    let done = OperateOutcome::Done(String::new());
-    let refused = OperateOutcome::Refused(ApiError::not_run(Code::StaleBase));
+    let done = OperatorOutcome::Done(String::new());
+    let refused = OperatorOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
     configurations.record_outcome(&done, ConfigurationVersion(4));
     configurations.record_outcome(&refused, ConfigurationVersion(4));
--- a/programs/topazyard-control/tests/leaving.rs
+++ b/programs/topazyard-control/tests/leaving.rs
@@ -5,7 +5,7 @@
 use fleet::Fleet;
 use topazyard_control::ControlCall;
 use topazyard_types::ConfigurationVersion;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 fn configuration(base: u64, version: u64) -> Command {
     let route = serde_json::json!({ "name": "r", "host": "a.example", "path_prefix": "/r/",
@@ -25,7 +25,7 @@
     let mut fleet = Fleet::new(3, 3);
     fleet.run(2_000);
     let taken = fleet.command(0, configuration(0, 3));
-    assert!(matches!(taken, Some(OperateOutcome::Done(_))), "{taken:?}");
+    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
     fleet.may_bootstrap = false;
     fleet.add();
     fleet.run(1_000);
@@ -51,7 +51,11 @@
             fleet.run(4_000);
             let queried = (0..4).find(|number| *number != leaving && *number != lost).expect("one");
             let read = fleet.query(queried, Query::ReadSource);
-            assert_eq!(read, Some(OperateOutcome::Done("3".into())), "{leaving} left, {lost} lost");
+            assert_eq!(
+                read,
+                Some(OperatorOutcome::Done("3".into())),
+                "{leaving} left, {lost} lost"
+            );
         }
     }
 }
@@ -76,7 +80,7 @@
 const TICK_MS: u64 = fleet::TICK.0;
 
 /// What a node's callers received over a period of time.
-fn outcomes(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperateOutcome> {
+fn outcomes(fleet: &mut Fleet, number: usize, for_ms: u64) -> Vec<OperatorOutcome> {
     let mut all = Vec::new();
     for _ in 0..for_ms / TICK_MS {
         all.extend(fleet.nodes[number].outcome.take());
@@ -90,7 +94,7 @@
 /// operator waits 900 ms at most.
 #[test]
 fn order_read_by_a_leaving_primary_gets_a_response_in_time() {
-    let order = || ControlCall::Operate(Operate::Command(configuration(3, 4)));
+    let order = || ControlCall::Operate(OperatorRequest::Command(configuration(3, 4)));
     for before_ms in [0, 25, 50, 75, 100, 200] {
         for forwards in [false, true] {
             let mut fleet = with_spare_node();
@@ -103,7 +107,7 @@
             fleet.call(queried, order());
             received.extend(outcomes(&mut fleet, queried, 800));
             let of_order =
-                received.iter().filter(|outcome| **outcome != OperateOutcome::Done(String::new()));
+                received.iter().filter(|outcome| **outcome != OperatorOutcome::Done(String::new()));
             assert_eq!(of_order.count(), 1, "{before_ms} ms, forwarded {forwards}: {received:?}");
         }
     }
--- a/programs/topazyard-control/tests/metrics.rs
+++ b/programs/topazyard-control/tests/metrics.rs
@@ -7,7 +7,7 @@
 use topazyard_control::machine::ControlHealth;
 use topazyard_control::metrics::ControlFigures;
 use topazyard_types::ConfigurationVersion;
-use topazyard_wire::message::operate::{Command, OperateOutcome};
+use topazyard_wire::message::operate::{Command, OperatorOutcome};
 
 fn order(base: u64, version: u64) -> Command {
     let text = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [
@@ -21,7 +21,7 @@
 fn text(fleet: &mut Fleet, number: usize) -> String {
     fleet.nodes[number].outcome = None;
     fleet.call(number, ControlCall::Health);
-    let Some(OperateOutcome::Done(text)) = fleet.nodes[number].outcome.take() else {
+    let Some(OperatorOutcome::Done(text)) = fleet.nodes[number].outcome.take() else {
         panic!("no health");
     };
     let health: ControlHealth = serde_json::from_str(&text).expect("its health");
@@ -40,9 +40,9 @@
     fleet.run(6_000);
     let primary = fleet.primary().expect("a primary");
     let backup = (0..3).find(|number| *number != primary).unwrap();
-    assert!(matches!(fleet.command(primary, order(0, 1)), Some(OperateOutcome::Done(_))));
-    assert!(matches!(fleet.command(backup, order(1, 2)), Some(OperateOutcome::Done(_))));
-    assert!(matches!(fleet.command(primary, order(0, 3)), Some(OperateOutcome::Refused(_))));
+    assert!(matches!(fleet.command(primary, order(0, 1)), Some(OperatorOutcome::Done(_))));
+    assert!(matches!(fleet.command(backup, order(1, 2)), Some(OperatorOutcome::Done(_))));
+    assert!(matches!(fleet.command(primary, order(0, 3)), Some(OperatorOutcome::Refused(_))));
     let of_primary = text(&mut fleet, primary);
     has(&of_primary, "topazyard_control_primary 1");
     has(&of_primary, "topazyard_control_configurations_acknowledged_total 2");
--- a/programs/topazyard-control/tests/operations.rs
+++ b/programs/topazyard-control/tests/operations.rs
@@ -6,7 +6,7 @@
 use topazyard_control::ControlCall;
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Code;
-use topazyard_wire::message::operate::{Command, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, Query};
 
 fn configuration(base: u64, version: u64, routes: usize, mark: &str) -> Command {
     let routes: Vec<_> = (0..routes)
@@ -27,14 +27,14 @@
 }
 
 #[track_caller]
-fn assert_accepted(outcome: Option<OperateOutcome>) {
-    assert!(matches!(outcome, Some(OperateOutcome::Done(_))), "{outcome:?}");
+fn assert_accepted(outcome: Option<OperatorOutcome>) {
+    assert!(matches!(outcome, Some(OperatorOutcome::Done(_))), "{outcome:?}");
 }
 
 #[track_caller]
-fn assert_refused(outcome: Option<OperateOutcome>, code: Code) {
+fn assert_refused(outcome: Option<OperatorOutcome>, code: Code) {
     match outcome {
-        Some(OperateOutcome::Refused(error)) => assert_eq!(error.code, code),
+        Some(OperatorOutcome::Refused(error)) => assert_eq!(error.code, code),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -42,7 +42,7 @@
 #[track_caller]
 fn assert_source(fleet: &mut Fleet, number: usize, expected: &str) {
     let read = fleet.query(number, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done(expected.to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done(expected.to_owned())));
 }
 
 fn running() -> Fleet {
@@ -173,7 +173,7 @@
 }
 
 fn engines(fleet: &mut Fleet) -> Vec<(String, String)> {
-    let Some(OperateOutcome::Done(text)) = fleet.query(0, Query::ListEngines) else {
+    let Some(OperatorOutcome::Done(text)) = fleet.query(0, Query::ListEngines) else {
         panic!("no list")
     };
     let list: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -211,7 +211,7 @@
     let mut fleet = running();
     let primary = fleet.primary().expect("a primary");
     let position = |fleet: &mut Fleet| {
-        let Some(OperateOutcome::Done(text)) = fleet.query(0, Query::FleetState) else {
+        let Some(OperatorOutcome::Done(text)) = fleet.query(0, Query::FleetState) else {
             panic!("no state")
         };
         serde_json::from_str::<serde_json::Value>(&text).expect("JSON")["place"].clone()
@@ -237,7 +237,7 @@
 
 fn retirement(fleet: &mut Fleet, name: &str) -> String {
     match fleet.query(0, Query::Retirement(name.to_owned())) {
-        Some(OperateOutcome::Done(text)) => text,
+        Some(OperatorOutcome::Done(text)) => text,
         other => panic!("no state: {other:?}"),
     }
 }
@@ -267,7 +267,7 @@
     let retire = Command::RetireNamed("storage-4".to_owned());
     let outcome = (0..10).find_map(|_| {
         let outcome = fleet.command(1, retire.clone());
-        matches!(outcome, Some(OperateOutcome::Done(_))).then_some(outcome)
+        matches!(outcome, Some(OperatorOutcome::Done(_))).then_some(outcome)
     });
     assert_accepted(outcome.flatten());
     fleet.run(1_000);
--- a/programs/topazyard-control/tests/orders.rs
+++ b/programs/topazyard-control/tests/orders.rs
@@ -8,7 +8,7 @@
 use topazyard_wire::Message;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{
-    Command, Operate, OperateMessage, OperateOutcome, Query, SourcePatch,
+    Command, OperatorMessage, OperatorOutcome, OperatorRequest, Query, SourcePatch,
 };
 
 fn configuration_text(routes: usize) -> String {
@@ -44,17 +44,17 @@
 }
 
 #[track_caller]
-fn assert_accepted(outcome: Option<OperateOutcome>) -> serde_json::Value {
+fn assert_accepted(outcome: Option<OperatorOutcome>) -> serde_json::Value {
     match outcome {
-        Some(OperateOutcome::Done(text)) => serde_json::from_str(&text).expect("JSON"),
+        Some(OperatorOutcome::Done(text)) => serde_json::from_str(&text).expect("JSON"),
         other => panic!("not accepted: {other:?}"),
     }
 }
 
 #[track_caller]
-fn assert_refused(outcome: Option<OperateOutcome>, code: Code) {
+fn assert_refused(outcome: Option<OperatorOutcome>, code: Code) {
     match outcome {
-        Some(OperateOutcome::Refused(error)) => assert_eq!(error.code, code),
+        Some(OperatorOutcome::Refused(error)) => assert_eq!(error.code, code),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -62,7 +62,7 @@
 #[track_caller]
 fn assert_source(fleet: &mut Fleet, number: usize, expected: &str) {
     let read = fleet.query(number, Query::ReadSource);
-    assert_eq!(read, Some(OperateOutcome::Done(expected.to_owned())));
+    assert_eq!(read, Some(OperatorOutcome::Done(expected.to_owned())));
 }
 
 fn running() -> Fleet {
@@ -72,9 +72,9 @@
 }
 
 /// Submits an order and returns its outcome without advancing the time.
-fn command_at_once(fleet: &mut Fleet, number: usize, command: Command) -> Option<OperateOutcome> {
+fn command_at_once(fleet: &mut Fleet, number: usize, command: Command) -> Option<OperatorOutcome> {
     fleet.nodes[number].outcome = None;
-    fleet.call(number, ControlCall::Operate(Operate::Command(command)));
+    fleet.call(number, ControlCall::Operate(OperatorRequest::Command(command)));
     fleet.nodes[number].outcome.take()
 }
 
@@ -197,7 +197,7 @@
 }
 
 fn is_request(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Request { .. }))
+    matches!(message, Message::Operate(OperatorMessage::Request { .. }))
 }
 
 #[test]
@@ -252,7 +252,7 @@
     with_two_storage_nodes(&mut fleet);
     let primary = fleet.primary().expect("a primary");
     fleet.network = |message| match message {
-        Message::Operate(OperateMessage::StillWaiting { .. }) => Delivery::Delayed,
+        Message::Operate(OperatorMessage::StillWaiting { .. }) => Delivery::Delayed,
         _ => Delivery::Once,
     };
     fleet.storage = (1..=4).map(storage).collect();
@@ -270,18 +270,18 @@
     let primary = fleet.primary().expect("a primary");
     let (requester, other) = ((primary + 1) % 3, (primary + 2) % 3);
     fleet.network = |message| match message {
-        Message::Operate(OperateMessage::Response { .. }) => Delivery::Delayed,
+        Message::Operate(OperatorMessage::Response { .. }) => Delivery::Delayed,
         _ => Delivery::Once,
     };
     assert_eq!(command_at_once(&mut fleet, requester, order(0, 3, "a")), None);
     fleet.network = |_| Delivery::Once;
     let response = fleet.delayed.pop().expect("a response");
-    let Message::Operate(OperateMessage::Response { id, .. }) = response.message else { panic!() };
+    let Message::Operate(OperatorMessage::Response { id, .. }) = response.message else { panic!() };
     // Another node, or another process at the same address, responds to a request of the same
     // number.
     for sender in [fleet.id(other), topazyard_types::NodeId(999)] {
-        let outcome = OperateOutcome::Done("wrong".into());
-        let message = Message::Operate(OperateMessage::Response { id, outcome });
+        let outcome = OperatorOutcome::Done("wrong".into());
+        let message = Message::Operate(OperatorMessage::Response { id, outcome });
         fleet.deliver(fleet::Frame { sender, message, ..response.clone() });
         assert_eq!(fleet.nodes[requester].outcome, None);
     }
@@ -315,7 +315,7 @@
     let mut winners = Vec::new();
     for number in 0..3 {
         let mark = marks[(number + offset) % 3];
-        if matches!(fleet.nodes[number].outcome.take(), Some(OperateOutcome::Done(_))) {
+        if matches!(fleet.nodes[number].outcome.take(), Some(OperatorOutcome::Done(_))) {
             winners.push(mark);
         }
     }
@@ -338,7 +338,7 @@
 }
 
 fn is_response(message: &Message) -> bool {
-    matches!(message, Message::Operate(OperateMessage::Response { .. }))
+    matches!(message, Message::Operate(OperatorMessage::Response { .. }))
 }
 
 fn stage_of(fleet: &Fleet, id: topazyard_types::NodeId) -> topazyard_wire::state::StorageStage {
@@ -459,7 +459,7 @@
     assert_accepted(fleet.command(0, complete_order(0, 1)));
     assert_accepted(fleet.command(1, removal(1, 5, "r1")));
     assert_source(&mut fleet, 2, r#"{"items":[{"name":"r0"},{"name":"r2"}],"number":5}"#);
-    let Some(OperateOutcome::Done(read)) = fleet.query(0, Query::ReadConfiguration(None)) else {
+    let Some(OperatorOutcome::Done(read)) = fleet.query(0, Query::ReadConfiguration(None)) else {
         panic!("not read");
     };
     let read: serde_json::Value = serde_json::from_str(&read).expect("JSON");
--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -22,38 +22,38 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTimes {
     /// For how long clients may still be sent here.
-    pub still_sent: DurationMs,
+    pub deregistration_delay: DurationMs,
     /// For how long runs of routed items go on.
-    pub runs: DurationMs,
+    pub item_runs: DurationMs,
     /// Within how long calls on batches are answered.
-    pub calls: DurationMs,
+    pub batch_calls: DurationMs,
     /// For how long the relay serves.
-    pub serves: DurationMs,
+    pub serving: DurationMs,
     /// When the process ends, whatever is under way.
-    pub ends: DurationMs,
+    pub exit: DurationMs,
 }
 
 impl DrainTimes {
     /// The times of a relay that is killed after `grace`, and to which clients may still be sent for
-    /// `still_sent`.
+    /// `deregistration_delay`.
     ///
     /// ```
     /// use topazyard_relay::drain::DrainTimes;
     /// use topazyard_types::DurationMs;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// assert_eq!((times.still_sent.0, times.serves.0, times.ends.0), (2_500, 7_000, 7_500));
+    /// assert_eq!((times.deregistration_delay.0, times.serving.0, times.exit.0), (2_500, 7_000, 7_500));
     /// // With little time it doesn't wait for half of it.
-    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).still_sent.0, 700);
+    /// assert_eq!(DrainTimes::within(DurationMs(1_600), DurationMs(2_500)).deregistration_delay.0, 700);
     /// ```
-    pub fn within(grace: DurationMs, still_sent: DurationMs) -> Self {
+    pub fn within(grace: DurationMs, deregistration_delay: DurationMs) -> Self {
         let sixteenths = |count: u64| DurationMs(grace.0 * count / 16);
-        let serves = sixteenths(SERVES_SIXTEENTHS);
+        let serving = sixteenths(SERVES_SIXTEENTHS);
         Self {
-            still_sent: DurationMs(still_sent.0.min(serves.0 / 2)),
-            runs: sixteenths(RUNS_SIXTEENTHS),
-            calls: sixteenths(CALLS_SIXTEENTHS),
-            serves,
-            ends: sixteenths(ENDS_SIXTEENTHS),
+            deregistration_delay: DurationMs(deregistration_delay.0.min(serving.0 / 2)),
+            item_runs: sixteenths(RUNS_SIXTEENTHS),
+            batch_calls: sixteenths(CALLS_SIXTEENTHS),
+            serving,
+            exit: sixteenths(ENDS_SIXTEENTHS),
         }
     }
 }
@@ -67,39 +67,39 @@
 
 impl Draining {
     /// A drain that begins now.
-    pub fn begin(times: DrainTimes, now: MonotonicMs) -> Self {
+    pub fn start(times: DrainTimes, now: MonotonicMs) -> Self {
         Self { begun: now, times }
     }
 
     /// How long it has lasted.
-    pub fn lasted(&self, now: MonotonicMs) -> DurationMs {
+    pub fn elapsed(&self, now: MonotonicMs) -> DurationMs {
         now.since(self.begun)
     }
 
     /// When runs of routed items that are left are broken off, so that their shards hear in time how
     /// far they came.
-    pub fn breaks_off_runs_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.runs)
+    pub fn abort_runs_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.item_runs)
     }
 
     /// Until when calls on batches are answered.
-    pub fn answers_calls_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.calls)
+    pub fn batch_call_deadline(&self) -> MonotonicMs {
+        self.begun.plus(self.times.batch_calls)
     }
 
     /// Up to when the relay serves.
-    pub fn serves_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.serves)
+    pub fn serving_deadline(&self) -> MonotonicMs {
+        self.begun.plus(self.times.serving)
     }
 
     /// When the process ends, whatever is under way.
-    pub fn ends_at(&self) -> MonotonicMs {
-        self.begun.plus(self.times.ends)
+    pub fn exit_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.exit)
     }
 
     /// Up to when clients are still sent here.
-    pub fn still_sent_until(&self) -> MonotonicMs {
-        self.begun.plus(self.times.still_sent)
+    pub fn deregistered_at(&self) -> MonotonicMs {
+        self.begun.plus(self.times.deregistration_delay)
     }
 
     /// For how long nothing needs to be looked at: until the next moment at which the stage may change
@@ -109,20 +109,20 @@
     /// use topazyard_relay::drain::{DrainTimes, Draining};
     /// use topazyard_types::{DurationMs, MonotonicMs};
     /// let times = DrainTimes::within(DurationMs(800), DurationMs(0));
-    /// let draining = Draining::begin(times, MonotonicMs(100));
-    /// let next = |now| draining.until_next_look(DurationMs(100), MonotonicMs(now)).0;
+    /// let draining = Draining::start(times, MonotonicMs(100));
+    /// let next = |now| draining.next_check_delay(DurationMs(100), MonotonicMs(now)).0;
     /// assert_eq!((next(100), next(760), next(800), next(850)), (100, 40, 50, 0));
     /// ```
-    pub fn until_next_look(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
-        let moments = [self.still_sent_until(), self.serves_until(), self.ends_at()];
+    pub fn next_check_delay(&self, longest: DurationMs, now: MonotonicMs) -> DurationMs {
+        let moments = [self.deregistered_at(), self.serving_deadline(), self.exit_at()];
         let next = moments.into_iter().filter(|moment| *moment > now).min();
         next.map_or(DurationMs(0), |moment| moment.since(now).min(longest))
     }
 
     /// Whether a request with this deadline may be taken: while clients are still sent here each is,
     /// later only one that is surely over before the relay is.
-    pub fn may_take(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
-        now < self.still_sent_until() || deadline <= self.serves_until()
+    pub fn may_admit(&self, deadline: MonotonicMs, now: MonotonicMs) -> bool {
+        now < self.deregistered_at() || deadline <= self.serving_deadline()
     }
 
     /// The stage to be in, where so much is under way.
@@ -132,16 +132,16 @@
     /// use topazyard_types::{DurationMs, MonotonicMs};
     /// use topazyard_wire::http::inward::Stage;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
-    /// let draining = Draining::begin(times, MonotonicMs(100));
+    /// let draining = Draining::start(times, MonotonicMs(100));
     /// assert_eq!(draining.stage(true, MonotonicMs(2_599)), Stage::Closing);
     /// assert_eq!(draining.stage(true, MonotonicMs(2_600)), Stage::ClosingIdle);
     /// assert_eq!(draining.stage(false, MonotonicMs(2_600)), Stage::Ending);
     /// assert_eq!(draining.stage(true, MonotonicMs(7_100)), Stage::Overdue);
     /// ```
     pub fn stage(&self, is_under_way: bool, now: MonotonicMs) -> Stage {
-        if now < self.still_sent_until() {
+        if now < self.deregistered_at() {
             Stage::Closing
-        } else if now >= self.serves_until() {
+        } else if now >= self.serving_deadline() {
             Stage::Overdue
         } else if is_under_way {
             Stage::ClosingIdle
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -1,7 +1,7 @@
 //! Batch calls.
 
 use super::Handle;
-use crate::machine::{RelayCall, RelayReturn};
+use crate::machine::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, ModelName, Tokens};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
@@ -47,7 +47,7 @@
         ("POST", []) => {
             let batch = id_for(&head.headers)?;
             let items = items_of(&body)?;
-            return answer(handle.call(RelayCall::Submit(batch, items)).await);
+            return answer(handle.call(RelayCall::SubmitBatch(batch, items)).await);
         }
         ("GET", [id]) => BatchCall::Read(batch_of(id)?),
         ("GET", [id, "returns"]) => {
@@ -119,11 +119,11 @@
 }
 
 fn answer(
-    outcome: Result<RelayReturn, topazyard_wire::driver::CallError>,
+    outcome: Result<RelayResponse, topazyard_wire::driver::CallError>,
 ) -> Result<hyper::Response<Body>, ApiError> {
     match outcome {
-        Ok(RelayReturn::Batch(value)) => shown(value),
-        Ok(RelayReturn::Refused(error)) => Err(error),
+        Ok(RelayResponse::Batch(value)) => shown(value),
+        Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::may_have_run(Code::OutcomeUnknown)),
     }
 }
--- a/programs/topazyard-relay/src/front/ended.rs
+++ b/programs/topazyard-relay/src/front/ended.rs
@@ -42,9 +42,9 @@
 /// its connection was closed under it.
 pub(super) fn count(state: State) {
     let counter = match state {
-        State::Whole => &ANSWERED,
+        State::Completed => &ANSWERED,
         State::Refused => &REFUSED,
-        State::Cut => &CUT,
+        State::Interrupted => &CUT,
         State::Arrived | State::Waiting | State::Held | State::Dispatched | State::Relaying => {
             &DROPPED
         }
--- a/programs/topazyard-relay/src/front/ending.rs
+++ b/programs/topazyard-relay/src/front/ending.rs
@@ -1,7 +1,7 @@
 //! The end of a request or prompt, told to the machine.
 
 use super::Handle;
-use crate::machine::{EngineUse, PromptId, RelayCall};
+use crate::machine::{EngineOutcome, PromptId, RelayCall};
 
 /// Tells the machine that a request ended, whichever way this value goes out of use.
 pub(super) struct Ending {
@@ -10,20 +10,20 @@
     /// What ends.
     pub id: PromptId,
     /// How its use of its engine ended.
-    pub engine_use: EngineUse,
+    pub engine_outcome: EngineOutcome,
     /// How the machine is told.
-    told: fn(PromptId, EngineUse) -> RelayCall,
+    told: fn(PromptId, EngineOutcome) -> RelayCall,
 }
 
 impl Ending {
     /// Of something new, which the machine hears of under a name that nothing else has.
-    pub fn of_new(handle: Handle, told: fn(PromptId, EngineUse) -> RelayCall) -> Self {
-        Self { handle, id: PromptId::next(), engine_use: EngineUse::BrokenOff, told }
+    pub fn of_new(handle: Handle, told: fn(PromptId, EngineOutcome) -> RelayCall) -> Self {
+        Self { handle, id: PromptId::next(), engine_outcome: EngineOutcome::Aborted, told }
     }
 }
 
 impl Drop for Ending {
     fn drop(&mut self) {
-        self.handle.tell((self.told)(self.id, self.engine_use));
+        self.handle.tell((self.told)(self.id, self.engine_outcome));
     }
 }
--- a/programs/topazyard-relay/src/front/items.rs
+++ b/programs/topazyard-relay/src/front/items.rs
@@ -6,7 +6,7 @@
 use super::dialect::{Addressed, Dialect, Verdict};
 use super::engine::span;
 use crate::machine::routed_items::RoutedRun;
-use crate::machine::{EngineUse, RelayCall, RelayReturn};
+use crate::machine::{EngineOutcome, RelayCall, RelayResponse};
 use crate::prompt::Failure;
 use http_body_util::BodyExt as _;
 use hyper::header::HeaderValue;
@@ -42,7 +42,7 @@
     headers.remove(hyper::header::CONTENT_LENGTH);
     headers.insert(hyper::header::HOST, HeaderValue::from_str(&run.host).ok()?);
     names.identify(&mut headers, request_id);
-    let (left, last_event) = (crate::machine::items::RUN_LIMIT, run.progress.last_event);
+    let (left, last_event) = (crate::machine::items::RUN_TIMEOUT, run.progress.last_event);
     names.address(&mut headers, &Addressed { engine: &run.target.engine, left, last_event });
     *request.headers_mut() = headers;
     Some(request)
@@ -65,31 +65,31 @@
     run: &RoutedRun,
     names: &dyn Dialect,
     mut breaks_off: BreaksOff,
-) -> (RunEnd, EngineUse) {
+) -> (RunEnd, EngineOutcome) {
     // An item that no request can carry will never run.
     let Ok(request_id) = HeaderValue::from_str(&run.routing.id) else {
-        return (RunEnd::NotRun, EngineUse::Unsent);
+        return (RunEnd::NotRun, EngineOutcome::NotSent);
     };
     let Some(request) = request_of(run, &request_id, names) else {
-        return (RunEnd::NotRun, EngineUse::Unsent);
+        return (RunEnd::NotRun, EngineOutcome::NotSent);
     };
     let Some(mut connection) = connection_to(run).await else {
-        return (RunEnd::NotRun, EngineUse::Unreachable);
+        return (RunEnd::NotRun, EngineOutcome::Unreachable);
     };
     match handle.call(RelayCall::DispatchItem(run.run, run.target.engine.clone())).await {
-        Ok(RelayReturn::GoUntil(until)) if handle.clock().now() < until => {}
-        _ => return (RunEnd::NotRun, EngineUse::Unsent),
+        Ok(RelayResponse::SendBefore(until)) if handle.clock().now() < until => {}
+        _ => return (RunEnd::NotRun, EngineOutcome::NotSent),
     }
     let sent_at = handle.clock().now();
     let sent = tokio::select! {
-        sent = tokio::time::timeout(span(run.silence), connection.send(request)) => sent,
-        () = broken_off(&mut breaks_off) => return (RunEnd::Unknown, EngineUse::BrokenOff),
+        sent = tokio::time::timeout(span(run.silence_timeout), connection.send(request)) => sent,
+        () = broken_off(&mut breaks_off) => return (RunEnd::Unknown, EngineOutcome::Aborted),
     };
     let response = match sent {
         Ok(Ok(response)) => response,
-        Ok(Err(SendError::Unsent)) => return (RunEnd::NotRun, EngineUse::Unsent),
+        Ok(Err(SendError::Unsent)) => return (RunEnd::NotRun, EngineOutcome::NotSent),
         Ok(Err(SendError::Broken)) => {
-            return (RunEnd::Unknown, failed(handle, run, Failure::Broken));
+            return (RunEnd::Unknown, failed(handle, run, Failure::ConnectionLost));
         }
         Err(_) => return (RunEnd::Unknown, failed(handle, run, Failure::TimedOut)),
     };
@@ -101,41 +101,43 @@
         super::loads::tell(handle, names, &run.target.engine, &head.headers);
     }
     match (verdict, head.status.as_u16()) {
-        (Verdict::TurnedAway, _) => (RunEnd::NotRun, EngineUse::TurnedAway),
-        (Verdict::Failure, 500) => (RunEnd::Failed, failed(handle, run, Failure::Failed)),
-        (Verdict::Response, 422) => (RunEnd::Impossible, EngineUse::Whole(first)),
+        (Verdict::TurnedAway, _) => (RunEnd::NotRun, EngineOutcome::TurnedAway),
+        (Verdict::Failure, 500) => (RunEnd::Failed, failed(handle, run, Failure::EngineError)),
+        (Verdict::Response, 422) => (RunEnd::Impossible, EngineOutcome::Completed(first)),
         (Verdict::Response, 200) => {
             let mut events = Events::after(run.progress.clone());
-            let reading = read_events(body, &mut events, run.silence);
-            let limit = span(crate::machine::items::RUN_LIMIT);
+            let reading = read_events(body, &mut events, run.silence_timeout);
+            let limit = span(crate::machine::items::RUN_TIMEOUT);
             let whole = tokio::select! {
                 read = tokio::time::timeout(limit, reading) => Some(read == Ok(true)),
                 () = broken_off(&mut breaks_off) => None,
             };
             let Some(whole) = whole else {
-                return (RunEnd::Interrupted(events.so_far()), EngineUse::BrokenOff);
+                return (RunEnd::Interrupted(events.so_far()), EngineOutcome::Aborted);
             };
             if !(whole && is_delimited) {
                 return (
                     RunEnd::Interrupted(events.so_far()),
-                    failed(handle, run, Failure::Broken),
+                    failed(handle, run, Failure::ConnectionLost),
                 );
             }
             let Some(text) = events.whole() else {
-                return (RunEnd::Unknown, failed(handle, run, Failure::Broken));
+                return (RunEnd::Unknown, failed(handle, run, Failure::ConnectionLost));
             };
             connections::keep(connection, &head.headers);
-            (RunEnd::StreamComplete { text }, EngineUse::Whole(first))
+            (RunEnd::StreamComplete { text }, EngineOutcome::Completed(first))
         }
-        (Verdict::Foreign, _) => (RunEnd::Unknown, failed(handle, run, Failure::Foreign)),
-        _ => (RunEnd::Unknown, failed(handle, run, Failure::Failed)),
+        (Verdict::Foreign, _) => {
+            (RunEnd::Unknown, failed(handle, run, Failure::MismatchedResponse))
+        }
+        _ => (RunEnd::Unknown, failed(handle, run, Failure::EngineError)),
     }
 }
 
 /// Says what went wrong with an item's engine.
-fn failed(handle: &Handle, run: &RoutedRun, failure: Failure) -> EngineUse {
+fn failed(handle: &Handle, run: &RoutedRun, failure: Failure) -> EngineOutcome {
     handle.tell(RelayCall::EngineFailed(run.target.engine.clone(), failure));
-    EngineUse::Failed
+    EngineOutcome::Failed
 }
 
 /// Reads events to the proper end of the body; false if it broke off, fell silent or made no
--- a/programs/topazyard-relay/src/front/mod.rs
+++ b/programs/topazyard-relay/src/front/mod.rs
@@ -50,14 +50,16 @@
         ("POST", ["generate_stream"]) => session::serve(handle, &head, body, true).await,
         (_, ["batches", ..]) => batches::serve(handle, &head, body).await,
         ("GET", ["ready"]) => match handle.call(crate::RelayCall::Ready).await {
-            Ok(crate::RelayReturn::Noted) => {
+            Ok(crate::RelayResponse::Done) => {
                 Ok(topazyard_wire::http::json(200, &serde_json::json!({ "ready": true })))
             }
-            Ok(crate::RelayReturn::Refused(error)) => Err(error),
+            Ok(crate::RelayResponse::Refused(error)) => Err(error),
             _ => Err(ApiError::not_run(Code::StaleFeed)),
         },
         ("GET", ["health"]) => match handle.call(crate::RelayCall::Health).await {
-            Ok(crate::RelayReturn::Health(health)) => Ok(topazyard_wire::http::json(200, &health)),
+            Ok(crate::RelayResponse::Health(health)) => {
+                Ok(topazyard_wire::http::json(200, &health))
+            }
             _ => Err(ApiError::not_run(Code::StaleFeed)),
         },
         _ => Err(ApiError::not_run(Code::NoSuchPath).at(head.uri.path())),
--- a/programs/topazyard-relay/src/front/routed.rs
+++ b/programs/topazyard-relay/src/front/routed.rs
@@ -8,8 +8,8 @@
 use super::routed_stream::Stream;
 use super::{Handle, passed_on};
 use crate::machine::requests::{Admitted, Arrival, Chosen};
-use crate::machine::{EngineUse, RelayCall, RelayReturn};
-use crate::prompt::{Chart, Failure, Next};
+use crate::machine::{EngineOutcome, RelayCall, RelayResponse};
+use crate::prompt::{Failure, FailureAction, RequestStateMachine};
 use http_body_util::BodyExt as _;
 use hyper::body::Body as _;
 use topazyard_types::{DurationMs, MonotonicMs};
@@ -33,7 +33,7 @@
     pub(super) ending: Ending,
     names: Names,
     facts: RequestFacts,
-    pub(super) chart: Chart,
+    pub(super) state_machine: RequestStateMachine,
     pub(super) terms: Admitted,
     /// Whether the response is passed on piece by piece.
     stream: bool,
@@ -152,7 +152,7 @@
     head: hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<Admission, ApiError> {
-    let arrived = handle.clock().now();
+    let arrived_at = handle.clock().now();
     let facts = names.read(&head)?;
     let body = inward::read_body(body, MOST_BODY).await?;
     let ending = Ending::of_new(handle, RelayCall::RequestEnded);
@@ -161,29 +161,29 @@
         host: host_of(&head).to_owned(),
         path: head.uri.path().to_owned(),
         cost: facts.cost,
-        arrived,
+        arrived_at,
         wait: facts.wait.unwrap_or(DEFAULT_WAIT),
         prefix: facts.prefix.clone(),
     };
-    match ending.handle.call(RelayCall::Arrive(arrival)).await {
-        Ok(RelayReturn::Admitted(terms)) => {
+    match ending.handle.call(RelayCall::AdmitRequest(arrival)).await {
+        Ok(RelayResponse::Admitted(terms)) => {
             let session = Session::new(ending, names.clone(), facts, *terms, head, body);
             Ok(Admission::Live(Box::new(session)))
         }
-        Ok(RelayReturn::OnBatchRoute(route)) => {
+        Ok(RelayResponse::OnBatchRoute(route)) => {
             Ok(Admission::Batch(Box::new(Submission { ending, route, head, body })))
         }
-        Ok(RelayReturn::Refused(error)) => Err(error),
+        Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::not_run(Code::StaleFeed)),
     }
 }
 
 async fn ready(handle: &Handle) -> Result<hyper::Response<Body>, ApiError> {
     match handle.call(RelayCall::Ready).await {
-        Ok(RelayReturn::Noted) => {
+        Ok(RelayResponse::Done) => {
             Ok(topazyard_wire::http::json(200, &serde_json::json!({ "ready": true })))
         }
-        Ok(RelayReturn::Refused(error)) => Err(error),
+        Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::not_run(Code::StaleFeed)),
     }
 }
@@ -207,7 +207,7 @@
 /// Counts how it ended.
 impl Drop for Session {
     fn drop(&mut self) {
-        super::ended::count(self.chart.state());
+        super::ended::count(self.state_machine.state());
     }
 }
 
@@ -224,16 +224,20 @@
         head: hyper::http::request::Parts,
         body: bytes::Bytes,
     ) -> Self {
-        let mut chart =
-            Chart::on_route(terms.repeatable, terms.resumable, terms.most_tries, terms.deadline);
-        chart.wait();
-        chart.hold();
+        let mut state_machine = RequestStateMachine::on_route(
+            terms.repeatable,
+            terms.resumable,
+            terms.max_attempts,
+            terms.deadline,
+        );
+        state_machine.enqueue();
+        state_machine.hold();
         Self {
             ending,
             names,
             last_event: facts.last_event,
             facts,
-            chart,
+            state_machine,
             // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
             stream: terms.stream && head.version >= hyper::Version::HTTP_11,
             terms,
@@ -270,42 +274,48 @@
                 Err(failed) => failed,
             };
             match failed {
-                Next::Answer(error) => return Err(error),
+                FailureAction::Respond(error) => return Err(error),
                 // Before the head of a response nothing was relayed that would have to be broken.
-                Next::Break => return Err(ApiError::may_have_run(Code::EngineFailed)),
-                Next::Another => self.ask_for_another().await?,
+                FailureAction::CloseConnection => {
+                    return Err(ApiError::may_have_run(Code::EngineFailed));
+                }
+                FailureAction::TryAnotherEngine => self.ask_for_another().await?,
             }
         }
     }
 
     /// Asks the machine for another engine, saying how the last one's use ended.
     pub(super) async fn ask_for_another(&mut self) -> Result<(), ApiError> {
-        let call = RelayCall::Retry(self.ending.id, self.ending.engine_use);
-        self.ending.engine_use = EngineUse::BrokenOff;
+        let call = RelayCall::RetryRequest(self.ending.id, self.ending.engine_outcome);
+        self.ending.engine_outcome = EngineOutcome::Aborted;
         match self.ending.handle.call(call).await {
-            Ok(RelayReturn::Chosen(chosen)) => {
+            Ok(RelayResponse::Chosen(chosen)) => {
                 self.terms.chosen = *chosen;
-                self.chart.hold();
+                self.state_machine.hold();
                 Ok(())
             }
-            Ok(RelayReturn::Refused(error)) => Err(self.refuse(error)),
+            Ok(RelayResponse::Refused(error)) => Err(self.refuse(error)),
             _ => Err(self.refuse(ApiError::not_run(Code::StaleFeed))),
         }
     }
 
     fn refuse(&mut self, error: ApiError) -> ApiError {
-        if self.chart.is_begun() { error } else { self.chart.refuse(error) }
+        if self.state_machine.has_relayed_head() { error } else { self.state_machine.refuse(error) }
     }
 
-    pub(super) fn failed(&mut self, failure: Failure, engine_use: EngineUse) -> Next {
-        self.ending.engine_use = engine_use;
-        if engine_use == EngineUse::Failed {
+    pub(super) fn failed(
+        &mut self,
+        failure: Failure,
+        engine_outcome: EngineOutcome,
+    ) -> FailureAction {
+        self.ending.engine_outcome = engine_outcome;
+        if engine_outcome == EngineOutcome::Failed {
             self.tell_failure(failure);
         }
-        if matches!(engine_use, EngineUse::Failed | EngineUse::Unreachable) {
+        if matches!(engine_outcome, EngineOutcome::Failed | EngineOutcome::Unreachable) {
             connections::forget(&self.terms.chosen.target.engine);
         }
-        self.chart.fail(failure, self.now())
+        self.state_machine.fail(failure, self.now())
     }
 
     /// Says what went wrong with the request's engine.
@@ -315,7 +325,7 @@
     }
 
     /// Connects, looks a last time whether it may be sent, sends, and judges the response's head.
-    pub(super) async fn try_engine(&mut self) -> Result<Begun, Next> {
+    pub(super) async fn try_engine(&mut self) -> Result<Begun, FailureAction> {
         let chosen = self.terms.chosen.clone();
         let mut connection = match connections::take(&chosen.target) {
             Some(kept) => kept,
@@ -324,33 +334,33 @@
                 match connections::connect(&chosen.target, left).await {
                     Ok(fresh) => fresh,
                     Err(_) => {
-                        return Err(self.failed(Failure::NotConnected, EngineUse::Unreachable));
+                        return Err(self.failed(Failure::NotConnected, EngineOutcome::Unreachable));
                     }
                 }
             }
         };
         let request = self.request(&chosen);
-        if self.now().plus(TIMER_SLACK) >= chosen.until {
+        if self.now().plus(TIMER_SLACK) >= chosen.send_before {
             // What was checked may no longer hold: ask again, which costs no try.
-            return Err(self.failed(Failure::NotConnected, EngineUse::Unsent));
+            return Err(self.failed(Failure::NotConnected, EngineOutcome::NotSent));
         }
-        self.chart.dispatch();
+        self.state_machine.dispatch();
         let sent_at = self.now();
         let response = match self.head_of(&mut connection, request, &chosen, sent_at).await {
             Ok(response) => response,
             Err((SendError::Unsent, _)) => {
-                self.chart.unsent();
-                return Err(self.failed(Failure::NotConnected, EngineUse::Unsent));
+                self.state_machine.undo_dispatch();
+                return Err(self.failed(Failure::NotConnected, EngineOutcome::NotSent));
             }
             Err((SendError::Broken, failure)) => {
-                return Err(self.failed(failure, EngineUse::Failed));
+                return Err(self.failed(failure, EngineOutcome::Failed));
             }
         };
         let first = self.now().since(sent_at);
         let (head, body) = response.into_parts();
         if !super::engine::is_delimited(&head.headers) && !body.is_end_stream() {
             // Its end could not be told from a cut.
-            return Err(self.failed(Failure::Broken, EngineUse::Failed));
+            return Err(self.failed(Failure::ConnectionLost, EngineOutcome::Failed));
         }
         let verdict = self.names.judge(&head, &self.facts.request_id);
         if verdict != Verdict::Foreign {
@@ -361,13 +371,15 @@
             Verdict::Response => Ok(Begun { connection, head, body, first }),
             Verdict::TurnedAway => {
                 tokio::spawn(keep_after(connection, head, body));
-                Err(self.failed(Failure::TurnedAway, EngineUse::TurnedAway))
+                Err(self.failed(Failure::TurnedAway, EngineOutcome::TurnedAway))
             }
-            Verdict::Failure if self.terms.repeatable && !self.chart.is_last_try() => {
-                Err(self.failed(Failure::Failed, EngineUse::Failed))
+            Verdict::Failure if self.terms.repeatable && !self.state_machine.is_last_attempt() => {
+                Err(self.failed(Failure::EngineError, EngineOutcome::Failed))
             }
             Verdict::Failure => Ok(Begun { connection, head, body, first }),
-            Verdict::Foreign => Err(self.failed(Failure::Foreign, EngineUse::Failed)),
+            Verdict::Foreign => {
+                Err(self.failed(Failure::MismatchedResponse, EngineOutcome::Failed))
+            }
         }
     }
 
@@ -379,22 +391,22 @@
         chosen: &Chosen,
         sent_at: MonotonicMs,
     ) -> Result<hyper::Response<hyper::body::Incoming>, (SendError, Failure)> {
-        let timeout = self.chart.timeout(sent_at);
+        let timeout = self.state_machine.timeout(sent_at);
         let response = connection.send(request);
         tokio::pin!(response);
-        let doubt_after = span(DurationMs(chosen.doubt_after.0.min(timeout.0)));
+        let doubt_after = span(DurationMs(chosen.suspect_after.0.min(timeout.0)));
         let early = tokio::time::timeout(doubt_after, &mut response).await;
         let outcome = match early {
             Ok(outcome) => Ok(outcome),
             Err(_) => {
-                self.ending.handle.tell(RelayCall::Doubt(chosen.target.engine.clone()));
-                let left = DurationMs(timeout.0.saturating_sub(chosen.doubt_after.0));
+                self.ending.handle.tell(RelayCall::SuspectEngine(chosen.target.engine.clone()));
+                let left = DurationMs(timeout.0.saturating_sub(chosen.suspect_after.0));
                 tokio::time::timeout(span(left), &mut response).await
             }
         };
         match outcome {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) => Err((error, Failure::Broken)),
+            Ok(Err(error)) => Err((error, Failure::ConnectionLost)),
             Err(_) => Err((SendError::Broken, Failure::TimedOut)),
         }
     }
@@ -414,22 +426,22 @@
     }
 
     /// Holds a response back until it is whole, so that a cut one is an error and nothing else.
-    async fn relay_whole(&mut self, begun: Begun) -> Result<hyper::Response<Body>, Next> {
+    async fn relay_whole(&mut self, begun: Begun) -> Result<hyper::Response<Body>, FailureAction> {
         let Begun { connection, head, body, first } = begun;
         let limit = span(self.terms.deadline.since(self.now()));
         let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
         let body = match tokio::time::timeout(limit, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return Err(self.failed(Failure::Broken, EngineUse::Failed)),
-            Err(_) => return Err(self.failed(Failure::TimedOut, EngineUse::Failed)),
+            Ok(Err(_)) => return Err(self.failed(Failure::ConnectionLost, EngineOutcome::Failed)),
+            Err(_) => return Err(self.failed(Failure::TimedOut, EngineOutcome::Failed)),
         };
-        self.chart.relay();
-        self.chart.complete();
-        self.ending.engine_use = if head.status.is_success() {
-            EngineUse::Whole(first)
+        self.state_machine.start_relaying();
+        self.state_machine.complete();
+        self.ending.engine_outcome = if head.status.is_success() {
+            EngineOutcome::Completed(first)
         } else {
-            self.tell_failure(Failure::Failed);
-            EngineUse::Failed
+            self.tell_failure(Failure::EngineError);
+            EngineOutcome::Failed
         };
         connections::keep(connection, &head.headers);
         Ok(passed_on(&head, topazyard_wire::http::whole(body)))
@@ -438,7 +450,7 @@
     /// Relays a stream event by event. One that can be resumed goes on from another engine when
     /// its engine breaks off; any other breaks its client's connection.
     fn relay(mut self: Box<Self>, begun: Begun) -> hyper::Response<Body> {
-        self.chart.relay();
+        self.state_machine.start_relaying();
         let mut head = begun.head.clone();
         // Its length is known only where it ends with the first engine.
         head.headers.remove(hyper::header::CONTENT_LENGTH);
--- a/programs/topazyard-relay/src/front/routed_stream.rs
+++ b/programs/topazyard-relay/src/front/routed_stream.rs
@@ -4,8 +4,8 @@
 use super::engine::span;
 use super::events::Events;
 use super::routed::{Begun, Session};
-use crate::machine::EngineUse;
-use crate::prompt::{Failure, Next};
+use crate::machine::EngineOutcome;
+use crate::prompt::{Failure, FailureAction};
 use http_body_util::BodyExt as _;
 use topazyard_types::DurationMs;
 use topazyard_wire::http::{Body, BodyError};
@@ -84,16 +84,16 @@
                 Err(_) => return Step::Nothing,
             },
             Ok(None) if !self.events.is_within() => return self.end(),
-            Ok(None) | Ok(Some(Err(_))) => Failure::Broken,
+            Ok(None) | Ok(Some(Err(_))) => Failure::ConnectionLost,
             Err(_) => Failure::TimedOut,
         };
         self.begun = None;
-        match self.session.failed(failure, EngineUse::Failed) {
-            Next::Another => match self.session.ask_for_another().await {
+        match self.session.failed(failure, EngineOutcome::Failed) {
+            FailureAction::TryAnotherEngine => match self.session.ask_for_another().await {
                 Ok(()) => Step::Nothing,
                 Err(_) => Step::Cut,
             },
-            Next::Answer(_) | Next::Break => Step::Cut,
+            FailureAction::Respond(_) | FailureAction::CloseConnection => Step::Cut,
         }
     }
 
@@ -102,18 +102,18 @@
         if !self.resumable {
             return Ok(Step::Bytes(bytes));
         }
-        let whole = self.events.take(&bytes).map_err(|_| Failure::Broken)?;
+        let whole = self.events.take(&bytes).map_err(|_| Failure::ConnectionLost)?;
         let Some(whole) = whole else { return Ok(Step::Nothing) };
         if !whole.in_order {
-            return Err(Failure::Broken);
+            return Err(Failure::ConnectionLost);
         }
         self.session.last_event = self.events.last_id();
         Ok(Step::Bytes(whole.bytes))
     }
 
     fn end(&mut self) -> Step {
-        self.session.chart.complete();
-        self.session.ending.engine_use = EngineUse::Whole(self.first);
+        self.session.state_machine.complete();
+        self.session.ending.engine_outcome = EngineOutcome::Completed(self.first);
         if let Some(begun) = self.begun.take() {
             connections::keep(begun.connection, &begun.head.headers);
         }
@@ -125,13 +125,13 @@
         self.events = Events::after(self.session.last_event);
         match self.session.try_engine().await {
             Ok(begun) if begun.head.status.is_success() => {
-                self.session.chart.relay();
+                self.session.state_machine.start_relaying();
                 self.first = begun.first;
                 self.begun = Some(begun);
                 Step::Nothing
             }
-            Ok(_) | Err(Next::Answer(_) | Next::Break) => Step::Cut,
-            Err(Next::Another) => match self.session.ask_for_another().await {
+            Ok(_) | Err(FailureAction::Respond(_) | FailureAction::CloseConnection) => Step::Cut,
+            Err(FailureAction::TryAnotherEngine) => match self.session.ask_for_another().await {
                 Ok(()) => Step::Nothing,
                 Err(_) => Step::Cut,
             },
--- a/programs/topazyard-relay/src/front/session.rs
+++ b/programs/topazyard-relay/src/front/session.rs
@@ -3,8 +3,8 @@
 use super::ending::Ending;
 use super::engine::span;
 use super::{Handle, passed_on, read};
-use crate::machine::{EngineUse, Prompt, RelayCall, RelayReturn, Target};
-use crate::prompt::{Chart, Failure, Next};
+use crate::machine::{EngineOutcome, Prompt, RelayCall, RelayResponse, Target};
+use crate::prompt::{Failure, FailureAction, RequestStateMachine};
 use http_body_util::BodyExt as _;
 use topazyard_types::MonotonicMs;
 use topazyard_wire::api::{ApiError, Code};
@@ -16,7 +16,7 @@
 /// A prompt on its way.
 struct Session {
     ending: Ending,
-    chart: Chart,
+    state_machine: RequestStateMachine,
     deadline: MonotonicMs,
     path: &'static str,
     /// Whether the return is passed on piece by piece.
@@ -46,11 +46,11 @@
     let body = topazyard_wire::http::inward::read_body(body, read::MOST_BYTES).await?;
     let facts = read::read(&head.headers, &body)?;
     let deadline = arrived.plus(facts.wait);
-    let ending = Ending::of_new(handle, RelayCall::Ended);
+    let ending = Ending::of_new(handle, RelayCall::PromptEnded);
     let id = ending.id;
     let mut session = Session {
         ending,
-        chart: Chart::arrived(facts.repeatable, deadline),
+        state_machine: RequestStateMachine::arrived(facts.repeatable, deadline),
         deadline,
         path: if stream { "/generate_stream" } else { "/generate" },
         // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
@@ -59,17 +59,19 @@
     };
     let prompt =
         Prompt { id, model: facts.model, cost: facts.cost, deadline, prefix: facts.prefix };
-    session.chart.wait();
-    let mut target = session.ask(RelayCall::Allow(prompt)).await?;
+    session.state_machine.enqueue();
+    let mut target = session.ask(RelayCall::AdmitPrompt(prompt)).await?;
     loop {
         match session.try_engine(&target).await {
             Ok(Given::Whole(response)) => return Ok(response),
             Ok(Given::Stream(response, sent_at)) => return Ok(session.relay(response, sent_at)),
-            Err(Next::Answer(error)) => return Err(error),
+            Err(FailureAction::Respond(error)) => return Err(error),
             // Before the head of a return nothing was relayed that would have to be broken.
-            Err(Next::Break) => return Err(ApiError::may_have_run(Code::EngineFailed)),
-            Err(Next::Another) => {
-                target = session.ask(RelayCall::Another(id, target.engine)).await?;
+            Err(FailureAction::CloseConnection) => {
+                return Err(ApiError::may_have_run(Code::EngineFailed));
+            }
+            Err(FailureAction::TryAnotherEngine) => {
+                target = session.ask(RelayCall::RetryPrompt(id, target.engine)).await?;
             }
         }
     }
@@ -78,7 +80,7 @@
 /// Counts how it ended.
 impl Drop for Session {
     fn drop(&mut self) {
-        super::ended::count(self.chart.state());
+        super::ended::count(self.state_machine.state());
     }
 }
 
@@ -90,51 +92,51 @@
     /// Asks the machine for an engine.
     async fn ask(&mut self, call: RelayCall) -> Result<Target, ApiError> {
         match self.ending.handle.call(call).await {
-            Ok(RelayReturn::Held(target)) => {
-                self.chart.hold();
+            Ok(RelayResponse::SendTo(target)) => {
+                self.state_machine.hold();
                 Ok(target)
             }
-            Ok(RelayReturn::Refused(error)) => Err(self.chart.refuse(error)),
-            _ => Err(self.chart.refuse(ApiError::not_run(Code::StaleFeed))),
+            Ok(RelayResponse::Refused(error)) => Err(self.state_machine.refuse(error)),
+            _ => Err(self.state_machine.refuse(ApiError::not_run(Code::StaleFeed))),
         }
     }
 
     /// Connects, checks a last time, sends, and relays what comes back.
-    async fn try_engine(&mut self, target: &Target) -> Result<Given, Next> {
+    async fn try_engine(&mut self, target: &Target) -> Result<Given, FailureAction> {
         let left = self.deadline.since(self.now());
         let connection = match super::engine::connect(target.address, left).await {
             Ok(connection) => connection,
-            Err(_) => return Err(self.chart.fail(Failure::NotConnected, self.now())),
+            Err(_) => return Err(self.state_machine.fail(Failure::NotConnected, self.now())),
         };
         let request = super::engine::request(target.address, self.path, self.body.clone());
         let Ok(request) = request else {
-            return Err(self.chart.fail(Failure::NotConnected, self.now()));
+            return Err(self.state_machine.fail(Failure::NotConnected, self.now()));
         };
-        let call = RelayCall::Dispatch(self.ending.id, target.engine.clone());
+        let call = RelayCall::DispatchPrompt(self.ending.id, target.engine.clone());
         match self.ending.handle.call(call).await {
-            Ok(RelayReturn::GoUntil(until)) if self.now() < until => {}
-            Ok(RelayReturn::Refused(error)) if error.code == Code::NoEngine => {
-                return Err(self.chart.fail(Failure::NotConnected, self.now()));
+            Ok(RelayResponse::SendBefore(until)) if self.now() < until => {}
+            Ok(RelayResponse::Refused(error)) if error.code == Code::NoEngine => {
+                return Err(self.state_machine.fail(Failure::NotConnected, self.now()));
             }
-            Ok(RelayReturn::Refused(error)) => {
-                return Err(Next::Answer(self.chart.refuse(error)));
+            Ok(RelayResponse::Refused(error)) => {
+                return Err(FailureAction::Respond(self.state_machine.refuse(error)));
             }
             // It froze between the check and here: what was checked may no longer hold.
             _ => {
                 let error = ApiError::not_run(Code::StaleFeed);
-                return Err(Next::Answer(self.chart.refuse(error)));
+                return Err(FailureAction::Respond(self.state_machine.refuse(error)));
             }
         }
-        self.chart.dispatch();
+        self.state_machine.dispatch();
         let sent_at = self.now();
-        let timeout = span(self.chart.timeout(sent_at));
+        let timeout = span(self.state_machine.timeout(sent_at));
         let response = match tokio::time::timeout(timeout, connection.send(request)).await {
             Ok(Ok(response)) => response,
-            Ok(Err(_)) => return Err(self.engine_failed(Failure::Broken)),
+            Ok(Err(_)) => return Err(self.engine_failed(Failure::ConnectionLost)),
             Err(_) => return Err(self.engine_failed(Failure::TimedOut)),
         };
         if !super::engine::is_delimited(response.headers()) {
-            return Err(self.engine_failed(Failure::Broken));
+            return Err(self.engine_failed(Failure::ConnectionLost));
         }
         if self.stream {
             Ok(Given::Stream(response, sent_at))
@@ -143,9 +145,9 @@
         }
     }
 
-    fn engine_failed(&mut self, failure: Failure) -> Next {
-        self.ending.engine_use = EngineUse::Failed;
-        self.chart.fail(failure, self.now())
+    fn engine_failed(&mut self, failure: Failure) -> FailureAction {
+        self.ending.engine_outcome = EngineOutcome::Failed;
+        self.state_machine.fail(failure, self.now())
     }
 
     /// Holds a return back until it is whole, so that a cut one is an error and nothing else.
@@ -153,18 +155,18 @@
         &mut self,
         response: hyper::Response<hyper::body::Incoming>,
         sent_at: MonotonicMs,
-    ) -> Result<hyper::Response<Body>, Next> {
+    ) -> Result<hyper::Response<Body>, FailureAction> {
         let (head, body) = response.into_parts();
         let limit = span(self.deadline.since(self.now()));
         let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
         let body = match tokio::time::timeout(limit, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return Err(self.engine_failed(Failure::Broken)),
+            Ok(Err(_)) => return Err(self.engine_failed(Failure::ConnectionLost)),
             Err(_) => return Err(self.engine_failed(Failure::TimedOut)),
         };
-        self.chart.relay();
-        self.chart.complete();
-        self.ending.engine_use = EngineUse::Whole(self.now().since(sent_at));
+        self.state_machine.start_relaying();
+        self.state_machine.complete();
+        self.ending.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
         Ok(passed_on(&head, topazyard_wire::http::whole(body)))
     }
 
@@ -174,7 +176,7 @@
         response: hyper::Response<hyper::body::Incoming>,
         sent_at: MonotonicMs,
     ) -> hyper::Response<Body> {
-        self.chart.relay();
+        self.state_machine.start_relaying();
         let (head, body) = response.into_parts();
         let (sender, receiver) = tokio::sync::mpsc::channel(PIECES);
         tokio::spawn(self.pump(body, sent_at, sender));
@@ -200,11 +202,12 @@
             let piece = match got {
                 Ok(Some(Ok(frame))) => Piece::Frame(frame),
                 Ok(None) => {
-                    self.chart.complete();
-                    self.ending.engine_use = EngineUse::Whole(self.now().since(sent_at));
+                    self.state_machine.complete();
+                    self.ending.engine_outcome =
+                        EngineOutcome::Completed(self.now().since(sent_at));
                     Piece::End
                 }
-                Ok(Some(Err(_))) => return drop(self.engine_failed(Failure::Broken)),
+                Ok(Some(Err(_))) => return drop(self.engine_failed(Failure::ConnectionLost)),
                 Err(_) => return drop(self.engine_failed(Failure::TimedOut)),
             };
             let is_end = matches!(piece, Piece::End);
--- a/programs/topazyard-relay/src/front/tasks.rs
+++ b/programs/topazyard-relay/src/front/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::Handle;
 use super::engine::span;
-use crate::machine::{EngineUse, RelayCall, RelayReturn, RelayTask, Target};
+use crate::machine::{EngineOutcome, RelayCall, RelayResponse, RelayTask, Target};
 use http_body_util::BodyExt as _;
 use topazyard_wire::message::batch::{Run, RunEnd};
 
@@ -25,30 +25,30 @@
                     handle.tell(RelayCall::ItemEnded(run, end));
                 });
             }
-            RelayTask::RunRouted(run) => {
+            RelayTask::RunRoutedItem(run) => {
                 let names = names.clone();
                 let breaks_off = breaks_off.clone();
                 tokio::spawn(async move {
-                    let (end, engine_use) = match &names {
+                    let (end, engine_outcome) = match &names {
                         Some(names) => {
                             super::items::run_routed(&handle, &run, &**names, breaks_off).await
                         }
-                        None => (RunEnd::NotRun, EngineUse::Unsent),
+                        None => (RunEnd::NotRun, EngineOutcome::NotSent),
                     };
-                    handle.tell(RelayCall::RoutedEnded(run.run, end, engine_use));
+                    handle.tell(RelayCall::RoutedItemEnded(run.run, end, engine_outcome));
                 });
             }
-            RelayTask::BreakOffRuns => drop(break_off.send_replace(true)),
-            RelayTask::Reach(target) => {
+            RelayTask::AbortRoutedRuns => drop(break_off.send_replace(true)),
+            RelayTask::ProbeConnection(target) => {
                 tokio::spawn(async move {
                     let reached = super::connections::reach(&target).await;
-                    handle.tell(RelayCall::Reached(target.engine, reached));
+                    handle.tell(RelayCall::ConnectionProbed(target.engine, reached));
                 });
             }
-            RelayTask::Look(target) => {
+            RelayTask::CheckHealth(target) => {
                 tokio::spawn(async move {
                     let is_well = super::engine::is_well(target.address).await;
-                    handle.tell(RelayCall::Looked(target.engine, is_well));
+                    handle.tell(RelayCall::HealthChecked(target.engine, is_well));
                 });
             }
         }
@@ -64,7 +64,7 @@
         return RunEnd::NotRun;
     };
     match handle.call(RelayCall::DispatchItem(run, target.engine.clone())).await {
-        Ok(RelayReturn::GoUntil(until)) if handle.clock().now() < until => {}
+        Ok(RelayResponse::SendBefore(until)) if handle.clock().now() < until => {}
         _ => return RunEnd::NotRun,
     }
     let work = async {
@@ -77,6 +77,6 @@
         let body = body.collect().await.ok()?.to_bytes();
         Some(RunEnd::Complete { status, body })
     };
-    let ended = tokio::time::timeout(span(crate::machine::items::RUN_LIMIT), work).await;
+    let ended = tokio::time::timeout(span(crate::machine::items::RUN_TIMEOUT), work).await;
     ended.ok().flatten().unwrap_or(RunEnd::Unknown)
 }
--- a/programs/topazyard-relay/src/lib.rs
+++ b/programs/topazyard-relay/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod prompt;
 pub mod run;
 
-pub use machine::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
+pub use machine::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
 pub use run::{Front, run};
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: the estimate is made before; here the deadline is checked, then the budget.
 
-use super::{EngineUse, Out, Prompt, PromptId, RelayMachine, RelayReturn};
+use super::{EngineOutcome, Out, Prompt, PromptId, RelayMachine, RelayResponse};
 use topazyard_spec::ModelRouteKind;
 use topazyard_types::{CallId, DurationMs, EngineName, HoldId, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
@@ -137,7 +137,7 @@
 
     fn refuse(&mut self, call: CallId, error: ApiError, out: &mut Out) {
         self.count_refusal(error.code);
-        out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+        out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
     }
 
     /// The checks that need no other process, cheapest first.
@@ -259,8 +259,8 @@
         self.engines.begin(&target.engine, cost, &prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
-            self.allowed += 1;
-            out.push(Effect::Return { call: entry.call, value: RelayReturn::Held(target) });
+            self.admitted += 1;
+            out.push(Effect::Return { call: entry.call, value: RelayResponse::SendTo(target) });
         }
         self.ask_in_order(&pool, now, out);
     }
@@ -278,15 +278,15 @@
         id: PromptId,
         engine: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let Some(entry) = self.admission.entries.get(&id) else { return refused(Code::Deadline) };
         if !matches!(&entry.stage, Stage::Held(_, held) if held == engine) {
             return refused(Code::NoEngine);
         }
         match self.go_until(engine, &entry.pool, &entry.prompt.model, ModelRouteKind::Live, now) {
             Err(code) => refused(code),
-            Ok(until) => RelayReturn::GoUntil(until.min(entry.prompt.deadline)),
+            Ok(until) => RelayResponse::SendBefore(until.min(entry.prompt.deadline)),
         }
     }
 
@@ -322,33 +322,33 @@
         id: PromptId,
         failed: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
+    ) -> RelayResponse {
         self.engines.failed(failed, now);
         let Some(entry) = self.admission.entries.get(&id) else {
-            return RelayReturn::Refused(ApiError::not_run(Code::Deadline));
+            return RelayResponse::Refused(ApiError::not_run(Code::Deadline));
         };
         let Stage::Held(hold, held) = &entry.stage else {
-            return RelayReturn::Refused(ApiError::not_run(Code::NoEngine));
+            return RelayResponse::Refused(ApiError::not_run(Code::NoEngine));
         };
         let (hold, held) = (*hold, held.clone());
         let (pool, prompt) = (entry.pool.clone(), entry.prompt.clone());
         let target = self.choose_engine(&pool, &prompt.model, &prompt.prefix, Some(failed));
         let Some(target) = target else {
-            return RelayReturn::Refused(ApiError::not_run(Code::NoEngine));
+            return RelayResponse::Refused(ApiError::not_run(Code::NoEngine));
         };
         self.engines.end(&held, prompt.cost);
         self.engines.begin(&target.engine, prompt.cost, &prompt.prefix);
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
         }
-        RelayReturn::Held(target)
+        RelayResponse::SendTo(target)
     }
 
     /// A prompt ended, whichever way: its hold is let go, once.
     pub(super) fn end_prompt(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         out: &mut Out,
     ) {
@@ -357,7 +357,7 @@
         let pool = entry.pool;
         if let Some(queue) = self.admission.queuees.get_mut(&pool) {
             queue.order.retain(|other| *other != id);
-            if let EngineUse::Whole(took) = engine_use {
+            if let EngineOutcome::Completed(took) = engine_outcome {
                 queue.pace.served(took);
             }
             // There is room again: the first may ask at once.
@@ -366,7 +366,7 @@
         if let Stage::Held(hold, engine) = entry.stage {
             self.release_hold(hold, out);
             self.engines.end(&engine, entry.prompt.cost);
-            if engine_use == EngineUse::Failed {
+            if engine_outcome == EngineOutcome::Failed {
                 self.engines.failed(&engine, now);
             }
         }
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -1,7 +1,7 @@
 //! Calls on batches: sent to the shard's primary until it returns or time is up. All of them may
 //! be sent twice without harm.
 
-use super::{FRESH_FOR, Out, RelayMachine, RelayReturn};
+use super::{MAX_FEED_AGE, Out, RelayMachine, RelayResponse};
 use topazyard_spec::ModelRouteKind;
 use topazyard_types::{
     BatchId, BootId, CallId, DurationMs, Epoch, MonotonicMs, RouteName, ShardId, Tokens,
@@ -23,7 +23,7 @@
 /// that it may wait there it stays below the 2 s within which a spec is in force.
 const SUBMIT_FRESH_FOR: DurationMs = DurationMs(800);
 /// How long a client's call may take.
-pub const CLIENT_LIMIT: DurationMs = DurationMs(5_000);
+pub const CLIENT_CALL_TIMEOUT: DurationMs = DurationMs(5_000);
 /// Clients' calls that may be under way.
 const MOST_CALLS: usize = 2_048;
 
@@ -165,7 +165,7 @@
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -182,11 +182,11 @@
         match self.check_items(&items) {
             Ok(ceiling) => {
                 let request = BatchCall::Submit { batch, items, ceiling };
-                self.call_batch(call, request, CLIENT_LIMIT, now, out);
+                self.call_batch(call, request, CLIENT_CALL_TIMEOUT, now, out);
             }
             Err(error) => {
                 self.count_refusal(error.code);
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -206,7 +206,7 @@
         let Some((route, terms)) = of_batches else {
             self.count_refusal(Code::NoLane);
             let error = ApiError::not_run(Code::NoLane);
-            return out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+            return out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
         };
         let routed = RoutedBatch {
             batch,
@@ -260,7 +260,7 @@
         let mut pending =
             Pending { caller, shard, call, until, send_at: now, aside_at, sent_in: None };
         if let Some(draining) = &self.draining {
-            pending.end_by(draining.answers_calls_until());
+            pending.end_by(draining.batch_call_deadline());
         }
         self.batches.pending.insert(id, pending);
         self.send_pending(id, now, out);
@@ -272,7 +272,7 @@
             .configuration
             .as_ref()
             .map(|(_, bundle)| bundle.batches.waiting_ceiling_tokens);
-        let heard_lately = now.plus(FRESH_FOR) < self.fresh_until().plus(SUBMIT_FRESH_FOR);
+        let heard_lately = now.plus(MAX_FEED_AGE) < self.fresh_until().plus(SUBMIT_FRESH_FOR);
         let Some(pending) = self.batches.pending.get_mut(&id) else { return };
         if let BatchCall::Submit { ceiling: told, .. } = &mut pending.call {
             // It waits at the shard only as long as it is told the ceiling in force.
@@ -329,10 +329,10 @@
             (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.count_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
-                out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
             }
             (Caller::Client(call), value) => {
-                out.push(Effect::Return { call, value: RelayReturn::Batch(value) });
+                out.push(Effect::Return { call, value: RelayResponse::Batch(value) });
             }
             (Caller::Leasing(since), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, since, now, out);
@@ -365,7 +365,7 @@
                         ApiError::not_run(Code::NoShard)
                     };
                     self.count_refusal(error.code);
-                    out.push(Effect::Return { call, value: RelayReturn::Refused(error) });
+                    out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
                 }
                 Caller::Leasing(_) => self.items.lease_over(pending.shard),
                 Caller::Starting(run) => self.start_settled(run, false, now, out),
--- a/programs/topazyard-relay/src/machine/choice.rs
+++ b/programs/topazyard-relay/src/machine/choice.rs
@@ -7,7 +7,7 @@
 
 use super::engines::Engines;
 use super::requests::PromptPart;
-use super::{EngineLoad, EngineUse, Out, RelayReturn, RelayTask, Target};
+use super::{EngineLoad, EngineOutcome, Out, RelayResponse, RelayTask, Target};
 use topazyard_spec::{Engine, EngineState};
 use topazyard_types::{Digest, DurationMs, EngineName, MonotonicMs, NodeId, PoolName};
 use topazyard_wire::Effect;
@@ -99,7 +99,7 @@
     }
 
     /// What is to be told of it in the log, once each time it changes.
-    fn state_change(&mut self, engine: &EngineName) -> Option<Effect<RelayReturn, RelayTask>> {
+    fn state_change(&mut self, engine: &EngineName) -> Option<Effect<RelayResponse, RelayTask>> {
         let is_paused = self.pause.is_some();
         if self.is_logged_as_paused == is_paused {
             return None;
@@ -241,12 +241,17 @@
     }
 
     /// A request there is over.
-    pub(super) fn close(&mut self, engine: &EngineName, engine_use: EngineUse, now: MonotonicMs) {
+    pub(super) fn close(
+        &mut self,
+        engine: &EngineName,
+        engine_outcome: EngineOutcome,
+        now: MonotonicMs,
+    ) {
         let Some(known) = self.known.get_mut(engine) else { return };
         let learned = &mut known.learned;
         learned.open = learned.open.saturating_sub(1);
-        match engine_use {
-            EngineUse::Whole(first) => {
+        match engine_outcome {
+            EngineOutcome::Completed(first) => {
                 let first_ms = first.0 as f64;
                 let before = learned.first_ms.get_or_insert(first_ms);
                 *before += (first_ms - *before) / 8.0;
@@ -255,15 +260,15 @@
                 learned.pause = None;
                 known.ill_until = None;
             }
-            EngineUse::TurnedAway => learned.behind_until = Some(now.plus(FULL_FOR)),
-            EngineUse::Failed => {
+            EngineOutcome::TurnedAway => learned.behind_until = Some(now.plus(FULL_FOR)),
+            EngineOutcome::Failed => {
                 learned.strikes += 1;
                 if learned.strikes >= STRIKES {
                     self.leave_alone(engine, now);
                 }
             }
-            EngineUse::Unreachable => self.leave_alone(engine, now),
-            EngineUse::BrokenOff | EngineUse::Unsent => {}
+            EngineOutcome::Unreachable => self.leave_alone(engine, now),
+            EngineOutcome::Aborted | EngineOutcome::NotSent => {}
         }
     }
 
@@ -305,7 +310,7 @@
                 // It stays out until the answer is here.
                 known.ill_until = Some(now.plus(pause.max(DurationMs(1_000))));
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                out.push(Effect::Start(RelayTask::Reach(target)));
+                out.push(Effect::Start(RelayTask::ProbeConnection(target)));
             }
         }
     }
--- a/programs/topazyard-relay/src/machine/counting.rs
+++ b/programs/topazyard-relay/src/machine/counting.rs
@@ -69,7 +69,7 @@
         let limit = known.map_or(Tokens(0), |pool| self.view.limit(pool));
         let part = match kind {
             HoldKind::Live | HoldKind::Block => limit,
-            HoldKind::Item => self.view.item_part(pool, limit),
+            HoldKind::Item => self.view.batch_share(pool, limit),
         };
         let expiry = match kind {
             HoldKind::Block => self.block_expiry,
--- a/programs/topazyard-relay/src/machine/engine_failures.rs
+++ b/programs/topazyard-relay/src/machine/engine_failures.rs
@@ -33,9 +33,9 @@
 fn name_of(failure: Failure) -> &'static str {
     match failure {
         Failure::NotConnected => "unconnected",
-        Failure::Broken => "broken",
-        Failure::Foreign => "foreign",
-        Failure::Failed => "errors",
+        Failure::ConnectionLost => "broken",
+        Failure::MismatchedResponse => "foreign",
+        Failure::EngineError => "errors",
         Failure::TimedOut => "silent",
         Failure::TurnedAway => "turned away",
     }
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -3,7 +3,7 @@
 use super::batches::Caller;
 use super::choice::Wanted;
 use super::requests::PromptPart;
-use super::{EngineUse, Out, RelayMachine, RelayReturn, RelayTask, Target};
+use super::{EngineOutcome, Out, RelayMachine, RelayResponse, RelayTask, Target};
 use topazyard_spec::{ModelRouteKind, RouteKind};
 use topazyard_types::{
     BatchId, Digest, DurationMs, EngineName, HoldId, ModelName, MonotonicMs, PoolName, RouteName,
@@ -16,7 +16,7 @@
 use topazyard_wire::state::FleetSnapshot;
 
 /// How long an item may run. A dark engine holds its budget no longer than this.
-pub const RUN_LIMIT: DurationMs = DurationMs(30_000);
+pub const RUN_TIMEOUT: DurationMs = DurationMs(30_000);
 /// Items that one relay leases or runs at a time where nobody says what engines can take.
 const MOST_ITEMS: usize = 24;
 /// Of what engines can take at once, the part that one relay may lease: one in so many.
@@ -162,7 +162,7 @@
         if self.items.break_off_at.is_some_and(|at| now >= at)
             && self.items.entries.values().any(is_routed)
         {
-            out.push(Effect::Start(RelayTask::BreakOffRuns));
+            out.push(Effect::Start(RelayTask::AbortRoutedRuns));
             self.items.break_off_at = None;
         }
     }
@@ -404,8 +404,8 @@
         run: Run,
         engine: &EngineName,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let Some(entry) = self.items.entries.get(&run) else { return refused(Code::NotFound) };
         let Stage::Started(_, start_until, chosen) = &entry.stage else {
             return refused(Code::NotFound);
@@ -419,12 +419,12 @@
         if let Some(routed) = &entry.routed {
             return match self.routed_go_until(engine, &entry.pool, &routed.route, now) {
                 Err(code) => refused(code),
-                Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
+                Ok(until) => RelayResponse::SendBefore(until.min(*start_until)),
             };
         }
         match self.go_until(engine, &entry.pool, &entry.item.model, ModelRouteKind::Batch, now) {
             Err(code) => refused(code),
-            Ok(until) => RelayReturn::GoUntil(until.min(*start_until)),
+            Ok(until) => RelayResponse::SendBefore(until.min(*start_until)),
         }
     }
 
@@ -539,12 +539,12 @@
             host: routed.host.clone(),
             body: entry.item.body.clone(),
             progress: routed.progress.clone(),
-            silence: super::routed_items::silence_of(route),
+            silence_timeout: super::routed_items::silence_of(route),
             target,
         };
         self.engines.open(&routed_run.target.engine, &prefix, now);
         self.set_stage(run, started);
-        out.push(Effect::Start(RelayTask::RunRouted(Box::new(routed_run))));
+        out.push(Effect::Start(RelayTask::RunRoutedItem(Box::new(routed_run))));
     }
 
     /// Until when a routed item may be sent to an engine.
@@ -576,7 +576,7 @@
         &mut self,
         run: Run,
         end: RunEnd,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         out: &mut Out,
     ) {
@@ -584,7 +584,7 @@
             self.items.entries.get(&run)
         {
             let engine = engine.clone();
-            self.engines.close(&engine, engine_use, now);
+            self.engines.close(&engine, engine_outcome, now);
         }
         self.let_item_go(run, out);
         self.finish_run(run, end, now, out);
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -26,7 +26,7 @@
 use topazyard_wire::{Effect, Input, Machine};
 
 /// How old the last confirmation of the feed may be. Below the 2 s that operators are promised.
-pub const FRESH_FOR: DurationMs = DurationMs(1_800);
+pub const MAX_FEED_AGE: DurationMs = DurationMs(1_800);
 
 /// A block of budget stands for so many times the time in which trouble is over.
 const BLOCK_EXPIRY_OF_CONTACT: u64 = 4;
@@ -81,60 +81,60 @@
 
 /// How a prompt's use of an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineUse {
+pub enum EngineOutcome {
     /// The engine's whole return came, after so long.
-    Whole(DurationMs),
+    Completed(DurationMs),
     /// The engine failed.
     Failed,
     /// The relay or the client broke off, or the engine was never used.
-    BrokenOff,
+    Aborted,
     /// It took no connection.
     Unreachable,
     /// It said that it didn't run it.
     TurnedAway,
     /// The time to send it went by before it was sent.
-    Unsent,
+    NotSent,
 }
 
 /// What may be asked of the relay's machine.
 #[derive(Debug)]
 pub enum RelayCall {
     /// Let this prompt in, now or after a brief wait.
-    Allow(Prompt),
+    AdmitPrompt(Prompt),
     /// May it be sent to that engine now?
-    Dispatch(PromptId, EngineName),
+    DispatchPrompt(PromptId, EngineName),
     /// That engine failed it: name another.
-    Another(PromptId, EngineName),
+    RetryPrompt(PromptId, EngineName),
     /// The prompt has ended, whichever way.
-    Ended(PromptId, EngineUse),
+    PromptEnded(PromptId, EngineOutcome),
     /// Find the route of this request and let it in, now or after a brief wait.
-    Arrive(requests::Arrival),
+    AdmitRequest(requests::Arrival),
     /// That request needs another engine, for this reason.
-    Retry(PromptId, EngineUse),
+    RetryRequest(PromptId, EngineOutcome),
     /// That engine has said nothing for longer than it should.
-    Doubt(EngineName),
+    SuspectEngine(EngineName),
     /// A request failed at that engine.
     EngineFailed(EngineName, Failure),
     /// An engine said how loaded it is.
     EngineLoad(EngineName, EngineLoad),
     /// The request has ended, whichever way.
-    RequestEnded(PromptId, EngineUse),
+    RequestEnded(PromptId, EngineOutcome),
     /// Whether an engine that was left alone took a connection.
-    Reached(EngineName, bool),
+    ConnectionProbed(EngineName, bool),
     /// A call on batches, within a limit.
     Batch(BatchCall, DurationMs),
     /// Hand in a batch.
-    Submit(BatchId, Vec<Item>),
+    SubmitBatch(BatchId, Vec<Item>),
     /// Hand in a batch of routed items, within a limit.
-    SubmitRouted(BatchId, RouteName, Vec<Item>, DurationMs),
+    SubmitRoutedBatch(BatchId, RouteName, Vec<Item>, DurationMs),
     /// May this item's run be sent to that engine now?
     DispatchItem(Run, EngineName),
     /// An item's run ended.
     ItemEnded(Run, RunEnd),
     /// A routed item's run ended, and so did its use of the engine.
-    RoutedEnded(Run, RunEnd, EngineUse),
+    RoutedItemEnded(Run, RunEnd, EngineOutcome),
     /// What a look at an engine's health gave.
-    Looked(EngineName, bool),
+    HealthChecked(EngineName, bool),
     /// Take from now on only what is over in time, and finish what is under way.
     Drain(crate::drain::DrainTimes),
     /// Is the relay ready?
@@ -145,9 +145,9 @@
 
 /// What the relay's machine returns.
 #[derive(Debug)]
-pub enum RelayReturn {
+pub enum RelayResponse {
     /// The prompt holds its cost: send it there.
-    Held(Target),
+    SendTo(Target),
     /// The request was let in.
     Admitted(Box<requests::Admitted>),
     /// Another engine for the request.
@@ -155,13 +155,13 @@
     /// The request is for this batch route.
     OnBatchRoute(topazyard_types::RouteName),
     /// It may be sent if it is sent before that moment.
-    GoUntil(MonotonicMs),
+    SendBefore(MonotonicMs),
     /// What came of a call on batches.
     Batch(BatchResponse),
     /// It drains, at these times.
-    Drains(crate::drain::Draining),
+    Draining(crate::drain::Draining),
     /// Nothing to say.
-    Noted,
+    Done,
     /// Refused.
     Refused(ApiError),
     /// How the relay fares.
@@ -181,13 +181,13 @@
         body: bytes::Bytes,
     },
     /// Run a routed item and report its end.
-    RunRouted(Box<routed_items::RoutedRun>),
+    RunRoutedItem(Box<routed_items::RoutedRun>),
     /// Break off the runs of routed items, and report how far each came.
-    BreakOffRuns,
+    AbortRoutedRuns,
     /// Look at an engine's health and report it.
-    Look(Target),
+    CheckHealth(Target),
     /// Make a connection to an engine, keep it, and report it.
-    Reach(Target),
+    ProbeConnection(Target),
 }
 
 /// How the relay fares.
@@ -198,9 +198,11 @@
     /// Whether it is ready.
     pub ready: bool,
     /// The spec in force here.
-    pub spec: Option<ConfigurationVersion>,
+    #[serde(rename = "spec")]
+    pub configuration: Option<ConfigurationVersion>,
     /// The place read in the feed.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub position: String,
     /// How old the last confirmation of the feed is.
     pub feed_age_ms: Option<DurationMs>,
     /// Prompts that wait.
@@ -212,15 +214,18 @@
     /// Clients' calls on batches under way.
     pub batch_calls: usize,
     /// Ends of items' runs that their shards have not noted yet.
-    pub ends_to_tell: usize,
+    #[serde(rename = "ends_to_tell")]
+    pub unacknowledged_run_ends: usize,
     /// Askings for items whose answers have not come: some may be leased to this relay.
-    pub leases_asked: usize,
+    #[serde(rename = "leases_asked")]
+    pub pending_lease_requests: usize,
     /// How long it has taken nothing new, if it drains.
     pub drained_for_ms: Option<DurationMs>,
     /// Engines that may be used.
     pub engines: usize,
     /// Prompts let in since the start.
-    pub allowed: u64,
+    #[serde(rename = "allowed")]
+    pub admitted: u64,
     /// Prompts refused since the start, by code.
     pub refused: std::collections::BTreeMap<String, u64>,
 }
@@ -228,7 +233,7 @@
 impl RelayHealth {
     /// Whether anything is under way that a relay should finish before it ends.
     pub fn under_way(&self) -> bool {
-        let of_items = self.items + self.leases_asked + self.ends_to_tell;
+        let of_items = self.items + self.pending_lease_requests + self.unacknowledged_run_ends;
         self.waiting + self.holding + self.batch_calls + of_items > 0
     }
 }
@@ -244,7 +249,7 @@
     pub bounds: topazyard_spec::Bounds,
 }
 
-pub(crate) type Out = Vec<Effect<RelayReturn, RelayTask>>;
+pub(crate) type Out = Vec<Effect<RelayResponse, RelayTask>>;
 
 /// One relay.
 pub struct RelayMachine {
@@ -263,7 +268,7 @@
     pub(crate) engines: engines::Engines,
     pub(crate) items: items::Items,
     pub(crate) batches: batches::BatchCalls,
-    allowed: u64,
+    admitted: u64,
     refused: std::collections::BTreeMap<Code, u64>,
     refused_for_room: u32,
     engine_failures: engine_failures::EngineFailures,
@@ -292,7 +297,7 @@
             engines: engines::Engines::default(),
             items: items::Items::default(),
             batches: batches::BatchCalls::new(boot_id),
-            allowed: 0,
+            admitted: 0,
             refused: std::collections::BTreeMap::new(),
             refused_for_room: 0,
             engine_failures: engine_failures::EngineFailures::default(),
@@ -302,7 +307,7 @@
 
     /// Until when the feed's last confirmation counts as fresh.
     pub(crate) fn fresh_until(&self) -> MonotonicMs {
-        self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(FRESH_FOR))
+        self.follower.confirmed_at().map_or(MonotonicMs(0), |at| at.plus(MAX_FEED_AGE))
     }
 
     /// Which of the others this relay must hear and doesn't.
@@ -349,18 +354,18 @@
         RelayHealth {
             node: self.node,
             ready: self.unready(now).is_none(),
-            spec: self.view.configuration.as_ref().map(|(version, _)| *version),
-            place: self.follower.copy().position().to_string(),
+            configuration: self.view.configuration.as_ref().map(|(version, _)| *version),
+            position: self.follower.copy().position().to_string(),
             feed_age_ms: self.follower.confirmed_at().map(|at| now.since(at)),
             waiting: self.admission.waiting() + self.requests.waiting(),
             holding: self.admission.holding() + self.requests.holding(),
             items: self.items.len(),
             batch_calls: self.batches.of_clients(),
-            ends_to_tell: self.batches.ends_to_tell(),
-            leases_asked: self.batches.leases_asked(),
-            drained_for_ms: self.draining.map(|draining| draining.lasted(now)),
+            unacknowledged_run_ends: self.batches.ends_to_tell(),
+            pending_lease_requests: self.batches.leases_asked(),
+            drained_for_ms: self.draining.map(|draining| draining.elapsed(now)),
             engines: self.view.engines.values().filter(|e| self.engines.is_usable(e)).count(),
-            allowed: self.allowed,
+            admitted: self.admitted,
             refused: self
                 .refused
                 .iter()
@@ -423,63 +428,63 @@
         out: &mut Out,
     ) {
         let value = match request {
-            RelayCall::Allow(prompt) => return self.allow(call, prompt, now, out),
+            RelayCall::AdmitPrompt(prompt) => return self.allow(call, prompt, now, out),
             RelayCall::Batch(request, limit) => {
                 return self.call_batch(call, request, limit, now, out);
             }
-            RelayCall::Submit(batch, items) => {
+            RelayCall::SubmitBatch(batch, items) => {
                 return self.submit_batch(call, batch, items, now, out);
             }
-            RelayCall::SubmitRouted(batch, route, items, limit) => {
+            RelayCall::SubmitRoutedBatch(batch, route, items, limit) => {
                 return self.submit_routed(call, (batch, &route), items, limit, now, out);
             }
-            RelayCall::Arrive(arrival) => return self.arrive(call, arrival, now, out),
-            RelayCall::Retry(id, engine_use) => self.retry(id, engine_use, now),
-            RelayCall::Doubt(engine) => {
+            RelayCall::AdmitRequest(arrival) => return self.arrive(call, arrival, now, out),
+            RelayCall::RetryRequest(id, engine_outcome) => self.retry(id, engine_outcome, now),
+            RelayCall::SuspectEngine(engine) => {
                 self.engines.doubt(&engine, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
             RelayCall::EngineFailed(engine, failure) => {
                 self.count_failure(engine, failure);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
             RelayCall::EngineLoad(engine, load) => {
                 self.engines.told_load(&engine, load, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::RequestEnded(id, engine_use) => {
-                self.end_request(id, engine_use, now, out);
-                RelayReturn::Noted
+            RelayCall::RequestEnded(id, engine_outcome) => {
+                self.end_request(id, engine_outcome, now, out);
+                RelayResponse::Done
             }
-            RelayCall::Reached(engine, reached) => {
+            RelayCall::ConnectionProbed(engine, reached) => {
                 self.engines.reached(&engine, reached, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Dispatch(id, engine) => self.dispatch(id, &engine, now),
-            RelayCall::Another(id, failed) => self.another(id, &failed, now),
-            RelayCall::Ended(id, engine_use) => {
-                self.end_prompt(id, engine_use, now, out);
-                RelayReturn::Noted
+            RelayCall::DispatchPrompt(id, engine) => self.dispatch(id, &engine, now),
+            RelayCall::RetryPrompt(id, failed) => self.another(id, &failed, now),
+            RelayCall::PromptEnded(id, engine_outcome) => {
+                self.end_prompt(id, engine_outcome, now, out);
+                RelayResponse::Done
             }
             RelayCall::DispatchItem(run, engine) => self.dispatch_item(run, &engine, now),
-            RelayCall::RoutedEnded(run, end, engine_use) => {
-                self.routed_ended(run, end, engine_use, now, out);
-                RelayReturn::Noted
+            RelayCall::RoutedItemEnded(run, end, engine_outcome) => {
+                self.routed_ended(run, end, engine_outcome, now, out);
+                RelayResponse::Done
             }
             RelayCall::ItemEnded(run, end) => {
                 self.item_ended(run, end, now, out);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Looked(engine, is_well) => {
+            RelayCall::HealthChecked(engine, is_well) => {
                 self.engines.looked(engine, is_well, now);
-                RelayReturn::Noted
+                RelayResponse::Done
             }
-            RelayCall::Drain(times) => RelayReturn::Drains(self.drain(times, now, out)),
+            RelayCall::Drain(times) => RelayResponse::Draining(self.drain(times, now, out)),
             RelayCall::Ready => match self.unready(now) {
-                None => RelayReturn::Noted,
-                Some(code) => RelayReturn::Refused(ApiError::not_run(code)),
+                None => RelayResponse::Done,
+                Some(code) => RelayResponse::Refused(ApiError::not_run(code)),
             },
-            RelayCall::Health => RelayReturn::Health(Box::new(self.health(now))),
+            RelayCall::Health => RelayResponse::Health(Box::new(self.health(now))),
         };
         out.push(Effect::Return { call, value });
     }
@@ -491,10 +496,10 @@
         now: MonotonicMs,
         out: &mut Out,
     ) -> crate::drain::Draining {
-        let begun = crate::drain::Draining::begin(times, now);
+        let begun = crate::drain::Draining::start(times, now);
         let draining = *self.draining.get_or_insert(begun);
-        self.batches.end_calls_by(draining.answers_calls_until());
-        self.drain_items(draining.breaks_off_runs_at(), now, out);
+        self.batches.end_calls_by(draining.batch_call_deadline());
+        self.drain_items(draining.abort_runs_at(), now, out);
         draining
     }
 
@@ -519,7 +524,7 @@
 
 impl Machine for RelayMachine {
     type Call = RelayCall;
-    type Return = RelayReturn;
+    type Return = RelayResponse;
     type Task = RelayTask;
 
     fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Out {
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -6,7 +6,7 @@
 //! while a request needs no round trip.
 
 use super::choice::Wanted;
-use super::{EngineUse, Out, PromptId, RelayMachine, RelayReturn, Target};
+use super::{EngineOutcome, Out, PromptId, RelayMachine, RelayResponse, Target};
 use topazyard_spec::RouteKind;
 use topazyard_types::{
     CallId, Digest, DurationMs, EngineName, HoldId, MonotonicMs, PoolName, Tokens,
@@ -59,7 +59,7 @@
     /// Prompt tokens and most tokens out, if stated.
     pub cost: Option<Tokens>,
     /// When it arrived.
-    pub arrived: MonotonicMs,
+    pub arrived_at: MonotonicMs,
     /// How long its client waits.
     pub wait: DurationMs,
     /// The parts of its prompt.
@@ -76,7 +76,7 @@
     /// Whether a stream may be gone on with from another engine.
     pub resumable: bool,
     /// The most engines that it may be sent to.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// When it is over.
     pub deadline: MonotonicMs,
     /// Where it goes.
@@ -89,9 +89,9 @@
     /// The engine.
     pub target: Target,
     /// Until when it may be sent there by what was checked.
-    pub until: MonotonicMs,
+    pub send_before: MonotonicMs,
     /// After how long without a word the engine is doubted.
-    pub doubt_after: DurationMs,
+    pub suspect_after: DurationMs,
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     pool: PoolName,
     charge: Tokens,
     priority: u32,
-    arrived: MonotonicMs,
+    arrived_at: MonotonicMs,
     deadline: MonotonicMs,
     give_up_at: MonotonicMs,
     prefix: Vec<PromptPart>,
@@ -246,7 +246,7 @@
         let judged = match self.judge_arrival(&arrival, now) {
             Ok(judged) => judged,
             Err(refused) => {
-                if let RelayReturn::Refused(error) = &refused {
+                if let RelayResponse::Refused(error) = &refused {
                     self.count_refusal(error.code);
                 }
                 return out.push(Effect::Return { call, value: refused });
@@ -257,7 +257,7 @@
             pool: judged.pool,
             charge: judged.charge,
             priority: judged.priority,
-            arrived: arrival.arrived,
+            arrived_at: arrival.arrived_at,
             deadline: judged.terms.deadline,
             give_up_at: judged.give_up_at,
             prefix: arrival.prefix,
@@ -276,21 +276,21 @@
     }
 
     /// The checks that need no other process, cheapest first.
-    fn judge_arrival(&self, arrival: &Arrival, now: MonotonicMs) -> Result<Judged, RelayReturn> {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    fn judge_arrival(&self, arrival: &Arrival, now: MonotonicMs) -> Result<Judged, RelayResponse> {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         let view = self.in_force(now).ok_or_else(|| refused(Code::StaleFeed))?;
         let Some((_, bundle)) = &view.configuration else { return Err(refused(Code::StaleFeed)) };
         let Some(route) = view.routes.find(&arrival.host, &arrival.path) else {
             return Err(refused(Code::NoRoute));
         };
         if route.kind == RouteKind::Batch {
-            return Err(RelayReturn::OnBatchRoute(route.name.clone()));
+            return Err(RelayResponse::OnBatchRoute(route.name.clone()));
         }
         let pool = share_of(route, arrival.id).and_then(|name| bundle.pool(name));
         let Some(pool) = pool else { return Err(refused(Code::NoEngine)) };
         let wait = DurationMs(arrival.wait.0.min(route.timeout_ms));
-        let deadline = arrival.arrived.plus(wait);
-        if self.draining.is_some_and(|draining| !draining.may_take(deadline, now)) {
+        let deadline = arrival.arrived_at.plus(wait);
+        if self.draining.is_some_and(|draining| !draining.may_admit(deadline, now)) {
             return Err(refused(Code::Draining));
         }
         if deadline.since(now).0 <= self.engines.best_first_ms(&pool.name) {
@@ -308,17 +308,17 @@
             pool: pool.name.clone(),
             charge: arrival.cost.unwrap_or(UNSTATED_COST),
             priority: route.priority,
-            give_up_at: arrival.arrived.plus(timeout).min(deadline),
+            give_up_at: arrival.arrived_at.plus(timeout).min(deadline),
             terms: Admitted {
                 repeatable: route.is_repeatable(),
                 stream: route.kind == RouteKind::Streaming,
                 resumable: route.resumable && route.kind == RouteKind::Streaming,
-                most_tries: route.max_attempts,
+                max_attempts: route.max_attempts,
                 deadline,
                 chosen: Chosen {
                     target: Target { engine: EngineName::default(), address: self.agent },
-                    until: now,
-                    doubt_after: DurationMs(0),
+                    send_before: now,
+                    suspect_after: DurationMs(0),
                 },
             },
         })
@@ -348,8 +348,8 @@
                 Some(chosen) => {
                     entry.stage = Stage::Held(chosen.target.engine.clone());
                     entry.terms.chosen = chosen;
-                    let value = RelayReturn::Admitted(Box::new(entry.terms.clone()));
-                    self.allowed += 1;
+                    let value = RelayResponse::Admitted(Box::new(entry.terms.clone()));
+                    self.admitted += 1;
                     out.push(Effect::Return { call, value });
                 }
                 None => {
@@ -424,10 +424,10 @@
     fn choose(&mut self, id: PromptId, now: MonotonicMs) -> Option<Chosen> {
         let entry = self.requests.entries.get(&id)?;
         let wanted = Wanted { pool: &entry.pool, prefix: &entry.prefix, not: &entry.tried };
-        let (target, doubt_after) = self.engines.choose(&self.view, &wanted, self.node, now)?;
+        let (target, suspect_after) = self.engines.choose(&self.view, &wanted, self.node, now)?;
         self.engines.open(&target.engine, &entry.prefix, now);
-        let until = self.routes_until().min(now.plus(HOLDS_FOR)).min(entry.deadline);
-        Some(Chosen { target, until, doubt_after })
+        let send_before = self.routes_until().min(now.plus(HOLDS_FOR)).min(entry.deadline);
+        Some(Chosen { target, send_before, suspect_after })
     }
 
     /// Names another engine for a request that one failed or turned away, or whose time to
@@ -435,10 +435,10 @@
     pub(super) fn retry(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
-    ) -> RelayReturn {
-        let refused = |code| RelayReturn::Refused(ApiError::not_run(code));
+    ) -> RelayResponse {
+        let refused = |code| RelayResponse::Refused(ApiError::not_run(code));
         if now >= self.routes_until() {
             return refused(Code::StaleFeed);
         }
@@ -447,10 +447,10 @@
         };
         let Stage::Held(engine) = &entry.stage else { return refused(Code::Deadline) };
         let engine = engine.clone();
-        if engine_use != EngineUse::Unsent {
+        if engine_outcome != EngineOutcome::NotSent {
             entry.tried.push(engine.clone());
         }
-        self.engines.close(&engine, engine_use, now);
+        self.engines.close(&engine, engine_outcome, now);
         let chosen = self.choose(id, now);
         let Some(entry) = self.requests.entries.get_mut(&id) else {
             return refused(Code::Deadline);
@@ -458,7 +458,7 @@
         match chosen {
             Some(chosen) => {
                 entry.stage = Stage::Held(chosen.target.engine.clone());
-                RelayReturn::Chosen(Box::new(chosen))
+                RelayResponse::Chosen(Box::new(chosen))
             }
             None => {
                 // It has no engine any more; what it holds goes with its end.
@@ -472,7 +472,7 @@
     pub(super) fn end_request(
         &mut self,
         id: PromptId,
-        engine_use: EngineUse,
+        engine_outcome: EngineOutcome,
         now: MonotonicMs,
         out: &mut Out,
     ) {
@@ -484,9 +484,9 @@
             }
         }
         if let Stage::Held(engine) = &entry.stage {
-            self.engines.close(engine, engine_use, now);
+            self.engines.close(engine, engine_outcome, now);
         }
-        if let EngineUse::Whole(first) = engine_use {
+        if let EngineOutcome::Completed(first) = engine_outcome {
             self.engines.first_word(&entry.pool, first);
         }
         self.serve_room(&entry.pool, now, out);
@@ -501,7 +501,7 @@
 
     fn refuse_request(&mut self, call: CallId, code: Code, out: &mut Out) {
         self.count_refusal(code);
-        let value = RelayReturn::Refused(ApiError::not_run(code));
+        let value = RelayResponse::Refused(ApiError::not_run(code));
         out.push(Effect::Return { call, value });
     }
 
@@ -518,12 +518,12 @@
     /// Checks, once a drain's time to serve is over, that nothing is left of what was taken late.
     fn check_taken_with_time_left(&mut self, now: MonotonicMs) {
         let Some(draining) = self.draining else { return };
-        if self.requests.drain_checked || now < draining.serves_until().plus(END_TOLD_WITHIN) {
+        if self.requests.drain_checked || now < draining.serving_deadline().plus(END_TOLD_WITHIN) {
             return;
         }
         self.requests.drain_checked = true;
-        let late_from = draining.still_sent_until();
-        let left = self.requests.entries.values().filter(|entry| entry.arrived >= late_from);
+        let late_from = draining.deregistered_at();
+        let left = self.requests.entries.values().filter(|entry| entry.arrived_at >= late_from);
         let left = left.count();
         invariants::check(left == 0, Invariant::TakenWithTimeLeft, || format!("left={left}"));
     }
--- a/programs/topazyard-relay/src/machine/routed_items.rs
+++ b/programs/topazyard-relay/src/machine/routed_items.rs
@@ -26,7 +26,7 @@
     /// What an earlier run brought.
     pub progress: Progress,
     /// After how long without a byte from the engine the run is broken off.
-    pub silence: DurationMs,
+    pub silence_timeout: DurationMs,
 }
 
 /// The pool that an item's run goes to: by the weights, the same for each run of the item.
--- a/programs/topazyard-relay/src/metrics.rs
+++ b/programs/topazyard-relay/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::front::{Handle, ended, loads};
 use crate::machine::RelayHealth;
-use crate::{RelayCall, RelayReturn};
+use crate::{RelayCall, RelayResponse};
 use topazyard_wire::http::inward::{Drain, Stage};
 use topazyard_wire::metrics::{Figures, Writer};
 
@@ -25,7 +25,7 @@
 async fn fetch(handle: Handle, drain: Drain) -> Option<RelayFigures> {
     let stage = *drain.borrow();
     match handle.call(RelayCall::Health).await {
-        Ok(RelayReturn::Health(health)) => Some(RelayFigures::new(*health, stage)),
+        Ok(RelayResponse::Health(health)) => Some(RelayFigures::new(*health, stage)),
         _ => None,
     }
 }
@@ -47,7 +47,7 @@
             let help = "Age of the last confirmation of the feed";
             to.fraction("relay_feed_age_seconds", help, seconds(age.0))?;
         }
-        let version = health.spec.map_or(0, |version| version.0);
+        let version = health.configuration.map_or(0, |version| version.0);
         to.gauge("relay_configuration_version", "Version in force, 0 before the first", version)?;
         to.gauge("relay_engines", "Engines that may be used", health.engines as u64)
     }
@@ -61,12 +61,12 @@
             ("holding", health.holding),
             ("items", health.items),
             ("batch_calls", health.batch_calls),
-            ("ends_to_tell", health.ends_to_tell),
+            ("ends_to_tell", health.unacknowledged_run_ends),
         ];
         let under_way = under_way.map(|(at, count)| (at, count as u64));
         let help = "Work under way, by what it is";
         to.gauges("relay_under_way", help, "work", under_way)?;
-        to.counter("relay_requests_taken", "Requests that were let in", health.allowed)?;
+        to.counter("relay_requests_taken", "Requests that were let in", health.admitted)?;
         let refused = health.refused.iter().map(|(code, count)| (code, *count));
         to.counters("relay_requests_refused", "Requests refused, by code", "code", refused)?;
         let help =
--- a/programs/topazyard-relay/src/prompt/mod.rs
+++ b/programs/topazyard-relay/src/prompt/mod.rs
@@ -1,5 +1,5 @@
 //! A prompt's way through the relay.
 
-pub mod chart;
+pub mod state_machine;
 
-pub use chart::{Chart, Failure, Next, State};
+pub use state_machine::{Failure, FailureAction, RequestStateMachine, State};
