--- a/programs/topazyard-relay/src/prompt/chart.rs
+++ b/programs/topazyard-relay/src/prompt/state_machine.rs
@@ -26,9 +26,9 @@
     /// Part of the return may have reached the client.
     Relaying,
     /// The whole return was relayed.
-    Whole,
+    Completed,
     /// The return broke off, and the client's connection with it.
-    Cut,
+    Interrupted,
     /// It got an error for its final answer.
     Refused,
 }
@@ -39,11 +39,11 @@
     /// No connection could be made: nothing was sent.
     NotConnected,
     /// The connection broke, or the return made no sense.
-    Broken,
+    ConnectionLost,
     /// What came in the place of the return belongs to no request that was sent.
-    Foreign,
+    MismatchedResponse,
     /// The engine said that it failed.
-    Failed,
+    EngineError,
     /// Nothing came in time.
     TimedOut,
     /// The engine said that it did not run it, and never will.
@@ -52,13 +52,13 @@
 
 /// What is to be done about a failure.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Next {
+pub enum FailureAction {
     /// Try another engine.
-    Another,
+    TryAnotherEngine,
     /// Give this as the final answer, at once.
-    Answer(ApiError),
+    Respond(ApiError),
     /// Break the client's connection.
-    Break,
+    CloseConnection,
 }
 
 /// How often a prompt without a route may be sent to an engine, and any may find one that takes no
@@ -67,7 +67,7 @@
 
 /// A prompt's way.
 #[derive(Debug)]
-pub struct Chart {
+pub struct RequestStateMachine {
     state: State,
     repeatable: bool,
     /// Whether a return that was begun may be gone on with from another engine.
@@ -84,20 +84,20 @@
     begun: bool,
 }
 
-impl Chart {
+impl RequestStateMachine {
     /// A prompt that has just arrived.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{Chart, Failure, Next, State};
+    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction, State};
     /// use topazyard_types::MonotonicMs;
-    /// let mut chart = Chart::arrived(false, MonotonicMs(1_000));
-    /// chart.wait();
-    /// chart.hold();
-    /// chart.dispatch();
+    /// let mut state_machine = RequestStateMachine::arrived(false, MonotonicMs(1_000));
+    /// state_machine.enqueue();
+    /// state_machine.hold();
+    /// state_machine.dispatch();
     /// // Sent and not repeatable: never sent again, and never said not to have run.
-    /// let Next::Answer(error) = chart.fail(Failure::Broken, MonotonicMs(10)) else { panic!() };
+    /// let FailureAction::Respond(error) = state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)) else { panic!() };
     /// assert_eq!(error.ran, topazyard_wire::Execution::MayHaveRun);
-    /// assert_eq!(chart.state(), State::Refused);
+    /// assert_eq!(state_machine.state(), State::Refused);
     /// ```
     pub fn arrived(repeatable: bool, deadline: MonotonicMs) -> Self {
         Self {
@@ -117,18 +117,18 @@
     /// A request on a route that has just been let in: what its route says decides.
     ///
     /// ```
-    /// use topazyard_relay::prompt::{Chart, Failure, Next};
+    /// use topazyard_relay::prompt::{RequestStateMachine, Failure, FailureAction};
     /// use topazyard_types::MonotonicMs;
-    /// let mut chart = Chart::on_route(true, true, 2, MonotonicMs(1_000));
-    /// chart.wait();
-    /// chart.hold();
-    /// chart.dispatch();
-    /// chart.relay();
+    /// let mut state_machine = RequestStateMachine::on_route(true, true, 2, MonotonicMs(1_000));
+    /// state_machine.enqueue();
+    /// state_machine.hold();
+    /// state_machine.dispatch();
+    /// state_machine.start_relaying();
     /// // A resumable stream that broke midway goes on elsewhere, once.
-    /// assert_eq!(chart.fail(Failure::Broken, MonotonicMs(10)), Next::Another);
-    /// chart.hold();
-    /// chart.dispatch();
-    /// assert_eq!(chart.fail(Failure::Broken, MonotonicMs(10)), Next::Break);
+    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::TryAnotherEngine);
+    /// state_machine.hold();
+    /// state_machine.dispatch();
+    /// assert_eq!(state_machine.fail(Failure::ConnectionLost, MonotonicMs(10)), FailureAction::CloseConnection);
     /// ```
     pub fn on_route(
         repeatable: bool,
@@ -154,7 +154,7 @@
     }
 
     /// It goes to the queue.
-    pub fn wait(&mut self) {
+    pub fn enqueue(&mut self) {
         self.change(&[State::Arrived], State::Waiting);
     }
 
@@ -173,21 +173,21 @@
     }
 
     /// Its bytes did not go out after all: the connection was closed before the first of them.
-    pub fn unsent(&mut self) {
+    pub fn undo_dispatch(&mut self) {
         self.tries -= 1;
         self.sent = self.sent_before;
         self.change(&[State::Dispatched], State::Held);
     }
 
     /// The head of the return is here and goes to the client.
-    pub fn relay(&mut self) {
+    pub fn start_relaying(&mut self) {
         self.begun = true;
         self.change(&[State::Dispatched], State::Relaying);
     }
 
     /// The whole return was relayed.
     pub fn complete(&mut self) {
-        self.change(&[State::Relaying], State::Whole);
+        self.change(&[State::Relaying], State::Completed);
     }
 
     /// It is refused with this error, which is made to say so if an earlier try was sent.
@@ -202,7 +202,7 @@
     }
 
     /// Whether no other engine may be tried after this one.
-    pub fn is_last_try(&self) -> bool {
+    pub fn is_last_attempt(&self) -> bool {
         self.tries >= self.most_tries
     }
 
@@ -215,20 +215,20 @@
     }
 
     /// Whether a head was relayed, so that what follows can only go on or break off.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_relayed_head(&self) -> bool {
         self.begun
     }
 
     /// What a failure means here.
-    pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> Next {
+    pub fn fail(&mut self, failure: Failure, now: MonotonicMs) -> FailureAction {
         let in_time = now < self.deadline;
         match self.state {
             State::Relaying | State::Dispatched if self.begun => {
                 if self.resumable && in_time && self.tries < self.most_tries {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
-                self.change(&[State::Relaying, State::Dispatched], State::Cut);
-                Next::Break
+                self.change(&[State::Relaying, State::Dispatched], State::Interrupted);
+                FailureAction::CloseConnection
             }
             State::Dispatched => {
                 if failure == Failure::TurnedAway {
@@ -236,28 +236,28 @@
                 }
                 let may_repeat = self.repeatable || failure == Failure::TurnedAway;
                 if may_repeat && in_time && self.tries < self.most_tries {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
                 let error = match failure {
                     Failure::TurnedAway => ApiError::not_run(Code::TurnedAway),
                     Failure::TimedOut => ApiError::may_have_run(Code::EngineTimeout),
-                    Failure::Broken
-                    | Failure::Foreign
-                    | Failure::Failed
+                    Failure::ConnectionLost
+                    | Failure::MismatchedResponse
+                    | Failure::EngineError
                     | Failure::NotConnected => ApiError::may_have_run(Code::EngineFailed),
                 };
-                Next::Answer(self.refuse(error))
+                FailureAction::Respond(self.refuse(error))
             }
             _ => {
                 self.unconnected += 1;
                 if in_time && self.unconnected + self.tries < self.most_tries.max(MOST_TRIES) {
-                    return Next::Another;
+                    return FailureAction::TryAnotherEngine;
                 }
                 if self.begun {
-                    self.change(&[State::Held, State::Relaying], State::Cut);
-                    return Next::Break;
+                    self.change(&[State::Held, State::Relaying], State::Interrupted);
+                    return FailureAction::CloseConnection;
                 }
-                Next::Answer(self.refuse(ApiError::not_run(Code::NoEngine)))
+                FailureAction::Respond(self.refuse(ApiError::not_run(Code::NoEngine)))
             }
         }
     }
--- a/programs/topazyard-relay/src/run.rs
+++ b/programs/topazyard-relay/src/run.rs
@@ -3,7 +3,7 @@
 use crate::drain::DrainTimes;
 use crate::front::engine::span;
 use crate::front::{Handle, connections, routed};
-use crate::{RelayCall, RelayReturn};
+use crate::{RelayCall, RelayResponse};
 use topazyard_types::DurationMs;
 use topazyard_wire::driver::StartError;
 use topazyard_wire::http::inward;
@@ -25,7 +25,7 @@
         /// The names.
         names: routed::Names,
         /// For how long clients may still be sent here after the relay said that it isn't ready.
-        still_sent: DurationMs,
+        deregistration_delay: DurationMs,
     },
 }
 
@@ -59,15 +59,15 @@
         tokio::spawn(sweep());
         let (drain, drains) = tokio::sync::watch::channel(inward::Stage::Serving);
         crate::metrics::serve(settings.metrics, &handle, &drains).await;
-        let still_sent = match &front {
+        let deregistration_delay = match &front {
             Front::Own => DurationMs(0),
-            Front::Routes { still_sent, .. } => *still_sent,
+            Front::Routes { deregistration_delay, .. } => *deregistration_delay,
         };
         if let Some(ready) = ready {
             tokio::spawn(serve(ready, handle.clone(), front.clone(), drains.clone()));
         }
         let served = serve(listener, handle.clone(), front, drains);
-        let times = DrainTimes::within(settings.bounds.grace, still_sent);
+        let times = DrainTimes::within(settings.bounds.grace, deregistration_delay);
         tokio::select! {
             biased;
             () = served => spdlog::info!("ended in order"),
@@ -116,15 +116,15 @@
 ) {
     topazyard_wire::driver::terminated().await;
     let clock = handle.clock();
-    let Ok(RelayReturn::Drains(draining)) = handle.call(RelayCall::Drain(times)).await else {
+    let Ok(RelayResponse::Draining(draining)) = handle.call(RelayCall::Drain(times)).await else {
         return;
     };
-    while clock.now() < draining.ends_at() {
+    while clock.now() < draining.exit_at() {
         // A machine that is behind may have anything under way, and must not put the end off.
-        let limit = span(draining.until_next_look(DRAIN_LOOK, clock.now()));
+        let limit = span(draining.next_check_delay(DRAIN_LOOK, clock.now()));
         let looked = tokio::time::timeout(limit, handle.call(RelayCall::Health)).await;
         let health = match &looked {
-            Ok(Ok(RelayReturn::Health(health))) => Some(health),
+            Ok(Ok(RelayResponse::Health(health))) => Some(health),
             Ok(_) => return,
             Err(_) => None,
         };
@@ -135,7 +135,7 @@
             spdlog::info!("drain stage {stage:?} {counts}");
             drain.send_replace(stage);
         }
-        tokio::time::sleep(span(draining.until_next_look(DRAIN_LOOK, clock.now()))).await;
+        tokio::time::sleep(span(draining.next_check_delay(DRAIN_LOOK, clock.now()))).await;
     }
     give_last_answers(drain).await;
 }
@@ -152,7 +152,7 @@
 
 /// Tells what is given up with the process.
 async fn note_given_up(handle: &Handle) {
-    if let Ok(RelayReturn::Health(health)) = handle.call(RelayCall::Health).await {
+    if let Ok(RelayResponse::Health(health)) = handle.call(RelayCall::Health).await {
         spdlog::error!("out of time, given up: {}", under_way(&health));
     }
 }
--- a/programs/topazyard-relay/tests/admission.rs
+++ b/programs/topazyard-relay/tests/admission.rs
@@ -1,8 +1,8 @@
 //! Admission as the relay's machine does it, with the others' words put in by hand.
 
 use topazyard_relay::drain::DrainTimes;
-use topazyard_relay::machine::{EngineUse, Prompt, PromptId};
-use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
+use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId};
+use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
 use topazyard_types::{
     CallId, DurationMs, EngineName, Epoch, HoldId, LogPosition, MonotonicMs, NodeId, Sequence,
     ShardId, Tokens,
@@ -26,7 +26,7 @@
     machine: RelayMachine,
     now: MonotonicMs,
     last_call: u64,
-    returned: Vec<(CallId, RelayReturn)>,
+    returned: Vec<(CallId, RelayResponse)>,
     asked: Vec<CounterBody>,
     feed_nonce: u64,
 }
@@ -63,7 +63,9 @@
                     self.feed_nonce = nonce;
                 }
                 Effect::Return { call, value } => self.returned.push((call, value)),
-                Effect::Start(RelayTask::Look(_)) | Effect::Send { .. } | Effect::Note { .. } => {}
+                Effect::Start(RelayTask::CheckHealth(_))
+                | Effect::Send { .. }
+                | Effect::Note { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -150,7 +152,7 @@
             deadline: MonotonicMs(self.now.0 + wait_ms),
             prefix: Vec::new(),
         };
-        self.call(RelayCall::Allow(prompt))
+        self.call(RelayCall::AdmitPrompt(prompt))
     }
 
     fn allow(&mut self, id: u64, wait_ms: u64) -> CallId {
@@ -165,13 +167,13 @@
         holds.collect()
     }
 
-    fn returned(&self, call: CallId) -> Option<&RelayReturn> {
+    fn returned(&self, call: CallId) -> Option<&RelayResponse> {
         self.returned.iter().find(|(of, _)| *of == call).map(|(_, value)| value)
     }
 
     fn code(&self, call: CallId) -> Option<Code> {
         match self.returned(call) {
-            Some(RelayReturn::Refused(error)) => Some(error.code),
+            Some(RelayResponse::Refused(error)) => Some(error.code),
             _ => None,
         }
     }
@@ -187,14 +189,16 @@
     let mut relay = Relay::ready();
     let call = relay.allow(1, 60_000);
     relay.settle(true);
-    assert!(matches!(relay.returned(call), Some(RelayReturn::Held(_))));
+    assert!(matches!(relay.returned(call), Some(RelayResponse::SendTo(_))));
     let engine = EngineName::from("e1");
-    let call = relay.call(RelayCall::Dispatch(PromptId(1), engine.clone()));
-    let Some(RelayReturn::GoUntil(until)) = relay.returned(call) else { panic!("not allowed") };
+    let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), engine.clone()));
+    let Some(RelayResponse::SendBefore(until)) = relay.returned(call) else {
+        panic!("not allowed")
+    };
     assert!(*until <= MonotonicMs(relay.now.0 + 2_000));
     // It froze: nothing was heard meanwhile, and the first thing it does is to go on.
     relay.now.0 += 5_000;
-    let call = relay.call(RelayCall::Dispatch(PromptId(1), engine));
+    let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), engine));
     assert_eq!(relay.code(call), Some(Code::StaleFeed));
 }
 
@@ -207,7 +211,7 @@
         relay.settle(true);
         relay.tick(300);
         relay.hear_news(2, model, state);
-        let call = relay.call(RelayCall::Dispatch(PromptId(1), "e1".into()));
+        let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), "e1".into()));
         assert_eq!(relay.code(call), Some(code));
     }
 }
@@ -217,8 +221,8 @@
     let mut relay = Relay::ready();
     relay.allow(1, 60_000);
     relay.settle(true);
-    relay.call(RelayCall::Ended(PromptId(1), EngineUse::BrokenOff));
-    relay.call(RelayCall::Ended(PromptId(1), EngineUse::BrokenOff));
+    relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
+    relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
     let released = relay.asked.iter().filter(|b| matches!(b, CounterBody::Release(_))).count();
     assert_eq!(released, 1);
 }
@@ -227,7 +231,7 @@
 fn a_grant_that_nobody_waits_for_is_given_back() {
     let mut relay = Relay::ready();
     relay.allow(1, 60_000);
-    relay.call(RelayCall::Ended(PromptId(1), EngineUse::BrokenOff));
+    relay.call(RelayCall::PromptEnded(PromptId(1), EngineOutcome::Aborted));
     let before = relay.asked.len();
     relay.settle(true);
     assert!(relay.asked[before..].iter().any(|body| matches!(body, CounterBody::Release(_))));
@@ -273,7 +277,7 @@
     let worth = relay.allow_model(3, "worth", 60_000);
     relay.tick(50);
     relay.settle(true);
-    assert!(matches!(relay.returned(worth), Some(RelayReturn::Held(_))));
+    assert!(matches!(relay.returned(worth), Some(RelayResponse::SendTo(_))));
     assert!(relay.returned(usual).is_none());
 }
 
@@ -293,8 +297,8 @@
     relay.call(RelayCall::Drain(DrainTimes::within(DurationMs(8_000), DurationMs(0))));
     let call = relay.allow(2, 60_000);
     assert_eq!(relay.code(call), Some(Code::Draining));
-    let call = relay.call(RelayCall::Dispatch(PromptId(1), "e1".into()));
-    assert!(matches!(relay.returned(call), Some(RelayReturn::GoUntil(_))));
+    let call = relay.call(RelayCall::DispatchPrompt(PromptId(1), "e1".into()));
+    assert!(matches!(relay.returned(call), Some(RelayResponse::SendBefore(_))));
 }
 
 #[test]
--- a/programs/topazyard-relay/tests/drain.rs
+++ b/programs/topazyard-relay/tests/drain.rs
@@ -9,7 +9,7 @@
 fn draining(grace_ms: u32, still_sent_ms: u32) -> (DrainTimes, Draining) {
     let grace = DurationMs(grace_ms.into());
     let times = DrainTimes::within(grace, DurationMs(still_sent_ms.into()));
-    (times, Draining::begin(times, BEGUN))
+    (times, Draining::start(times, BEGUN))
 }
 
 // Else a process is killed with responses that it has not sent, or gives up while it has time.
@@ -17,11 +17,11 @@
 fn its_times_come_in_order_within_any_grace() {
     bolero::check!().with_type::<(u32, u32)>().for_each(|&(grace_ms, still_sent_ms)| {
         let (times, _) = draining(grace_ms, still_sent_ms);
-        assert!(times.still_sent <= times.serves, "{times:?}");
-        assert!(times.serves <= times.ends, "{times:?}");
-        assert!(times.ends.0 <= u64::from(grace_ms), "{times:?}");
+        assert!(times.deregistration_delay <= times.serving, "{times:?}");
+        assert!(times.serving <= times.exit, "{times:?}");
+        assert!(times.exit.0 <= u64::from(grace_ms), "{times:?}");
         if grace_ms >= 16 {
-            assert!(times.serves < times.ends, "nothing is left to send last answers: {times:?}");
+            assert!(times.serving < times.exit, "nothing is left to send last answers: {times:?}");
         }
     });
 }
@@ -34,9 +34,9 @@
             let (times, draining) = draining(grace_ms, still_sent_ms);
             let now = BEGUN.plus(DurationMs(after_ms.into()));
             let deadline = now.plus(DurationMs(wait_ms.into()));
-            let is_late = now >= BEGUN.plus(times.still_sent);
-            if is_late && draining.may_take(deadline, now) {
-                assert!(deadline <= draining.serves_until());
+            let is_late = now >= BEGUN.plus(times.deregistration_delay);
+            if is_late && draining.may_admit(deadline, now) {
+                assert!(deadline <= draining.serving_deadline());
             }
         },
     );
@@ -54,10 +54,10 @@
             for (step_ms, is_under_way) in steps {
                 now = now.plus(DurationMs(u64::from(*step_ms) * 10));
                 let stage = draining.stage(*is_under_way, now);
-                if now < BEGUN.plus(times.still_sent) {
+                if now < BEGUN.plus(times.deregistration_delay) {
                     assert_eq!(stage, Stage::Closing);
                 }
-                if now >= draining.serves_until() {
+                if now >= draining.serving_deadline() {
                     assert_eq!(stage, Stage::Overdue);
                 }
                 // Work that comes while connections are closed may put the end off, not undo it.
--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -82,7 +82,7 @@
         }));
         while !matches!(
             asked.call(topazyard_relay::RelayCall::Ready).await,
-            Ok(topazyard_relay::RelayReturn::Noted)
+            Ok(topazyard_relay::RelayResponse::Done)
         ) {
             tokio::task::yield_now().await;
         }
--- a/programs/topazyard-relay/tests/invariants.rs
+++ b/programs/topazyard-relay/tests/invariants.rs
@@ -1,21 +1,25 @@
 //! Each invariant that the relay checks, seen violated.
 
 use topazyard_relay::front::ended::{Unanswered, check_all_answered};
-use topazyard_relay::prompt::{Chart, State};
+use topazyard_relay::prompt::{RequestStateMachine, State};
 use topazyard_types::MonotonicMs;
 use topazyard_wire::invariants::{Invariant, violations};
 
 #[test]
 fn a_request_that_leaves_its_chart_is_a_violation() {
-    let mut chart = Chart::on_route(false, false, 1, MonotonicMs(1_000));
-    chart.wait();
-    chart.hold();
-    chart.dispatch();
-    chart.relay();
-    chart.complete();
-    assert_eq!((chart.state(), violations(Invariant::RequestFollowsItsChart)), (State::Whole, 0));
+    let mut state_machine = RequestStateMachine::on_route(false, false, 1, MonotonicMs(1_000));
+    state_machine.enqueue();
+    state_machine.hold();
+    state_machine.dispatch();
+    state_machine.start_relaying();
+    state_machine.complete();
+    assert_eq!(
+        (state_machine.state(), violations(Invariant::RequestFollowsItsChart)),
+        (State::Completed, 0)
+    );
     // It ended: a second end panics in debug builds, and is counted in every build.
-    let ended_again = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| chart.complete()));
+    let ended_again =
+        std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| state_machine.complete()));
     assert_eq!(ended_again.is_err(), cfg!(debug_assertions));
     assert_eq!(violations(Invariant::RequestFollowsItsChart), 1);
 }
--- a/programs/topazyard-relay/tests/loopback/mod.rs
+++ b/programs/topazyard-relay/tests/loopback/mod.rs
@@ -160,7 +160,7 @@
         tokio::spawn(inward::serve_draining(http, answer, drain));
         while !matches!(
             asked.call(topazyard_relay::RelayCall::Ready).await,
-            Ok(topazyard_relay::RelayReturn::Noted)
+            Ok(topazyard_relay::RelayResponse::Done)
         ) {
             tokio::task::yield_now().await;
         }
--- a/programs/topazyard-relay/tests/requests.rs
+++ b/programs/topazyard-relay/tests/requests.rs
@@ -2,9 +2,9 @@
 
 use topazyard_relay::drain::DrainTimes;
 use topazyard_relay::machine::requests::{Admitted, Arrival, PromptPart};
-use topazyard_relay::machine::{EngineLoad, EngineUse, PromptId};
+use topazyard_relay::machine::{EngineLoad, EngineOutcome, PromptId};
 use topazyard_relay::prompt::Failure;
-use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
+use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
 use topazyard_spec::EngineState;
 use topazyard_types::{
     CallId, ConfigurationVersion, Digest, DurationMs, EngineName, Epoch, HoldId, LogPosition,
@@ -28,7 +28,7 @@
 /// What may be held of a pool while the counter says nothing.
 const UNASKED: u64 = LIMIT / 512;
 const SPAN_MS: u64 = 750;
-const FIRST: EngineUse = EngineUse::Whole(DurationMs(60));
+const FIRST: EngineOutcome = EngineOutcome::Completed(DurationMs(60));
 
 fn at(port: u16) -> std::net::SocketAddr {
     std::net::SocketAddr::from(([127, 0, 0, 1], port))
@@ -74,7 +74,7 @@
     health: Vec<Health>,
     reached_for: Vec<EngineName>,
     notes: Vec<String>,
-    returned: std::collections::BTreeMap<CallId, RelayReturn>,
+    returned: std::collections::BTreeMap<CallId, RelayResponse>,
 }
 
 impl Relay {
@@ -145,7 +145,9 @@
                 }
                 Effect::Return { call, value } => drop(self.returned.insert(call, value)),
                 Effect::Note { text, .. } => self.notes.push(text),
-                Effect::Start(RelayTask::Reach(target)) => self.reached_for.push(target.engine),
+                Effect::Start(RelayTask::ProbeConnection(target)) => {
+                    self.reached_for.push(target.engine)
+                }
                 _ => {}
             }
         }
@@ -232,24 +234,24 @@
             host: HOST.to_owned(),
             path: path.to_owned(),
             cost: Some(Tokens(cost)),
-            arrived: self.now,
+            arrived_at: self.now,
             wait: DurationMs(wait_ms),
             prefix: prefix.to_vec(),
         };
-        self.call(RelayCall::Arrive(arrival))
+        self.call(RelayCall::AdmitRequest(arrival))
     }
 
     fn ask(&mut self, cost: u64) -> CallId {
         self.arrive("/x", cost, 10_000, &[])
     }
 
-    fn end(&mut self, request: CallId, engine_use: EngineUse) {
-        self.call(RelayCall::RequestEnded(PromptId(request.0), engine_use));
+    fn end(&mut self, request: CallId, engine_outcome: EngineOutcome) {
+        self.call(RelayCall::RequestEnded(PromptId(request.0), engine_outcome));
     }
 
     fn admitted(&self, request: CallId) -> Option<&Admitted> {
         match self.returned.get(&request) {
-            Some(RelayReturn::Admitted(terms)) => Some(terms),
+            Some(RelayResponse::Admitted(terms)) => Some(terms),
             _ => None,
         }
     }
@@ -260,7 +262,7 @@
 
     fn code(&self, request: CallId) -> Option<Code> {
         match self.returned.get(&request) {
-            Some(RelayReturn::Refused(error)) => Some(error.code),
+            Some(RelayResponse::Refused(error)) => Some(error.code),
             _ => None,
         }
     }
@@ -443,15 +445,15 @@
         host: "other.example".to_owned(),
         path: "/x".to_owned(),
         cost: None,
-        arrived: relay.now,
+        arrived_at: relay.now,
         wait: DurationMs(1_000),
         prefix: Vec::new(),
     };
-    let stray = relay.call(RelayCall::Arrive(arrival));
+    let stray = relay.call(RelayCall::AdmitRequest(arrival));
     assert_eq!(relay.code(stray).map(Code::status), Some(404));
     let batch = relay.arrive("/b/7", 1, 1_000, &[]);
     let of = relay.returned.get(&batch);
-    assert!(matches!(of, Some(RelayReturn::OnBatchRoute(name)) if name.0 == "batch"));
+    assert!(matches!(of, Some(RelayResponse::OnBatchRoute(name)) if name.0 == "batch"));
     assert!(relay.asked.is_empty());
 }
 
@@ -462,7 +464,7 @@
     let late = relay.arrive("/x", 1, 0, &[]);
     assert_eq!(relay.code(late), Some(Code::Deadline));
     let request = relay.ask(1);
-    relay.end(request, EngineUse::Whole(DurationMs(300)));
+    relay.end(request, EngineOutcome::Completed(DurationMs(300)));
     let late = relay.arrive("/x", 1, 290, &[]);
     assert_eq!(relay.code(late), Some(Code::Deadline));
     let request = relay.arrive("/x", 1, 1_000, &[]);
@@ -479,7 +481,10 @@
         let request = relay.ask(1);
         assert_eq!(relay.code(request), code, "{age_ms}");
         if let Some(terms) = relay.admitted(request) {
-            assert!(terms.chosen.until.0 <= relay.now.0 + 1, "it may not be sent later either");
+            assert!(
+                terms.chosen.send_before.0 <= relay.now.0 + 1,
+                "it may not be sent later either"
+            );
         }
     }
 }
@@ -584,7 +589,7 @@
         let request = relay.arrive("/x", 1, 1_000, &parts(1, own));
         let is_it = relay.engine(request) == *engine;
         failed += u32::from(is_it);
-        relay.end(request, if is_it { EngineUse::Failed } else { FIRST });
+        relay.end(request, if is_it { EngineOutcome::Failed } else { FIRST });
         relay.pass(25);
     }
     panic!("it was not chosen");
@@ -609,9 +614,9 @@
     };
     assert!(!is_chosen(&mut relay, 4_000));
     assert!(relay.reached_for.contains(&engine), "a connection is tried");
-    relay.call(RelayCall::Reached(engine.clone(), false));
+    relay.call(RelayCall::ConnectionProbed(engine.clone(), false));
     assert!(!is_chosen(&mut relay, 2_000), "it took none");
-    relay.call(RelayCall::Reached(engine.clone(), true));
+    relay.call(RelayCall::ConnectionProbed(engine.clone(), true));
     assert!(is_chosen(&mut relay, 1_000));
 }
 
@@ -625,10 +630,10 @@
     let other = EngineName("m4".to_owned());
     let gone = EngineName("gone".to_owned());
     for (engine, failure) in [
-        (&other, Failure::Broken),
-        (&engine, Failure::Foreign),
-        (&engine, Failure::Foreign),
-        (&gone, Failure::Broken),
+        (&other, Failure::ConnectionLost),
+        (&engine, Failure::MismatchedResponse),
+        (&engine, Failure::MismatchedResponse),
+        (&gone, Failure::ConnectionLost),
         (&engine, Failure::TimedOut),
     ] {
         relay.call(RelayCall::EngineFailed(engine.clone(), failure));
@@ -645,7 +650,7 @@
     fail_engine(&mut relay, &engine, 2);
     relay.pass(100);
     assert_eq!(relay.notes, [format!("engine {engine} is paused after failures")]);
-    relay.call(RelayCall::Reached(engine.clone(), true));
+    relay.call(RelayCall::ConnectionProbed(engine.clone(), true));
     relay.notes.clear();
     for own in 0..100 {
         let request = relay.arrive("/x", 1, 1_000, &parts(1, own));
@@ -692,15 +697,16 @@
     let request = relay.arrive("/x", 1, 1_000, &parts(1, 1));
     let mut had = vec![relay.engine(request)];
     for _ in 0..11 {
-        let call = relay.call(RelayCall::Retry(PromptId(request.0), EngineUse::TurnedAway));
-        let Some(RelayReturn::Chosen(chosen)) = relay.returned.get(&call) else {
+        let call =
+            relay.call(RelayCall::RetryRequest(PromptId(request.0), EngineOutcome::TurnedAway));
+        let Some(RelayResponse::Chosen(chosen)) = relay.returned.get(&call) else {
             panic!("{:?}", relay.returned.get(&call));
         };
         let engine = chosen.target.engine.clone();
         assert!(!had.contains(&engine), "{engine:?} again");
         had.push(engine);
     }
-    let call = relay.call(RelayCall::Retry(PromptId(request.0), EngineUse::TurnedAway));
+    let call = relay.call(RelayCall::RetryRequest(PromptId(request.0), EngineOutcome::TurnedAway));
     assert_eq!(relay.code(call), Some(Code::NoEngine), "it had all");
 }
 
@@ -712,7 +718,7 @@
     assert!(relay.admitted(request).is_some());
     relay.pass(1_200);
     assert_eq!(relay.told_used.last(), Some(&40));
-    relay.end(request, EngineUse::Whole(DurationMs(9)));
+    relay.end(request, EngineOutcome::Completed(DurationMs(9)));
     relay.pass(1_200);
     assert_eq!(relay.told_used.last(), Some(&0));
     assert!(relay.told_used.iter().all(|used| *used <= 40), "{:?}", relay.told_used);
@@ -726,7 +732,7 @@
         let mut relay = Relay::granted();
         let first = relay.arrive("/x", 40, 10_000, &parts(1, 0));
         let engine = relay.engine(first);
-        relay.end(first, EngineUse::Whole(DurationMs(50)));
+        relay.end(first, EngineOutcome::Completed(DurationMs(50)));
         if let Some(load) = load {
             relay.call(RelayCall::EngineLoad(engine.clone(), load));
         }
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -3,9 +3,9 @@
 
 use topazyard_relay::drain::DrainTimes;
 use topazyard_relay::front::items::{Events, OutOfOrder};
-use topazyard_relay::machine::EngineUse;
+use topazyard_relay::machine::EngineOutcome;
 use topazyard_relay::machine::routed_items::RoutedRun;
-use topazyard_relay::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
+use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
 use topazyard_types::{
     BatchId, CallId, DurationMs, EngineName, Epoch, HoldId, ItemNumber, LogPosition, MonotonicMs,
     NodeId, Sequence, ShardId, Tokens,
@@ -41,7 +41,7 @@
     released: Vec<HoldId>,
     renewals: Vec<u64>,
     calls: Vec<(u64, BatchCall)>,
-    returned: Vec<(CallId, RelayReturn)>,
+    returned: Vec<(CallId, RelayResponse)>,
     runs: Vec<RoutedRun>,
     /// The primary of the shard with the batch and its epoch, as the feed says.
     shard: u16,
@@ -95,7 +95,7 @@
                     }
                 }
                 Effect::Return { call, value } => self.returned.push((call, value)),
-                Effect::Start(RelayTask::RunRouted(run)) => self.runs.push(*run),
+                Effect::Start(RelayTask::RunRoutedItem(run)) => self.runs.push(*run),
                 _ => {}
             }
         }
@@ -191,16 +191,16 @@
 
     fn submit(&mut self) {
         let (items, limit) = (vec![item()], DurationMs(1_000));
-        self.call(RelayCall::SubmitRouted(batch(), "r".into(), items, limit));
+        self.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
     }
 
-    fn last_return(&self) -> &RelayReturn {
+    fn last_return(&self) -> &RelayResponse {
         &self.returned.last().expect("it is answered").1
     }
 
     fn last_code(&self) -> Option<Code> {
         match self.last_return() {
-            RelayReturn::Refused(ApiError { code, .. }) => Some(*code),
+            RelayResponse::Refused(ApiError { code, .. }) => Some(*code),
             _ => None,
         }
     }
@@ -268,10 +268,10 @@
     assert_eq!((started.run, started.host.as_str()), (run, HOST));
     assert_eq!(started.progress.last_event, Some(3));
     assert!(!relay.calls.iter().any(|(_, call)| matches!(call, BatchCall::Start(_))));
-    relay.call(RelayCall::RoutedEnded(
+    relay.call(RelayCall::RoutedItemEnded(
         run,
         RunEnd::StreamComplete { text: "x".to_owned() },
-        EngineUse::Whole(DurationMs(9)),
+        EngineOutcome::Completed(DurationMs(9)),
     ));
     assert_eq!(relay.finished(), Some(&RunEnd::StreamComplete { text: "x".to_owned() }));
     assert_eq!(relay.released, relay.holds);
@@ -284,7 +284,7 @@
     let asked = relay.now;
     let run = relay.run_one();
     relay.call(RelayCall::DispatchItem(run, EngineName("e1".to_owned())));
-    let RelayReturn::GoUntil(until) = relay.last_return() else { panic!("it may go") };
+    let RelayResponse::SendBefore(until) = relay.last_return() else { panic!("it may go") };
     assert!(*until < asked.plus(CANCEL), "{until:?}");
 }
 
@@ -322,7 +322,7 @@
     let standing =
         BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
     relay.hear_shard(call, BatchResponse::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchResponse::Accepted(_))));
+    assert!(matches!(relay.last_return(), RelayResponse::Batch(BatchResponse::Accepted(_))));
 }
 
 #[test]
@@ -350,7 +350,7 @@
     let standing =
         BatchStatus { batch: batch(), items: 1, returned: 0, waiting: 1, running: 0, ended: false };
     relay.hear_shard(again.0, BatchResponse::Accepted(standing));
-    assert!(matches!(relay.last_return(), RelayReturn::Batch(BatchResponse::Accepted(_))));
+    assert!(matches!(relay.last_return(), RelayResponse::Batch(BatchResponse::Accepted(_))));
 }
 
 // Else a client is promised that nothing runs of a batch that the new primary takes.
@@ -384,7 +384,7 @@
 fn a_batch_is_handed_in_only_on_a_route_that_is_there() {
     let mut relay = Relay::ready();
     let limit = DurationMs(1_000);
-    relay.call(RelayCall::SubmitRouted(batch(), "other".into(), vec![item()], limit));
+    relay.call(RelayCall::SubmitRoutedBatch(batch(), "other".into(), vec![item()], limit));
     assert_eq!(relay.last_code(), Some(Code::NoLane));
 }
 
@@ -402,7 +402,7 @@
     fn is_under_way(&mut self) -> bool {
         self.call(RelayCall::Health);
         match self.last_return() {
-            RelayReturn::Health(health) => health.under_way(),
+            RelayResponse::Health(health) => health.under_way(),
             other => panic!("{other:?}"),
         }
     }
@@ -480,7 +480,11 @@
     relay.drain();
     assert!(relay.is_under_way());
     let done = RunEnd::StreamComplete { text: "x".to_owned() };
-    relay.call(RelayCall::RoutedEnded(run, done.clone(), EngineUse::Whole(DurationMs(9))));
+    relay.call(RelayCall::RoutedItemEnded(
+        run,
+        done.clone(),
+        EngineOutcome::Completed(DurationMs(9)),
+    ));
     assert!(relay.is_under_way(), "the shard may not have heard of it");
     let told = relay.calls.iter().rev().find_map(|(call, body)| match body {
         BatchCall::Finish(_, end) if *end == done => Some(*call),
@@ -511,7 +515,7 @@
 fn a_batch_that_was_sent_before_the_signal_is_answered_before_the_relay_ends() {
     let mut relay = Relay::ready();
     let (items, limit) = (vec![item()], DurationMs(grace()));
-    relay.call(RelayCall::SubmitRouted(batch(), "r".into(), items, limit));
+    relay.call(RelayCall::SubmitRoutedBatch(batch(), "r".into(), items, limit));
     relay.drain();
     relay.returned.clear();
     relay.pass(grace() * 27 / 32);
--- a/programs/topazyard-relay/tests/chart.rs
+++ b/programs/topazyard-relay/tests/state_machine.rs
@@ -1,7 +1,7 @@
 //! The chart against a count kept apart: how often a request may have run, and what its client is
 //! told.
 
-use topazyard_relay::prompt::{Chart, Failure, Next};
+use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine};
 use topazyard_types::MonotonicMs;
 use topazyard_wire::api::Execution;
 
@@ -24,44 +24,44 @@
     Try::NotConnected,
     Try::Unsent,
     Try::Sent(Failure::TurnedAway),
-    Try::Sent(Failure::Broken),
-    Try::Sent(Failure::Foreign),
-    Try::Sent(Failure::Failed),
+    Try::Sent(Failure::ConnectionLost),
+    Try::Sent(Failure::MismatchedResponse),
+    Try::Sent(Failure::EngineError),
     Try::Sent(Failure::TimedOut),
-    Try::Cut(Failure::Broken),
+    Try::Cut(Failure::ConnectionLost),
     Try::Cut(Failure::TimedOut),
 ];
 
 /// A chart, and what was counted beside it.
 struct Counted {
-    chart: Chart,
+    state_machine: RequestStateMachine,
     sent: u32,
     may_have_run: u32,
     begun: bool,
 }
 
 impl Counted {
-    fn play(&mut self, what: Try, now: MonotonicMs) -> Next {
+    fn play(&mut self, what: Try, now: MonotonicMs) -> FailureAction {
         match what {
-            Try::NotConnected => self.chart.fail(Failure::NotConnected, now),
+            Try::NotConnected => self.state_machine.fail(Failure::NotConnected, now),
             Try::Unsent => {
-                self.chart.dispatch();
-                self.chart.unsent();
-                self.chart.fail(Failure::NotConnected, now)
+                self.state_machine.dispatch();
+                self.state_machine.undo_dispatch();
+                self.state_machine.fail(Failure::NotConnected, now)
             }
             Try::Sent(failure) => {
-                self.chart.dispatch();
+                self.state_machine.dispatch();
                 self.sent += 1;
                 self.may_have_run += u32::from(failure != Failure::TurnedAway);
-                self.chart.fail(failure, now)
+                self.state_machine.fail(failure, now)
             }
             Try::Cut(failure) => {
-                self.chart.dispatch();
-                self.chart.relay();
+                self.state_machine.dispatch();
+                self.state_machine.start_relaying();
                 self.sent += 1;
                 self.may_have_run += 1;
                 self.begun = true;
-                self.chart.fail(failure, now)
+                self.state_machine.fail(failure, now)
             }
         }
     }
@@ -77,26 +77,26 @@
                 [(false, false), (true, false), (true, true)][usize::from(kind % 3)];
             let most = 1 + u32::from(most % 4);
             let mut counted = Counted {
-                chart: Chart::on_route(repeatable, resumable, most, DEADLINE),
+                state_machine: RequestStateMachine::on_route(repeatable, resumable, most, DEADLINE),
                 sent: 0,
                 may_have_run: 0,
                 begun: false,
             };
-            counted.chart.wait();
-            counted.chart.hold();
+            counted.state_machine.enqueue();
+            counted.state_machine.hold();
             for (what, now) in tries {
                 let what = TRIES[usize::from(*what) % TRIES.len()];
                 let next = counted.play(what, MonotonicMs(u64::from(now % 1_100)));
                 assert!(counted.sent <= most);
                 assert!(repeatable || counted.may_have_run <= 1);
                 match next {
-                    Next::Another => counted.chart.hold(),
-                    Next::Answer(error) => {
+                    FailureAction::TryAnotherEngine => counted.state_machine.hold(),
+                    FailureAction::Respond(error) => {
                         let may_have_run = counted.may_have_run > 0;
                         assert_eq!(error.ran == Execution::MayHaveRun, may_have_run);
                         return assert!(!counted.begun, "a second head");
                     }
-                    Next::Break => return assert!(counted.begun),
+                    FailureAction::CloseConnection => return assert!(counted.begun),
                 }
             }
         },
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -82,7 +82,7 @@
     follower: FeedFollower,
     pub(crate) view: FleetSnapshot,
     pub(crate) hosted: std::collections::BTreeMap<ShardId, Hosted>,
-    loaded: topazyard_wire::rows::Loaded,
+    loaded: topazyard_wire::rows::LoadedRows,
     /// Shards in which this node answers nothing more, up to that epoch.
     pub(crate) stopped: std::collections::BTreeMap<ShardId, topazyard_types::Epoch>,
     after_write: std::collections::BTreeMap<u64, ShardChangeRequest>,
--- a/programs/topazyard-storage/tests/confirming.rs
+++ b/programs/topazyard-storage/tests/confirming.rs
@@ -59,7 +59,7 @@
 }
 
 impl Storage {
-    fn start(id: u64, loaded: topazyard_wire::rows::Loaded) -> Self {
+    fn start(id: u64, loaded: topazyard_wire::rows::LoadedRows) -> Self {
         let start = DiskStart {
             resources: topazyard_spec::Resources::default(),
             member: member(id, MemberRole::Storage),
@@ -287,7 +287,7 @@
     let mut kept = topazyard_replication::Copy::default();
     let rows = kept.apply(Epoch(1), Sequence(1), Vec::new());
     let rows = rows.into_iter().filter_map(|row| Some((row.key, row.value?))).collect();
-    let loaded = topazyard_wire::rows::Loaded::from([(Group::Shard(SHARD), rows)]);
+    let loaded = topazyard_wire::rows::LoadedRows::from([(Group::Shard(SHARD), rows)]);
     let mut storage = Storage::start(PRIMARY, loaded);
     storage.learn(&record(1));
     storage.run(200);
