--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -39,12 +39,12 @@
     if head.method == hyper::Method::GET && head.uri.path() == "/health" {
         return outcome_response(handle.call(crate::ControlCall::Health).await);
     }
-    let operate = match topazyard_wire::http::inward::read_body(body, MAX_BODY_BYTES).await {
+    let operation = match topazyard_wire::http::inward::read_body(body, MAX_BODY_BYTES).await {
         Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
-    let outcome = match operate {
-        Ok(operate) => handle.call(crate::ControlCall::Operate(operate)).await,
+    let outcome = match operation {
+        Ok(operation) => handle.call(crate::ControlCall::Operate(operation)).await,
         Err(error) => return topazyard_wire::http::error(&error),
     };
     outcome_response(outcome)
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -123,33 +123,33 @@
 
     fn submit_configuration(&self, base: ConfigurationVersion, text: &str) -> CommandResult {
         let version = ConfigurationVersion(base.0.saturating_add(1));
-        let done = serde_json::json!({ "version": version });
+        let result = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
         match self.order_status(version, digest) {
-            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
         topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.newest_version())?;
-        Ok((self.submission_changes(base, text, digest), done))
+        Ok((self.submission_changes(base, text, digest), result))
     }
 
     /// Applies a patch to the newest version and submits the resulting configuration as its
     /// successor.
     fn submit_patch(&self, base: ConfigurationVersion, patch: &str) -> CommandResult {
         let version = ConfigurationVersion(base.0.saturating_add(1));
-        let done = serde_json::json!({ "version": version });
+        let result = serde_json::json!({ "version": version });
         let digest = digest_of_submitted_patch(patch);
         match self.order_status(version, digest) {
-            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.newest_version())?;
         let configuration = apply_patch(&self.patch_base(base)?.text, patch)?;
         let text = serde_json::to_string(&configuration).unwrap_or_default();
-        Ok((self.submission_changes(base, &text, digest), done))
+        Ok((self.submission_changes(base, &text, digest), result))
     }
 
     /// The changes that submit a configuration as the successor of its base.
@@ -184,10 +184,10 @@
         text: &str,
         source: &bytes::Bytes,
     ) -> CommandResult {
-        let done = serde_json::json!({ "version": version, "in_force": true });
+        let result = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_source(source);
         match self.order_status(version, digest) {
-            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
@@ -203,7 +203,7 @@
             text: text.to_owned(),
             source: Some(source.clone()),
         };
-        Ok((self.acceptance_changes(&row, configuration, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), result))
     }
 
     /// Applies a patch to the configuration in force and to the source that is read back, and
@@ -215,10 +215,10 @@
         patch: &str,
         source: &SourcePatch,
     ) -> CommandResult {
-        let done = serde_json::json!({ "version": version, "in_force": true });
+        let result = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_patch(&source.order);
         match self.order_status(version, digest) {
-            OrderStatus::Accepted => return Ok((Vec::new(), done)),
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
             OrderStatus::Forgotten => return Err(outcome_unknown()),
             OrderStatus::NotAccepted => {}
         }
@@ -235,7 +235,7 @@
             text: serde_json::to_string(&configuration).unwrap_or_default(),
             source: Some(source),
         };
-        Ok((self.acceptance_changes(&row, configuration, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), result))
     }
 
     /// The version that a patch is based on.
@@ -300,7 +300,7 @@
 
     fn sign_off(&self, version: ConfigurationVersion, by: &str) -> CommandResult {
         let row = self.stored_configuration(version)?;
-        let done = serde_json::json!({ "version": version, "signed_by": by });
+        let result = serde_json::json!({ "version": version, "signed_by": by });
         match row.stage {
             ConfigurationStage::Submitted => {
                 let signed = ConfigurationRow {
@@ -308,13 +308,13 @@
                     signed_by: Some(by.to_owned()),
                     ..row
                 };
-                Ok((vec![RowChange::put(configuration_key(version), &signed)], done))
+                Ok((vec![RowChange::put(configuration_key(version), &signed)], result))
             }
             // Repeated by the same person, as after a lost response.
             ConfigurationStage::Signed | ConfigurationStage::RolledOut
                 if row.signed_by.as_deref() == Some(by) =>
             {
-                Ok((Vec::new(), done))
+                Ok((Vec::new(), result))
             }
             ConfigurationStage::Signed | ConfigurationStage::RolledOut => {
                 Err(ApiError::not_run(Code::WrongState).at("version"))
@@ -329,19 +329,19 @@
             // Repeated, as after a lost response, possibly after a newer version was activated.
             ConfigurationStage::RolledOut => {
                 let is_in_force = version == in_force_version;
-                let done = serde_json::json!({ "version": version, "in_force": is_in_force });
-                Ok((Vec::new(), done))
+                let result = serde_json::json!({ "version": version, "in_force": is_in_force });
+                Ok((Vec::new(), result))
             }
             ConfigurationStage::Signed if version > in_force_version => {
                 let configuration = topazyard_spec::Configuration::read(&row.text)
                     .map_err(ApiError::from_read_error)?;
-                let rolled = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
-                let change = RowChange::put(configuration_key(version), &rolled);
+                let rolled_out = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
+                let change = RowChange::put(configuration_key(version), &rolled_out);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
                 changes.extend(self.activation_changes(version, configuration));
-                let done = serde_json::json!({ "version": version, "in_force": true });
-                Ok((changes, done))
+                let result = serde_json::json!({ "version": version, "in_force": true });
+                Ok((changes, result))
             }
             // Unsigned, or older than the version in force. An older text must be submitted as a
             // new version.
@@ -369,8 +369,8 @@
                 changes.push(RowChange::put(key, engine));
             }
         }
-        let done = serde_json::json!({ "engines": engines.len(), "changed": changes.len() });
-        (changes, done)
+        let result = serde_json::json!({ "engines": engines.len(), "changed": changes.len() });
+        (changes, result)
     }
 
     /// Whether a list differs from the committed one.
@@ -391,8 +391,8 @@
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Emptying, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
     /// Starts emptying the storage node of that name; it is then retired automatically.
@@ -401,19 +401,19 @@
         let missing = || ApiError::not_run(Code::NotFound).at("node");
         let id = self.storage_by_name(&fleet, name, now).ok_or_else(missing)?;
         let row = self.storage(id)?;
-        let done = serde_json::json!({ "node": id, "stage": StorageStage::Retiring });
+        let result = serde_json::json!({ "node": id, "stage": StorageStage::Retiring });
         match row.stage {
-            StorageStage::Retired => return Ok((Vec::new(), done)),
+            StorageStage::Retired => return Ok((Vec::new(), result)),
             StorageStage::Retiring => return Err(ApiError::not_run(Code::WrongState).at("node")),
             StorageStage::Active | StorageStage::Emptying => {}
         }
         let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
-        let left = self.backups() + 1;
-        if !crate::planner::has_capacity_without(&fleet, &status, id, left) {
+        let needed = self.backups() + 1;
+        if !crate::planner::has_capacity_without(&fleet, &status, id, needed) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Retiring, ..row };
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
     /// The storage node of that name. If several ids share the name, as after a lost disk, the one
@@ -441,8 +441,8 @@
             }
         };
         let row = StorageRow { stage: StorageStage::Active, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
     fn retire_storage(&self, id: NodeId) -> CommandResult {
@@ -453,8 +453,8 @@
         }
         // The row stays while the node runs: without it the node would be registered as a new one.
         let row = StorageRow { stage: StorageStage::Retired, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
     fn set_weight(
--- a/programs/topazyard-control/src/machine/engine_list.rs
+++ b/programs/topazyard-control/src/machine/engine_list.rs
@@ -49,7 +49,7 @@
         let Some(engines) = list.filter(|_| self.replica.is_serving()) else { return };
         if self.changes_engines(&engines) {
             let command = OperatorRequest::Command(Command::ListEngines(engines));
-            self.handle_operate(super::operations::Origin::EngineList, command, now, effects);
+            self.handle_request(super::operations::Origin::EngineList, command, now, effects);
         }
     }
 }
--- a/programs/topazyard-control/src/machine/epoch_change.rs
+++ b/programs/topazyard-control/src/machine/epoch_change.rs
@@ -156,7 +156,8 @@
         required: &[CoreNode],
         now: MonotonicMs,
     ) -> Option<Vec<CoreNode>> {
-        let must: Vec<NodeId> = required.iter().map(|node| node.id).chain([self.me.id]).collect();
+        let required_ids: Vec<NodeId> =
+            required.iter().map(|node| node.id).chain([self.me.id]).collect();
         let mut spares: Vec<CoreNode> = self.reachable_others(now).collect();
         spares.extend(required.iter().filter(|node| !self.peers.is_reachable(node.id, now)));
         let to_candidates = |nodes: &[CoreNode]| -> Vec<witnesses::Candidate> {
@@ -168,7 +169,8 @@
             lost_zones: usize::from(self.bounds.lost_zones),
         };
         let present = to_candidates(&base.witnesses);
-        let witnesses = witnesses::next(present, &must, to_candidates(&spares), &requirements);
+        let witnesses =
+            witnesses::next(present, &required_ids, to_candidates(&spares), &requirements);
         Some(witnesses).filter(|witnesses| *witnesses != base.witnesses)
     }
 
--- a/programs/topazyard-control/src/machine/health.rs
+++ b/programs/topazyard-control/src/machine/health.rs
@@ -10,7 +10,7 @@
 use topazyard_wire::message::membership::{Member, MemberStatus};
 use topazyard_wire::state::FleetSnapshot;
 
-/// How long a node may be silent before it is suspected and probed out of order.
+/// How long a node may be silent before it is suspected and probed at once.
 const SUSPECT_TIMEOUT: DurationMs = DurationMs(500);
 /// A write that takes longer marks its disk as slow.
 const SLOW_WRITE_MS: u64 = 1_000;
@@ -40,7 +40,10 @@
     }
 
     pub(super) fn receive(&mut self, sender: NodeId, health: Health, now: MonotonicMs) {
-        let slow = matches!(&health, Health::Storage { write_wait_ms, .. } if *write_wait_ms >= SLOW_WRITE_MS);
+        let slow = matches!(
+            &health,
+            Health::Storage { write_wait_ms, .. } if *write_wait_ms >= SLOW_WRITE_MS
+        );
         let before = self.by_node.get(&sender).map_or(MonotonicMs(0), |report| report.slow_until);
         let slow_until = if slow { now.plus(SLOW_DISK_TTL) } else { before };
         self.by_node.insert(sender, NodeReport { health, received_at: now, slow_until });
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The member that a follower reported to be.
+    /// The member data that a storage node reported for itself.
     pub(super) fn storage_member(&self, id: NodeId) -> Option<&Member> {
         match &self.reports.by_node.get(&id)?.health {
             Health::Storage { member, .. } => Some(member),
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Reports an unknown outcome to a waiter whose ticket was lost.
+    /// Reports to a waiter that the outcome of its ticket is unknown.
     fn fail(&mut self, waiting: &Waiting, now: MonotonicMs, effects: &mut Effects) {
         use topazyard_wire::api::{ApiError, Code};
         match waiting {
@@ -438,7 +438,7 @@
         self.quorum_read_tick(now, effects);
         let outputs = self.replica.tick(now);
         self.handle_replica_outputs(outputs, now, effects);
-        self.operate_tick(now, effects);
+        self.operations_tick(now, effects);
         self.tuning_tick(now, effects);
         self.engine_list_tick(now, effects);
         if !self.replica.is_serving() {
@@ -500,7 +500,7 @@
                 }
             }
             Input::Call { call, request: ControlCall::Operate(request) } => {
-                self.handle_operate(operations::Origin::Local(call), request, now, &mut effects);
+                self.handle_request(operations::Origin::Local(call), request, now, &mut effects);
             }
             Input::Call { request: ControlCall::Loads(loads), .. } => {
                 self.receive_loads(loads, now)
@@ -536,10 +536,10 @@
                     self.receive_change_request(sender, request)
                 }
                 Message::Operate(message) => {
-                    self.receive_operate(sender, from, message, now, &mut effects);
+                    self.receive_operator_message(sender, from, message, now, &mut effects);
                 }
                 Message::Confirm(message) => {
-                    self.receive_confirm(sender, from, message, now, &mut effects);
+                    self.receive_quorum_read(sender, from, message, now, &mut effects);
                 }
                 Message::Counter(_) | Message::Batch(_) | Message::ShardRecord(..) => {}
             },
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -133,7 +133,7 @@
 }
 
 impl ControlMachine {
-    pub(super) fn handle_operate(
+    pub(super) fn handle_request(
         &mut self,
         origin: Origin,
         request: OperatorRequest,
@@ -159,7 +159,10 @@
             (Origin::Local(_) | Origin::Tuner, Some(primary)) if primary.id != self.me.id => {
                 self.operations.last_id += 1;
                 let id = self.operations.last_id;
-                let must_be_fresh = matches!(&request, OperatorRequest::Command(command) if command.must_be_fresh());
+                let must_be_fresh = matches!(
+                    &request,
+                    OperatorRequest::Command(command) if command.must_be_fresh()
+                );
                 let call = Forwarded {
                     origin,
                     to: primary.id,
@@ -207,7 +210,7 @@
         effects.push(Effect::Send { to, message });
     }
 
-    pub(super) fn receive_operate(
+    pub(super) fn receive_operator_message(
         &mut self,
         sender: NodeId,
         from: std::net::SocketAddr,
@@ -217,7 +220,7 @@
     ) {
         match message {
             OperatorMessage::Request { id, request } => {
-                self.handle_operate(Origin::Forwarded(sender, from, id), request, now, effects);
+                self.handle_request(Origin::Forwarded(sender, from, id), request, now, effects);
             }
             OperatorMessage::Response { id, outcome } => {
                 let call = self.operations.forwarded.get(&id);
@@ -277,7 +280,7 @@
         }
         // A refusal is committed like a read, so that the state it is based on is confirmed.
         let (changes, outcome) = match self.evaluate(&command, now) {
-            Ok((changes, done)) => (changes, OperatorOutcome::Done(done.to_string())),
+            Ok((changes, result)) => (changes, OperatorOutcome::Done(result.to_string())),
             Err(error) => {
                 effects.extend(refusal_note(&command, &error));
                 (Vec::new(), OperatorOutcome::Refused(error))
@@ -318,7 +321,7 @@
         }
     }
 
-    pub(super) fn operate_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+    pub(super) fn operations_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
         // The node that forwarded one of these may have confirmed another copy of it, so no
         // response is sent.
         self.operations.unconfirmed.retain(|_, unconfirmed| now < unconfirmed.queued.deadline);
--- a/programs/topazyard-control/src/machine/orders.rs
+++ b/programs/topazyard-control/src/machine/orders.rs
@@ -16,12 +16,14 @@
 
 /// How many full texts are kept. Older ones can't be read or signed.
 const MAX_TEXTS: usize = 64;
-/// Maximum size of the digests where the process has no limits, and the fraction (1/n) of its
-/// memory and of its disk that they may use. One digest takes 23 bytes at most.
+/// Maximum size of the digests in a process without resource limits. One takes 23 bytes at most.
 const MAX_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
+/// The digests may use this fraction (1/n) of the memory, and of the disk.
 const DIGEST_DIVISOR: u64 = 64;
-/// The same for full texts. On disk one byte of text takes 2.2 bytes of database pages.
+/// Maximum size of the full texts in a process without resource limits. On disk one byte of text
+/// takes 2.2 bytes of database pages.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
+/// The full texts may use this fraction (1/n) of the memory, and of the disk.
 const TEXT_DIVISOR: u64 = 8;
 
 /// How many bytes of rows may be used to remember orders.
--- a/programs/topazyard-control/src/machine/quorum_reads.rs
+++ b/programs/topazyard-control/src/machine/quorum_reads.rs
@@ -55,7 +55,7 @@
 }
 
 impl ControlMachine {
-    pub(super) fn receive_confirm(
+    pub(super) fn receive_quorum_read(
         &mut self,
         sender: NodeId,
         from: std::net::SocketAddr,
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -53,7 +53,7 @@
         }
         self.tuning.last_run = now;
         let request = OperatorRequest::Query(Query::Load);
-        self.handle_operate(super::operations::Origin::Tuner, request, now, effects);
+        self.handle_request(super::operations::Origin::Tuner, request, now, effects);
     }
 
     /// The demand known to the primary.
@@ -126,7 +126,7 @@
                     live_percent: share,
                 };
                 let origin = super::operations::Origin::Tuner;
-                self.handle_operate(origin, OperatorRequest::Command(command), now, effects);
+                self.handle_request(origin, OperatorRequest::Command(command), now, effects);
             }
         }
         effects.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
--- a/programs/topazyard-control/src/planner.rs
+++ b/programs/topazyard-control/src/planner.rs
@@ -81,7 +81,10 @@
 /// let full = ShardRecord { epoch: Epoch(3), copies: 3, primary: node(1),
 ///     backups: vec![node(2), node(4)], fallbacks: vec![], learners: vec![] };
 /// let next = drop_backups(&full, &[NodeId(2)]).unwrap();
-/// assert_eq!((next.epoch, next.backups, next.fallbacks), (Epoch(4), vec![node(4)], vec![node(2)]));
+/// assert_eq!(
+///     (next.epoch, next.backups, next.fallbacks),
+///     (Epoch(4), vec![node(4)], vec![node(2)]),
+/// );
 /// assert_eq!(drop_backups(&full, &[NodeId(7)]), None);
 /// ```
 pub fn drop_backups(record: &ShardRecord, silent: &[NodeId]) -> Option<ShardRecord> {
@@ -158,11 +161,11 @@
 
 /// Makes a backup the primary and the primary a backup.
 fn swap_primary(record: &ShardRecord, successor: CoreNode) -> ShardRecord {
-    let place = |node: &CoreNode| if node.id == successor.id { record.primary } else { *node };
+    let replace = |node: &CoreNode| if node.id == successor.id { record.primary } else { *node };
     ShardRecord {
         epoch: record.epoch.next(),
         primary: successor,
-        backups: record.backups.iter().map(place).collect(),
+        backups: record.backups.iter().map(replace).collect(),
         learners: Vec::new(),
         ..record.clone()
     }
@@ -388,7 +391,8 @@
         assigned().map(|node| node.id).chain(failed.iter().copied()).collect();
     let avoided = zones(fleet, assigned());
     let all = candidates(fleet, status, &avoided, &excluded);
-    let is_fallback = |node: &&CoreNode| record.fallbacks.iter().any(|kept| kept.id == node.id);
+    let is_fallback =
+        |node: &&CoreNode| record.fallbacks.iter().any(|fallback| fallback.id == node.id);
     let in_other_zone =
         |node: &&CoreNode| zone(fleet, node.id).is_none_or(|own| !avoided.contains(&own));
     let is_healthy =
@@ -407,13 +411,13 @@
     let is_usable = |node: &CoreNode| node.id != successor.id && status.is_usable(node.id);
     let (backups, removed): (Vec<CoreNode>, Vec<CoreNode>) =
         record.backups.iter().copied().partition(is_usable);
-    let is_fallback = union(&union(&record.fallbacks, &removed), &[record.primary]);
+    let fallbacks = union(&union(&record.fallbacks, &removed), &[record.primary]);
     let promoted = without_unneeded_fallbacks(ShardRecord {
         epoch: record.epoch.next(),
         copies: record.copies,
         primary: successor,
         backups,
-        fallbacks: without(&is_fallback, &[successor]),
+        fallbacks: without(&fallbacks, &[successor]),
         learners: Vec::new(),
     });
     with_learners(fleet, status, &promoted, &[])
@@ -450,7 +454,7 @@
     if let Some(first) = working.first() {
         let successor = working.iter().find(fit);
         if let Some(successor) = successor.filter(|_| is_slow(&record.primary)) {
-            // As a backup, a stalling disk would delay its successor's first batch.
+            // As a backup, the old primary would delay the first batch with its stalling disk.
             let promoted = promote(fleet, status, record, *successor);
             if promoted.learners.iter().any(|learner| !is_slow(learner)) {
                 return Some(promoted);
@@ -509,8 +513,8 @@
 ) -> Option<CoreNode> {
     let others: Vec<CoreNode> =
         record.backups.iter().filter(|node| node.id != backup.id).copied().collect();
-    let without = ShardRecord { backups: others, ..record.clone() };
-    choose_learner(fleet, status, &without, &[backup.id])
+    let remaining = ShardRecord { backups: others, ..record.clone() };
+    choose_learner(fleet, status, &remaining, &[backup.id])
 }
 
 /// Adds a learner that may replace a backup, unless there is a learner already.
@@ -535,8 +539,8 @@
     status: &StorageStatus,
     record: &ShardRecord,
 ) -> Option<ShardRecord> {
-    let fresh = place_shard(fleet, status)?;
-    Some(ShardRecord { epoch: record.epoch.next(), ..fresh })
+    let new_record = place_shard(fleet, status)?;
+    Some(ShardRecord { epoch: record.epoch.next(), ..new_record })
 }
 
 /// One move that evens out the number of copies, if nothing else is in progress.
--- a/programs/topazyard-control/src/witnesses.rs
+++ b/programs/topazyard-control/src/witnesses.rs
@@ -25,7 +25,7 @@
     pub lost_zones: usize,
 }
 
-fn in_zone(chosen: &[Candidate], zone: &Option<ZoneName>) -> usize {
+fn count_in_zone(chosen: &[Candidate], zone: &Option<ZoneName>) -> usize {
     match zone {
         Some(_) => chosen.iter().filter(|candidate| candidate.zone == *zone).count(),
         None => 0,
@@ -34,11 +34,11 @@
 
 /// Removes and returns the candidate whose zone has the fewest chosen nodes.
 fn take_next(chosen: &[Candidate], candidates: &mut Vec<Candidate>) -> Option<Candidate> {
-    let in_same_zone = |candidate: &Candidate| in_zone(chosen, &candidate.zone);
+    let zone_count = |candidate: &Candidate| count_in_zone(chosen, &candidate.zone);
     let (at, _) = candidates
         .iter()
         .enumerate()
-        .min_by_key(|(_, candidate)| (in_same_zone(candidate), candidate.node.id))?;
+        .min_by_key(|(_, candidate)| (zone_count(candidate), candidate.node.id))?;
     Some(candidates.remove(at))
 }
 
@@ -64,7 +64,7 @@
         *zones.entry(zone).or_default() += 1;
     }
     let mut counts: Vec<usize> = zones.into_values().collect();
-    counts.sort_unstable_by(|candidate, other| other.cmp(candidate));
+    counts.sort_unstable_by(|left, right| right.cmp(left));
     let lost: usize = counts.iter().take(lost_zones).sum();
     witnesses.len() - lost > witnesses.len() / 2
 }
@@ -81,12 +81,12 @@
         spares.into_iter().partition(|spare| required.contains(&spare.node.id));
     let mut witnesses = present;
     let is_required = |witness: &Candidate| required.contains(&witness.node.id);
-    for named in required_spares {
-        if witnesses.iter().any(|witness| witness.node.id == named.node.id) {
+    for spare in required_spares {
+        if witnesses.iter().any(|witness| witness.node.id == spare.node.id) {
             continue;
         }
         let replaced = most_silent(&witnesses, is_required, DurationMs(0));
-        add_or_replace(&mut witnesses, named, replaced, requirements.count);
+        add_or_replace(&mut witnesses, spare, replaced, requirements.count);
     }
     spares.retain(|spare| witnesses.iter().all(|witness| witness.node.id != spare.node.id));
     loop {
@@ -138,9 +138,9 @@
 ) -> Option<(usize, Candidate)> {
     let replaceable = witnesses.iter().enumerate().filter(|(_, witness)| !is_required(witness));
     let (at, from_largest_zone) =
-        replaceable.max_by_key(|(_, witness)| in_zone(witnesses, &witness.zone))?;
+        replaceable.max_by_key(|(_, witness)| count_in_zone(witnesses, &witness.zone))?;
     let spare = take_next(witnesses, spares)?;
-    let improves =
-        in_zone(witnesses, &spare.zone) + 1 < in_zone(witnesses, &from_largest_zone.zone);
+    let improves = count_in_zone(witnesses, &spare.zone) + 1
+        < count_in_zone(witnesses, &from_largest_zone.zone);
     (improves && spare.zone.is_some()).then_some((at, spare))
 }
--- a/programs/topazyard-control/tests/disks.rs
+++ b/programs/topazyard-control/tests/disks.rs
@@ -11,10 +11,11 @@
 use topazyard_wire::message::operate::{Command, OperatorOutcome, Query};
 
 impl Fleet {
-    /// Fills a node's disk. The node learns of it with its next write, or at once if `tell` is set.
-    fn fill(&mut self, number: usize, tell: bool) {
+    /// Fills a node's disk. The node learns of it with its next write, or at once if `notify` is
+    /// set.
+    fn fill(&mut self, number: usize, notify: bool) {
         self.nodes[number].full = Some(Vec::new());
-        if tell {
+        if notify {
             let effects = self.step(number, Input::Disk(DiskState::Full));
             self.run_effects(number, effects);
         }
@@ -100,8 +101,8 @@
     assert_ne!(new, old);
     assert!(!members(&mut fleet).contains(&old), "a node that can't write holds no copy");
     assert_eq!(health(&mut fleet, old)["disk"], "full");
-    let taken = fleet.command(new, configuration(0, 1));
-    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
+    let outcome = fleet.command(new, configuration(0, 1));
+    assert!(matches!(outcome, Some(OperatorOutcome::Done(_))), "{outcome:?}");
     // Operations that write nothing still work there: it forwards a query to the primary.
     let read = fleet.query(old, Query::ReadSource);
     assert_eq!(read, Some(OperatorOutcome::Done("version 1".to_owned())));
--- a/programs/topazyard-control/tests/epoch_changes.rs
+++ b/programs/topazyard-control/tests/epoch_changes.rs
@@ -141,7 +141,7 @@
     third.learn(1, record(2, 1, 3));
     assert!(third.compare(1, 2, FollowerRole::Backup, 101, &Copy::default()));
     let groups: Vec<Group> = third.disk.iter().map(|(group, _)| *group).collect();
-    let of = |wanted| groups.iter().position(|group| *group == wanted);
+    let of = |expected| groups.iter().position(|group| *group == expected);
     assert!(of(Group::Witness) < of(Group::Control), "{groups:?}");
 }
 
--- a/programs/topazyard-control/tests/leaving.rs
+++ b/programs/topazyard-control/tests/leaving.rs
@@ -24,8 +24,8 @@
 fn with_spare_node() -> Fleet {
     let mut fleet = Fleet::new(3, 3);
     fleet.run(2_000);
-    let taken = fleet.command(0, configuration(0, 3));
-    assert!(matches!(taken, Some(OperatorOutcome::Done(_))), "{taken:?}");
+    let outcome = fleet.command(0, configuration(0, 3));
+    assert!(matches!(outcome, Some(OperatorOutcome::Done(_))), "{outcome:?}");
     fleet.may_bootstrap = false;
     fleet.add();
     fleet.run(1_000);
@@ -49,7 +49,9 @@
             fleet.stop(leaving, true);
             fleet.stop(lost, true);
             fleet.run(4_000);
-            let queried = (0..4).find(|number| *number != leaving && *number != lost).expect("one");
+            let queried = (0..4)
+                .find(|number| *number != leaving && *number != lost)
+                .expect("a node that is left");
             let read = fleet.query(queried, Query::ReadSource);
             assert_eq!(
                 read,
@@ -106,9 +108,13 @@
             let mut received = outcomes(&mut fleet, queried, before_ms);
             fleet.call(queried, order());
             received.extend(outcomes(&mut fleet, queried, 800));
-            let of_order =
+            let order_outcomes =
                 received.iter().filter(|outcome| **outcome != OperatorOutcome::Done(String::new()));
-            assert_eq!(of_order.count(), 1, "{before_ms} ms, forwarded {forwards}: {received:?}");
+            assert_eq!(
+                order_outcomes.count(),
+                1,
+                "{before_ms} ms, forwarded {forwards}: {received:?}"
+            );
         }
     }
 }
--- a/programs/topazyard-control/tests/orders.rs
+++ b/programs/topazyard-control/tests/orders.rs
@@ -216,9 +216,9 @@
     fleet.run(6_000);
     let primary = fleet.primary().expect("a primary");
     let rows = &fleet.nodes[primary].rows[&topazyard_wire::Group::Control];
-    let view = topazyard_wire::state::FleetSnapshot::read(rows);
+    let snapshot = topazyard_wire::state::FleetSnapshot::read(rows);
     let active = topazyard_wire::state::StorageStage::Active;
-    assert!(view.storage.values().all(|row| row.stage == active), "{:?}", view.storage);
+    assert!(snapshot.storage.values().all(|row| row.stage == active), "{:?}", snapshot.storage);
 }
 
 // The order is delayed in the network; its caller is told that the outcome is unknown and asks
@@ -289,7 +289,7 @@
     assert_accepted(fleet.nodes[requester].outcome.take());
 }
 
-/// Sends one order to each node, in a sequence chosen by `shift`, while the first is still in
+/// Sends one order to each node, in a sequence chosen by `offset`, while the first is still in
 /// progress, and checks that one is acknowledged.
 fn race_orders(offset: usize) {
     let mut fleet = running();
@@ -502,9 +502,9 @@
     let oversized =
         Command::PatchConfiguration { base, version, patch: patch.clone(), source: small };
     assert_refused(fleet.command(0, oversized), Code::BodyTooLarge);
-    let apart = SourcePatch { patch: r#"{"remove":{"items":["r7"]}}"#.into(), ..source };
+    let mismatched = SourcePatch { patch: r#"{"remove":{"items":["r7"]}}"#.into(), ..source };
     assert_refused(
-        fleet.command(0, Command::PatchConfiguration { base, version, patch, source: apart }),
+        fleet.command(0, Command::PatchConfiguration { base, version, patch, source: mismatched }),
         Code::InvalidSpec,
     );
     assert_source(
