--- a/programs/topazyard-control/tests/witnesses.rs
+++ b/programs/topazyard-control/tests/witnesses.rs
@@ -96,7 +96,7 @@
         assert!(chosen.len() <= 5 && chosen.contains(&all[0].node), "{chosen:?}");
         let unique: std::collections::BTreeSet<u64> = ids(&chosen).into_iter().collect();
         assert_eq!(unique.len(), chosen.len(), "{chosen:?}");
-        let heard: Vec<Candidate> =
+        let reachable: Vec<Candidate> =
             all.iter().filter(|candidate| candidate.silence < DurationMs(1_000)).cloned().collect();
         let of = |nodes: &[CoreNode]| -> Vec<Candidate> {
             nodes
@@ -104,7 +104,7 @@
                 .flat_map(|node| all.iter().find(|candidate| candidate.node == *node).cloned())
                 .collect()
         };
-        let first = next(of(&chosen), &required, heard.clone(), &requirements(5));
-        assert_eq!(next(of(&first), &required, heard, &requirements(5)), first);
+        let first = next(of(&chosen), &required, reachable.clone(), &requirements(5));
+        assert_eq!(next(of(&first), &required, reachable, &requirements(5)), first);
     });
 }
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -108,7 +108,7 @@
                 Some(changes) => (changes, BatchAnswer::Standing(batch, false)),
                 None => (Vec::new(), BatchAnswer::Ready(BatchResponse::Unknown)),
             },
-            BatchCall::Lease { most, models, routes } => {
+            BatchCall::Lease { max_items: most, models, routes } => {
                 let copy = hosted.replica.copy();
                 let mut leased = batches.routed.lease(relay, most, &routes, copy, now);
                 let left = most - leased.len() as u32;
