--- a/programs/topazyard-control/src/engine_load.rs
+++ b/programs/topazyard-control/src/engine_load.rs
@@ -25,7 +25,7 @@
         requests.spawn(async move {
             let get = hyper::Method::GET;
             let empty = bytes::Bytes::new();
-            let response = topazyard_wire::http::outward::exchange(
+            let response = topazyard_wire::http::outbound::exchange(
                 address,
                 get,
                 "/metrics",
--- a/programs/topazyard-control/src/machine/engine_list.rs
+++ b/programs/topazyard-control/src/machine/engine_list.rs
@@ -35,7 +35,7 @@
         }
         self.engine_list.started_at = Some(now);
         self.engine_list.in_progress = true;
-        effects.push(Effect::Start(ControlTask::ListEngines));
+        effects.push(Effect::StartTask(ControlTask::ListEngines));
     }
 
     /// Replaces the engine list with a new one if they differ.
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -38,7 +38,7 @@
         if waited >= self.timeouts.leaving || !self.is_in_record() || !self.can_be_replaced(now) {
             self.leaving = None;
             let value = OperatorOutcome::Done(String::new());
-            effects.push(Effect::Return { call, value });
+            effects.push(Effect::Respond { call, value });
         } else if is_due {
             self.send_leaving(now, effects);
         }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -117,7 +117,7 @@
     last_plan: MonotonicMs,
     /// When no storage node was reachable at all: then this node is the one that is isolated.
     last_isolated: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disked::Remembered,
+    remembered: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
 
@@ -162,13 +162,13 @@
         let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
         let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
-        let remembered = start.remembered();
-        let ask = start.known_control();
-        let boot_id = topazyard_types::BootId(start.chance);
+        let remembered = start.known_control_nodes();
+        let ask = start.control_addresses();
+        let boot_id = topazyard_types::BootId(start.random_seed);
         let mut machine = Self {
             me,
             boot_id,
-            membership: Membership::new(start.member, ask, start.chance),
+            membership: Membership::new(start.member, ask, start.random_seed),
             seeds: start.seeds,
             timeouts: timeouts::Timeouts::from_bounds(&start.bounds),
             bounds: start.bounds,
@@ -307,7 +307,7 @@
                         self.serving_since = Some(now);
                         let text =
                             format!("control primary serves in epoch {}", self.replica.epoch());
-                        effects.push(Effect::Note { grave: false, text });
+                        effects.push(Effect::Log { is_error: false, text });
                     }
                 }
                 ReplicaOutput::LearnersReady => self.propose(now, effects),
@@ -388,15 +388,15 @@
     fn track_writes(&mut self, effects: &Effects, now: MonotonicMs) {
         for effect in effects {
             if let Effect::Write { token, .. } = effect {
-                self.disk.begun(*token, now);
+                self.disk.write_started(*token, now);
             }
         }
     }
 
     /// Logs when the disk becomes full, stalls or recovers.
     fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
-        if let Some(state) = self.disk.news(now) {
-            effects.push(Effect::Note { grave: false, text: state.to_string() });
+        if let Some(state) = self.disk.take_state_change(now) {
+            effects.push(Effect::Log { is_error: false, text: state.to_string() });
         }
     }
 
@@ -409,7 +409,7 @@
             primary: record.map(|record| record.primary.address),
             serving: self.replica.is_serving(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now),
+            write_wait_ms: self.disk.oldest_write_age(now),
             configurations_acknowledged: self.configurations.acknowledged,
             configurations_refused: self.configurations.refused,
             orders_waiting: self.operations.waiting(),
@@ -419,10 +419,10 @@
 
     /// Persists the addresses of other control nodes, so that stale seeds don't isolate this node.
     fn remember_addresses(&mut self, effects: &mut Effects) {
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
+        if let Some(row) = self.remembered.update(self.membership.addresses(MemberRole::Control)) {
             self.write_own_rows(Group::Node, vec![row], Vec::new(), effects);
         }
     }
@@ -474,17 +474,17 @@
 
 impl Machine for ControlMachine {
     type Call = ControlCall;
-    type Return = OperatorOutcome;
+    type Response = OperatorOutcome;
     type Task = ControlTask;
 
     fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Effects {
         let mut effects = Vec::new();
         if let Input::Written(token) = &input {
-            self.disk.synced(*token);
+            self.disk.write_synced(*token);
         }
         match input {
             Input::Tick => self.tick(now, &mut effects),
-            Input::Disk(state) => self.disk.take_state(state, now),
+            Input::Disk(state) => self.disk.set_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
                 let outputs = self.replica.write_synced(token.number);
                 self.handle_replica_outputs(outputs, now, &mut effects);
@@ -512,7 +512,7 @@
                 self.begin_shutdown(call, now, &mut effects);
             }
             Input::Call { call, request: ControlCall::Health } => {
-                effects.push(Effect::Return { call, value: self.health(now) });
+                effects.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -98,7 +98,7 @@
         _ => return None,
     };
     let text = format!("{order} refused: {}", error.code);
-    Some(Effect::Note { grave: false, text })
+    Some(Effect::Log { is_error: false, text })
 }
 
 /// The calls waiting on this node.
@@ -301,7 +301,7 @@
             Origin::Tuner => return self.apply_tuning(&outcome, now, effects),
             // The next list repeats the command if needed.
             Origin::EngineList => return,
-            Origin::Local(call) => Effect::Return { call, value: outcome },
+            Origin::Local(call) => Effect::Respond { call, value: outcome },
             Origin::Forwarded(_, to, id) => Effect::Send {
                 to,
                 message: Message::Operate(OperatorMessage::Response { id, outcome }),
--- a/programs/topazyard-control/src/machine/peers.rs
+++ b/programs/topazyard-control/src/machine/peers.rs
@@ -155,7 +155,7 @@
             record.primary.address,
             backups.join(" ")
         );
-        effects.push(Effect::Note { grave: false, text });
+        effects.push(Effect::Log { is_error: false, text });
         self.epoch_change = None;
         self.bootstrap = None;
         // The record is announced before any message of its epoch, since a backup confirms nothing
@@ -258,7 +258,7 @@
         }
         // A vote counts only once it is synced, so a disk that takes no more writes casts none. The
         // proposer retries.
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
         if let Some((changes, reply)) = cast_vote(&mut self.witness) {
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -129,7 +129,7 @@
                 self.handle_request(origin, OperatorRequest::Command(command), now, effects);
             }
         }
-        effects.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
+        effects.push(Effect::StartTask(ControlTask::FetchLoads(load.engines)));
     }
 
     pub(super) fn receive_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -31,7 +31,7 @@
     let http = settings.require_http()?;
     topazyard_wire::driver::run_process(async move {
         let (start, place, disk) = start_with_disk(&settings, MemberRole::Control).await?;
-        let listener = topazyard_wire::http::inward::bind(http).await?;
+        let listener = topazyard_wire::http::inbound::bind(http).await?;
         let (tasks, task_receiver) = tokio::sync::mpsc::channel(64);
         let interval = external.engine_list_interval();
         let make = |now| {
@@ -54,7 +54,7 @@
         let seeds_handle = handle.clone();
         let grace = std::time::Duration::from_millis(settings.bounds.grace.0 / 8 * 7);
         let follow = topazyard_wire::driver::follow_settings(settings, move |now| {
-            seeds_handle.tell(crate::ControlCall::Seeds(now.seeds));
+            seeds_handle.notify(crate::ControlCall::Seeds(now.seeds));
         });
         let server = Server::start(listener, move |request| O::respond(handle.clone(), request));
         tokio::select! {
@@ -84,7 +84,7 @@
     server.close_after_responses();
     leave(handle, grace).await;
     let replaced = started_at.elapsed();
-    let all_answered = server.end(grace.saturating_sub(replaced)).await;
+    let all_answered = server.shut_down(grace.saturating_sub(replaced)).await;
     let ended = started_at.elapsed();
     if all_answered {
         spdlog::info!("shuts down gracefully after {ended:?}, {replaced:?} of it to be replaced");
@@ -133,12 +133,12 @@
             crate::ControlTask::FetchLoads(engines) => {
                 let handle = handle.clone();
                 tokio::spawn(async move {
-                    handle.tell(crate::ControlCall::Loads(O::fetch_loads(engines).await));
+                    handle.notify(crate::ControlCall::Loads(O::fetch_loads(engines).await));
                 });
             }
             crate::ControlTask::ListEngines => {
                 let list = tokio::time::timeout(LIST_TIMEOUT, external.list_engines()).await;
-                handle.tell(crate::ControlCall::Engines(list.ok().flatten()));
+                handle.notify(crate::ControlCall::Engines(list.ok().flatten()));
             }
         }
     }
--- a/programs/topazyard-storage/src/machine/counting.rs
+++ b/programs/topazyard-storage/src/machine/counting.rs
@@ -30,7 +30,7 @@
         let Some(hosted) = self.hosted.get(&ShardId::COUNTER) else { return };
         let counter = hosted.counter().filter(|_| hosted.replica.is_serving());
         let lines = counter.into_iter().flat_map(crate::counter::Counter::lines);
-        out.extend(lines.map(|text| Effect::Note { grave: false, text }));
+        out.extend(lines.map(|text| Effect::Log { is_error: false, text }));
     }
 
     pub(super) fn receive_counter(
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -96,7 +96,7 @@
     confirming: confirm::Confirming,
     /// When a frame told of an epoch that the feed has not told of yet.
     behind_since: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disked::Remembered,
+    remembered: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) bounds: topazyard_spec::Bounds,
     /// What the batches of a shard may weigh, in bytes.
     pub(crate) room_bytes: u64,
@@ -114,17 +114,17 @@
 impl StorageMachine {
     /// A storage node as it starts.
     pub fn new(mut start: DiskStart) -> Self {
-        let remembered = start.remembered();
-        let sources = start.known_control();
+        let remembered = start.known_control_nodes();
+        let sources = start.control_addresses();
         let node_rows = start.loaded.remove(&Group::Node).unwrap_or_default();
         let stopped = node_rows
             .get("stopped")
             .and_then(|value| topazyard_wire::rows::decode(value))
             .unwrap_or_default();
-        let boot_id = BootId(start.chance);
+        let boot_id = BootId(start.random_seed);
         Self {
             boot_id,
-            membership: Membership::new(start.member.clone(), sources.clone(), start.chance),
+            membership: Membership::new(start.member.clone(), sources.clone(), start.random_seed),
             follower: FeedFollower::new(sources, boot_id),
             member: start.member,
             view: FleetSnapshot::default(),
@@ -212,7 +212,7 @@
         Health::Storage {
             member: self.member.clone(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now).0,
+            write_wait_ms: self.disk.oldest_write_age(now).0,
             waiting: self
                 .hosted
                 .iter()
@@ -235,7 +235,7 @@
             serving: serving().map(|(shard, _)| *shard).collect(),
             hosting: self.hosted.keys().copied().collect(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now).0,
+            write_wait_ms: self.disk.oldest_write_age(now).0,
             holds: self
                 .hosted
                 .values()
@@ -295,23 +295,23 @@
     fn watch_writes(&mut self, out: &Out, now: MonotonicMs) {
         for effect in out {
             if let Effect::Write { token, .. } = effect {
-                self.disk.begun(*token, now);
+                self.disk.write_started(*token, now);
             }
         }
     }
 
     /// Says in the log when the disk is full, stalls or is well again.
     fn note_disk(&mut self, now: MonotonicMs, out: &mut Out) {
-        if let Some(state) = self.disk.news(now) {
-            out.push(Effect::Note { grave: false, text: state.to_string() });
+        if let Some(state) = self.disk.take_state_change(now) {
+            out.push(Effect::Log { is_error: false, text: state.to_string() });
         }
     }
 
     fn remember_addresses(&mut self, out: &mut Out) {
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
+        if let Some(row) = self.remembered.update(self.membership.addresses(MemberRole::Control)) {
             self.write_own(row, None, out);
         }
     }
@@ -374,17 +374,17 @@
 
 impl Machine for StorageMachine {
     type Call = StorageCall;
-    type Return = StorageHealth;
+    type Response = StorageHealth;
     type Task = topazyard_wire::machine::NoTask;
 
     fn step(&mut self, input: Input<StorageCall>, now: MonotonicMs) -> Out {
         let mut out = Vec::new();
         if let Input::Written(token) = &input {
-            self.disk.synced(*token);
+            self.disk.write_synced(*token);
         }
         self.started.get_or_insert(now);
         match input {
-            Input::Disk(state) => self.disk.take_state(state, now),
+            Input::Disk(state) => self.disk.set_state(state, now),
             Input::Tick => self.tick(now, &mut out),
             Input::Written(token) => match token.group {
                 Group::Shard(shard) => {
@@ -405,7 +405,7 @@
                 self.membership.add_seeds(seeds);
             }
             Input::Call { call, request: StorageCall::Health } => {
-                out.push(Effect::Return { call, value: self.own_health(now) });
+                out.push(Effect::Respond { call, value: self.own_health(now) });
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -77,7 +77,7 @@
             at(&record.fallbacks),
             at(&record.learners)
         );
-        out.push(Effect::Note { grave: false, text });
+        out.push(Effect::Log { is_error: false, text });
         let stopped = self.stopped.get(&shard).is_some_and(|epoch| *epoch >= record.epoch);
         let hosted = self.host(shard);
         hosted.wish = None;
@@ -228,6 +228,6 @@
             };
         }
         let text = format!("shard {shard} serves in epoch {}", hosted.replica.epoch());
-        out.push(Effect::Note { grave: false, text });
+        out.push(Effect::Log { is_error: false, text });
     }
 }
--- a/programs/topazyard-storage/src/run.rs
+++ b/programs/topazyard-storage/src/run.rs
@@ -22,14 +22,14 @@
         crate::metrics::serve(settings.metrics, &handle).await;
         let health = handle.clone();
         if let Some(http) = settings.http {
-            let listener = topazyard_wire::http::inward::bind(http).await?;
-            tokio::spawn(topazyard_wire::http::inward::serve(listener, move |request| {
+            let listener = topazyard_wire::http::inbound::bind(http).await?;
+            tokio::spawn(topazyard_wire::http::inbound::serve(listener, move |request| {
                 answer(health.clone(), request)
             }));
         }
         let ending = handle.clone();
         let follow = topazyard_wire::driver::follow_settings(settings, |told| {
-            handle.tell(crate::machine::StorageCall::Seeds(told.seeds));
+            handle.notify(crate::machine::StorageCall::Seeds(told.seeds));
         });
         tokio::select! {
             biased;
