--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -117,7 +117,7 @@
     last_plan: MonotonicMs,
     /// When no storage node was reachable at all: then this node is the one that is isolated.
     last_isolated: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disk_start::KnownControlNodes,
+    known_control_nodes: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
 
@@ -162,13 +162,13 @@
         let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
         let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
-        let remembered = start.known_control_nodes();
-        let ask = start.control_addresses();
+        let known_control_nodes = start.known_control_nodes();
+        let control_addresses = start.control_addresses();
         let boot_id = topazyard_types::BootId(start.random_seed);
         let mut machine = Self {
             me,
             boot_id,
-            membership: Membership::new(start.member, ask, start.random_seed),
+            membership: Membership::new(start.member, control_addresses, start.random_seed),
             seeds: start.seeds,
             timeouts: timeouts::Timeouts::from_bounds(&start.bounds),
             bounds: start.bounds,
@@ -198,7 +198,7 @@
             last_write: 0,
             last_plan: MonotonicMs(0),
             last_isolated: None,
-            remembered,
+            known_control_nodes,
             disk: topazyard_wire::disk::DiskWatch::default(),
         };
         let mut effects = Vec::new();
@@ -422,7 +422,9 @@
         if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.update(self.membership.addresses(MemberRole::Control)) {
+        if let Some(row) =
+            self.known_control_nodes.update(self.membership.addresses(MemberRole::Control))
+        {
             self.write_own_rows(Group::Node, vec![row], Vec::new(), effects);
         }
     }
--- a/programs/topazyard-control/src/machine/operations.rs
+++ b/programs/topazyard-control/src/machine/operations.rs
@@ -82,7 +82,7 @@
 }
 
 /// The log line for an operator's order that was refused.
-fn refusal_note(
+fn refusal_log(
     command: &Command,
     error: &ApiError,
 ) -> Option<Effect<OperatorOutcome, super::ControlTask>> {
@@ -282,7 +282,7 @@
         let (changes, outcome) = match self.evaluate(&command, now) {
             Ok((changes, result)) => (changes, OperatorOutcome::Done(result.to_string())),
             Err(error) => {
-                effects.extend(refusal_note(&command, &error));
+                effects.extend(refusal_log(&command, &error));
                 (Vec::new(), OperatorOutcome::Refused(error))
             }
         };
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -30,7 +30,7 @@
 ) -> Result<(), StartError> {
     let http = settings.require_http()?;
     topazyard_wire::driver::run_process(async move {
-        let (start, place, disk) = start_with_disk(&settings, MemberRole::Control).await?;
+        let (start, identity, disk) = start_with_disk(&settings, MemberRole::Control).await?;
         let listener = topazyard_wire::http::inbound::bind(http).await?;
         let (tasks, task_receiver) = tokio::sync::mpsc::channel(64);
         let interval = external.engine_list_interval();
@@ -44,7 +44,7 @@
         let handle = topazyard_wire::driver::spawn_at(
             settings.listen_address(),
             make,
-            place,
+            identity,
             Some(disk),
             tasks,
         )?;
