--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -1,12 +1,12 @@
-//! HTTP for operators and the platform.
+//! The HTTP interface for operators and the platform.
 
 use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
-/// The largest declaration taken, in bytes.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -30,27 +30,27 @@
     by: String,
 }
 
-/// Answers one request of an operator or the platform.
+/// Responds to one request of an operator or the platform.
 pub async fn respond(
     handle: topazyard_wire::driver::Handle<crate::ControlMachine>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     let (head, body) = request.into_parts();
     if head.method == hyper::Method::GET && head.uri.path() == "/health" {
-        return returned(handle.call(crate::ControlCall::Health).await);
+        return outcome_response(handle.call(crate::ControlCall::Health).await);
     }
-    let operate = match topazyard_wire::http::inbound::read_body(body, MOST_BYTES).await {
+    let operation = match topazyard_wire::http::inbound::read_body(body, MAX_BODY_BYTES).await {
         Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
-    let outcome = match operate {
-        Ok(operate) => handle.call(crate::ControlCall::Operate(operate)).await,
+    let outcome = match operation {
+        Ok(operation) => handle.call(crate::ControlCall::Operate(operation)).await,
         Err(error) => return topazyard_wire::http::error(&error),
     };
-    returned(outcome)
+    outcome_response(outcome)
 }
 
-fn returned(
+fn outcome_response(
     outcome: Result<OperatorOutcome, topazyard_wire::driver::CallError>,
 ) -> hyper::Response<Body> {
     match outcome {
@@ -60,13 +60,13 @@
     }
 }
 
-/// What a request asks, or why it can't be understood.
+/// Parses a request into a command or query.
 ///
 /// ```
-/// use topazyard_control::http::understand;
+/// use topazyard_control::http::parse_request;
 /// use topazyard_wire::message::operate::{OperatorRequest, Query};
-/// let asked = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(asked, Ok(OperatorRequest::Query(Query::ReadConfiguration(None))));
+/// let operation = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
+/// assert_eq!(operation, Ok(OperatorRequest::Query(Query::ReadConfiguration(None))));
 /// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
--- a/programs/topazyard-control/src/machine/orders.rs
+++ b/programs/topazyard-control/src/machine/orders.rs
@@ -1,9 +1,9 @@
-//! The memory of the orders that were taken, bounded by bytes.
+//! The record of accepted orders, bounded by size.
 //!
-//! An order that was taken must be acknowledged when it is sent again, however many came after it.
-//! A digest is kept of each, and the whole texts of the newest. Beyond the bound the oldest digests
-//! are forgotten: an order as old as these may have been taken, and is neither acknowledged nor
-//! refused.
+//! An accepted order must be acknowledged when it is sent again, however many came after it. A
+//! digest is kept of each order, and the full texts of the newest. Beyond the bound the oldest
+//! digests are forgotten: an order as old as these may have been accepted, and is neither
+//! acknowledged nor refused.
 
 use super::ControlMachine;
 use topazyard_types::{ConfigurationVersion, Digest};
@@ -14,17 +14,19 @@
     OrdersRow, configuration_key, orders_key,
 };
 
-/// How many whole texts are kept; older ones can't be read or signed.
-const TEXTS_KEPT: usize = 64;
-/// What digests may weigh where nothing limits the process, and which part of its memory and of its
-/// disk. One takes 23 bytes at most.
-const MOST_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
-const DIGEST_PART: u64 = 64;
-/// The same for whole texts. On disk a file of pages takes a byte 2.2 times.
-const MOST_TEXT_BYTES: u64 = 64 * 1024 * 1024;
-const TEXT_PART: u64 = 8;
+/// How many full texts are kept. Older ones can't be read or signed.
+const MAX_TEXTS: usize = 64;
+/// Maximum size of the digests in a process without resource limits. One takes 23 bytes at most.
+const MAX_DIGEST_BYTES: u64 = 16 * 1024 * 1024;
+/// The digests may use this fraction (1/n) of the memory, and of the disk.
+const DIGEST_DIVISOR: u64 = 64;
+/// Maximum size of the full texts in a process without resource limits. On disk one byte of text
+/// takes 2.2 bytes of database pages.
+const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
+/// The full texts may use this fraction (1/n) of the memory, and of the disk.
+const TEXT_DIVISOR: u64 = 8;
 
-/// How many bytes of rows may remember orders.
+/// How many bytes of rows may be used to remember orders.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OrderBounds {
     digest_bytes: u64,
@@ -32,53 +34,57 @@
 }
 
 impl OrderBounds {
-    /// The bounds of a process with such resources.
-    pub(super) fn within(resources: &topazyard_spec::Resources) -> Self {
+    /// The bounds for a process with these resources.
+    pub(super) fn from_resources(resources: &topazyard_spec::Resources) -> Self {
         let limits = [resources.memory_bytes, resources.disk_bytes];
-        let bound = |most: u64, part: u64| {
-            let limited = limits.iter().filter(|limit| **limit > 0).map(|limit| limit / part);
-            limited.min().map_or(most, |limit| limit.min(most))
+        let bound = |max: u64, divisor: u64| {
+            let limited = limits.iter().filter(|limit| **limit > 0).map(|limit| limit / divisor);
+            limited.min().map_or(max, |limit| limit.min(max))
         };
         Self {
-            digest_bytes: bound(MOST_DIGEST_BYTES, DIGEST_PART),
-            text_bytes: bound(MOST_TEXT_BYTES, TEXT_PART),
+            digest_bytes: bound(MAX_DIGEST_BYTES, DIGEST_DIVISOR),
+            text_bytes: bound(MAX_TEXT_BYTES, TEXT_DIVISOR),
         }
     }
 }
 
-/// What is known of an order that came.
+/// What is known about a received order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Known {
-    /// It was taken.
-    Taken,
-    /// It was not taken.
-    NotTaken,
+pub(super) enum OrderStatus {
+    /// It was accepted.
+    Accepted,
+    /// It was not accepted.
+    NotAccepted,
     /// It is as old as orders that were forgotten.
     Forgotten,
 }
 
-/// The error for an order of which nothing can be said.
-pub(super) fn unclear() -> ApiError {
+/// The error for an order whose outcome is not known.
+pub(super) fn outcome_unknown() -> ApiError {
     ApiError::may_have_run(Code::OutcomeUnknown)
 }
 
-fn weight(key: &str, value: &[u8]) -> u64 {
+fn row_bytes(key: &str, value: &[u8]) -> u64 {
     (key.len() + value.len()) as u64
 }
 
 impl ControlMachine {
-    /// What is known of an order that would make, or made, a version.
-    pub(super) fn known_order(&self, version: ConfigurationVersion, digest: Digest) -> Known {
+    /// What is known about an order that would create, or has created, a version.
+    pub(super) fn order_status(
+        &self,
+        version: ConfigurationVersion,
+        digest: Digest,
+    ) -> OrderStatus {
         match self.remembered_digest(version) {
-            Some(taken) if taken == digest => Known::Taken,
-            Some(_) => Known::NotTaken,
-            None if version <= self.forgotten_up_to() => Known::Forgotten,
-            None => Known::NotTaken,
+            Some(accepted) if accepted == digest => OrderStatus::Accepted,
+            Some(_) => OrderStatus::NotAccepted,
+            None if version <= self.forgotten_up_to() => OrderStatus::Forgotten,
+            None => OrderStatus::NotAccepted,
         }
     }
 
-    /// Whether any order made that version, as far as can be told.
-    pub(super) fn may_be_taken(&self, version: ConfigurationVersion) -> bool {
+    /// Whether an order may have created that version, as far as is known.
+    pub(super) fn may_be_accepted(&self, version: ConfigurationVersion) -> bool {
         version <= self.forgotten_up_to() || self.remembered_digest(version).is_some()
     }
 
@@ -93,13 +99,13 @@
     fn forgotten_up_to(&self) -> ConfigurationVersion {
         let copy = self.replica.copy();
         if copy.with_prefix(ORDERS).next().is_none() {
-            // All that was taken so far was taken by a program that kept no digests.
+            // Everything accepted so far was accepted by a release that kept no digests.
             return self.newest_version();
         }
         copy.get(ORDERS_FORGOTTEN).unwrap_or_default()
     }
 
-    /// The changes that remember an order that is taken now, under the newest version.
+    /// The changes that remember an order accepted now under the newest version.
     pub(super) fn remember_order(
         &self,
         version: ConfigurationVersion,
@@ -122,22 +128,22 @@
         changes
     }
 
-    /// The changes that forget the oldest digests beyond the bound; the row written now stays.
+    /// The changes that forget the oldest digests beyond the bound. The row being written is kept.
     fn forget_oldest(&self, written: &RowChange) -> Vec<RowChange> {
         let value = written.value.as_deref().unwrap_or_default();
         let others = || {
             let rows = self.replica.copy().with_prefix(ORDERS);
             rows.filter(|(key, _)| *key != written.key)
         };
-        let mut bytes = weight(&written.key, value)
-            + others().map(|(key, value)| weight(key, value)).sum::<u64>();
+        let mut bytes = row_bytes(&written.key, value)
+            + others().map(|(key, value)| row_bytes(key, value)).sum::<u64>();
         let mut changes = Vec::new();
         let mut forgotten = None;
         for (key, value) in others() {
             if bytes <= self.order_bounds.digest_bytes {
                 break;
             }
-            bytes -= weight(key, value);
+            bytes -= row_bytes(key, value);
             changes.push(RowChange::delete(key));
             let row = topazyard_wire::rows::decode::<OrdersRow>(value).unwrap_or_default();
             forgotten = row.orders.last().map(|order| order.version).or(forgotten);
@@ -146,8 +152,8 @@
         changes
     }
 
-    /// The changes that drop the oldest whole texts beyond the bounds. The text written now stays,
-    /// and so does that of the version in force.
+    /// The changes that drop the oldest full texts beyond the bounds. The text being written and
+    /// that of the version in force are kept.
     pub(super) fn drop_old_texts(
         &self,
         written: &RowChange,
@@ -160,27 +166,27 @@
             rows.filter(|(key, _)| *key != written.key)
         };
         let mut count = 1 + others().count();
-        let mut bytes = weight(&written.key, value)
-            + others().map(|(key, value)| weight(key, value)).sum::<u64>();
+        let mut bytes = row_bytes(&written.key, value)
+            + others().map(|(key, value)| row_bytes(key, value)).sum::<u64>();
         let newest = others().last().map(|(key, _)| key);
         let mut changes = Vec::new();
         for (key, value) in others() {
-            if count <= TEXTS_KEPT && bytes <= self.order_bounds.text_bytes {
+            if count <= MAX_TEXTS && bytes <= self.order_bounds.text_bytes {
                 break;
             }
-            // Versions are counted on from the newest text.
+            // The newest text is kept, since the next version number follows from it.
             let is_newest = newest == Some(key) && key > written.key.as_str();
             if is_newest || kept.iter().any(|kept| kept == key) {
                 continue;
             }
             count -= 1;
-            bytes -= weight(key, value);
+            bytes -= row_bytes(key, value);
             changes.push(RowChange::delete(key));
         }
         changes
     }
 
-    /// The version in force; 0 before the first.
+    /// The version in force, or 0 before the first.
     pub(super) fn version_in_force(&self) -> ConfigurationVersion {
         let row: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
         row.map(|row| row.version).unwrap_or_default()
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -13,12 +13,12 @@
 impl ControlMachine {
     pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperatorOutcome {
         let found = match query {
-            Query::ReadConfiguration(version) => self.read_spec(*version),
+            Query::ReadConfiguration(version) => self.read_configuration(*version),
             Query::ReadSource => return self.read_source(),
-            Query::ListConfigurations => Some(self.list_specs()),
+            Query::ListConfigurations => Some(self.list_configurations()),
             Query::ListEngines => {
-                let view = FleetSnapshot::read(self.replica.copy().rows());
-                Some(serde_json::json!({ "engines": view.engines.values().collect::<Vec<_>>() }))
+                let fleet = FleetSnapshot::read(self.replica.copy().rows());
+                Some(serde_json::json!({ "engines": fleet.engines.values().collect::<Vec<_>>() }))
             }
             Query::ListStorage => Some(self.list_storage(now)),
             Query::Retirement(name) => return self.retirement(name, now),
@@ -31,10 +31,10 @@
         }
     }
 
-    /// How far a retirement has come: `active` or `completed`.
+    /// The state of a retirement: `active` or `completed`.
     fn retirement(&self, name: &str, now: MonotonicMs) -> OperatorOutcome {
-        let view = FleetSnapshot::read(self.replica.copy().rows());
-        let row = self.named(&view, name, now).and_then(|id| view.storage.get(&id));
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
         match row.map(|row| row.stage) {
             None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
             Some(StorageStage::Retired) => OperatorOutcome::Done(r#"{"state":"completed"}"#.into()),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The source of the spec in force, as it came.
+    /// The source of the configuration in force, as submitted.
     fn read_source(&self) -> OperatorOutcome {
         let copy = self.replica.copy();
         let in_force = copy.get::<InForceRow>(IN_FORCE);
@@ -55,16 +55,19 @@
         }
     }
 
-    fn read_spec(&self, version: Option<ConfigurationVersion>) -> Option<serde_json::Value> {
+    fn read_configuration(
+        &self,
+        version: Option<ConfigurationVersion>,
+    ) -> Option<serde_json::Value> {
         let copy = self.replica.copy();
         let version = match version {
             Some(version) => version,
             None => copy.get::<InForceRow>(IN_FORCE)?.version,
         };
         let row: ConfigurationRow = copy.get(&configuration_key(version))?;
-        let bundle: serde_json::Value = serde_json::from_str(&row.text).ok()?;
+        let configuration: serde_json::Value = serde_json::from_str(&row.text).ok()?;
         let mut value = Self::describe(&row);
-        value["bundle"] = bundle;
+        value["bundle"] = configuration;
         Some(value)
     }
 
@@ -77,25 +80,25 @@
         })
     }
 
-    fn list_specs(&self) -> serde_json::Value {
+    fn list_configurations(&self) -> serde_json::Value {
         let copy = self.replica.copy();
         let in_force: Option<InForceRow> = copy.get(IN_FORCE);
-        let specs: Vec<_> = copy
+        let configurations: Vec<_> = copy
             .with_prefix(CONFIGURATIONS)
             .filter_map(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value))
             .map(|row| Self::describe(&row))
             .collect();
-        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": specs })
+        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": configurations })
     }
 
     fn list_storage(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetSnapshot::read(self.replica.copy().rows());
-        let nodes: Vec<_> = view
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let nodes: Vec<_> = fleet
             .storage
             .iter()
             .map(|(id, row)| {
-                let seen = self.seen.nodes.get(id);
-                let write_wait_ms = seen.and_then(|seen| match &seen.health {
+                let report = self.reports.by_node.get(id);
+                let write_wait_ms = report.and_then(|report| match &report.health {
                     Health::Storage { write_wait_ms, .. } => Some(*write_wait_ms),
                     Health::Edge { .. } => None,
                 });
@@ -105,14 +108,14 @@
                     "address": row.member.address,
                     "zone": row.member.zone,
                     "stage": row.stage,
-                    "shards": crate::planner::hosted(&view, *id),
-                    "heard_ms_ago": seen.map(|seen| now.since(seen.at)),
-                    "disk": self.seen.disk(*id),
+                    "shards": crate::planner::hosted_copies(&fleet, *id),
+                    "heard_ms_ago": report.map(|report| now.since(report.received_at)),
+                    "disk": self.reports.disk(*id),
                     "write_wait_ms": write_wait_ms,
                 })
             })
             .collect();
-        let shards: Vec<_> = view
+        let shards: Vec<_> = fleet
             .shards
             .iter()
             .map(|(shard, record)| {
@@ -136,7 +139,7 @@
     }
 
     fn fleet_state(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetSnapshot::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let members: Vec<_> = self
             .membership
             .remembered()
@@ -154,13 +157,13 @@
             })
             .collect();
         let relays: Vec<_> = self
-            .seen
-            .nodes
+            .reports
+            .by_node
             .iter()
-            .filter_map(|(id, seen)| match &seen.health {
+            .filter_map(|(id, report)| match &report.health {
                 Health::Edge { ready, waiting, refused } => Some(serde_json::json!({
                     "node": id, "ready": ready, "waiting": waiting, "refused": refused,
-                    "heard_ms_ago": now.since(seen.at),
+                    "heard_ms_ago": now.since(report.received_at),
                 })),
                 Health::Storage { .. } => None,
             })
@@ -171,15 +174,15 @@
                 "epoch": record.epoch,
                 "primary": record.primary.address,
                 "backups": record.backups.iter().map(|b| b.address).collect::<Vec<_>>(),
-                "full": self.core.full_nodes(),
+                "full": self.peers.full_nodes(),
                 "witnesses": record.witnesses.iter().map(|w| w.address).collect::<Vec<_>>(),
             })),
             "place": self.replica.copy().position(),
-            "spec": view.configuration.as_ref().map(|(version, _)| version),
+            "spec": fleet.configuration.as_ref().map(|(version, _)| version),
             "members": members,
             "relays": relays,
-            "engines": view.engines.values().collect::<Vec<_>>(),
-            "weights": view.weights.iter().map(|(pool, weight)| serde_json::json!({
+            "engines": fleet.engines.values().collect::<Vec<_>>(),
+            "weights": fleet.weights.iter().map(|(pool, weight)| serde_json::json!({
                 "pool": pool, "live_percent": weight.live_percent })).collect::<Vec<_>>(),
             "storage": self.list_storage(now),
         })
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -1,7 +1,8 @@
-//! The duty of tuning weights: done by the first live core node in the order in which the epoch
-//! record names its witnesses, under that record's epoch. The primary refuses a lower one.
+//! Tuning of weights. The tuner is the first reachable control node in the order in which the epoch
+//! record names its witnesses. It acts under that record's epoch, and the primary refuses a lower
+//! one.
 
-use super::{ControlMachine, ControlTask, Out};
+use super::{ControlMachine, ControlTask, Effects};
 use crate::tuner::{Demand, EngineLoad};
 use topazyard_types::{DurationMs, Epoch, MonotonicMs, PoolName};
 use topazyard_wire::Effect;
@@ -9,12 +10,12 @@
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 use topazyard_wire::state::FleetSnapshot;
 
-/// How often weights are looked at.
-const EVERY: DurationMs = DurationMs(1_000);
-/// How old what engines said may be.
-const LOADS_FRESH: DurationMs = DurationMs(3_000);
+/// How often the weights are tuned.
+const TUNING_INTERVAL: DurationMs = DurationMs(1_000);
+/// How long the load reported by engines remains valid.
+const LOADS_TTL: DurationMs = DurationMs(3_000);
 
-/// What the primary tells whoever tunes.
+/// The load that the primary reports to the tuner.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Load {
     epoch: Epoch,
@@ -29,39 +30,39 @@
     demand: Demand,
 }
 
-/// What this node keeps while the duty is its own.
+/// State of the tuner on this node.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tuning {
-    last: MonotonicMs,
+    last_run: MonotonicMs,
     loads: Vec<EngineLoad>,
-    loads_at: Option<MonotonicMs>,
+    loads_received_at: Option<MonotonicMs>,
 }
 
 impl ControlMachine {
-    /// Whether the duty is this node's: nobody before it in the agreed order is heard.
-    fn tunes(&self, now: MonotonicMs) -> bool {
+    /// Whether this node is the tuner: no witness before it in the record is reachable.
+    fn is_tuner(&self, now: MonotonicMs) -> bool {
         let Some(record) = self.witness.record() else { return false };
-        let live = |id| id == self.me.id || self.core.is_heard(id, now);
+        let live = |id| id == self.me.id || self.peers.is_reachable(id, now);
         let first = record.witnesses.iter().find(|witness| live(witness.id));
         first.is_some_and(|first| first.id == self.me.id)
     }
 
-    pub(super) fn tuning_tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        if now.since(self.tuning.last) < EVERY || !self.tunes(now) {
+    pub(super) fn tuning_tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        if now.since(self.tuning.last_run) < TUNING_INTERVAL || !self.is_tuner(now) {
             return;
         }
-        self.tuning.last = now;
+        self.tuning.last_run = now;
         let request = OperatorRequest::Query(Query::Load);
-        self.take_operate(super::operate::Origin::Tuner, request, now, out);
+        self.handle_request(super::operations::Origin::Tuner, request, now, effects);
     }
 
-    /// What the primary knows of demand.
+    /// The demand known to the primary.
     pub(super) fn load(&self) -> Option<serde_json::Value> {
-        let view = FleetSnapshot::read(self.replica.copy().rows());
-        let (_, bundle) = view.configuration.as_ref()?;
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let (_, configuration) = fleet.configuration.as_ref()?;
         let mut demand = Demand::default();
-        for seen in self.seen.nodes.values() {
-            match &seen.health {
+        for report in self.reports.by_node.values() {
+            match &report.health {
                 Health::Edge { waiting, refused, .. } => {
                     demand.live_waiting += u64::from(*waiting);
                     demand.live_refused += u64::from(*refused);
@@ -72,14 +73,14 @@
                 }
             }
         }
-        // Waiting and refused prompts are not told apart by pool: a fleet has few pools, and
-        // raising the live share of one too many only slows batches.
-        let pools = bundle.pools.iter().filter_map(|pool| {
-            let weight = view.weights.get(&pool.name)?;
+        // Waiting and refused prompts are not broken down by pool: a fleet has few pools, and
+        // raising the live share of one too many only slows down batches.
+        let pools = configuration.pools.iter().filter_map(|pool| {
+            let weight = fleet.weights.get(&pool.name)?;
             let demand = Demand {
-                limit_tokens: view.limit(pool).0,
-                floor_percent: bundle.weights.live_floor_percent,
-                ceiling_percent: bundle.weights.live_ceiling_percent,
+                limit_tokens: fleet.limit(pool).0,
+                floor_percent: configuration.weights.live_floor_percent,
+                ceiling_percent: configuration.weights.live_ceiling_percent,
                 ..demand.clone()
             };
             Some(PoolLoad { pool: pool.name.clone(), live_percent: weight.live_percent, demand })
@@ -87,33 +88,34 @@
         let load = Load {
             epoch: self.replica.epoch(),
             pools: pools.collect(),
-            engines: view.engines.values().cloned().collect(),
+            engines: fleet.engines.values().cloned().collect(),
         };
         serde_json::to_value(load).ok()
     }
 
-    /// The primary's answer to the duty's question: work out each pool's share and ask for it.
-    pub(super) fn tuner_told(
+    /// Computes each pool's share from the primary's load report and requests the shares that
+    /// change.
+    pub(super) fn apply_tuning(
         &mut self,
         outcome: &OperatorOutcome,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         let OperatorOutcome::Done(text) = outcome else { return };
-        // The return of a weight that was set is of another shape, and needs nothing more.
+        // The response to a weight that was set has another shape and needs no action.
         let Ok(load) = serde_json::from_str::<Load>(text) else { return };
-        if !self.tunes(now) {
+        if !self.is_tuner(now) {
             return;
         }
-        let fresh = self.tuning.loads_at.is_some_and(|at| now.since(at) < LOADS_FRESH);
+        let fresh = self.tuning.loads_received_at.is_some_and(|at| now.since(at) < LOADS_TTL);
         for pool in &load.pools {
             let engines: Vec<&EngineLoad> = self
                 .tuning
                 .loads
                 .iter()
                 .filter(|_| fresh)
-                .filter(|known| {
-                    load.engines.iter().any(|e| e.name == known.engine && e.pool == pool.pool)
+                .filter(|load_report| {
+                    load.engines.iter().any(|e| e.name == load_report.engine && e.pool == pool.pool)
                 })
                 .collect();
             let share = crate::tuner::next_share(pool.live_percent, &pool.demand, &engines);
@@ -123,15 +125,15 @@
                     pool: pool.pool.clone(),
                     live_percent: share,
                 };
-                let origin = super::operate::Origin::Tuner;
-                self.take_operate(origin, OperatorRequest::Command(command), now, out);
+                let origin = super::operations::Origin::Tuner;
+                self.handle_request(origin, OperatorRequest::Command(command), now, effects);
             }
         }
-        out.push(Effect::StartTask(ControlTask::FetchLoads(load.engines)));
+        effects.push(Effect::StartTask(ControlTask::FetchLoads(load.engines)));
     }
 
-    pub(super) fn take_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
+    pub(super) fn receive_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
         self.tuning.loads = loads;
-        self.tuning.loads_at = Some(now);
+        self.tuning.loads_received_at = Some(now);
     }
 }
--- a/programs/topazyard-control/tests/invariants.rs
+++ b/programs/topazyard-control/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant that control checks, seen violated.
+//! Violates each invariant that control checks.
 
 use topazyard_control::machine::configurations::Configurations;
 use topazyard_types::ConfigurationVersion;
@@ -7,13 +7,13 @@
 use topazyard_wire::message::operate::OperatorOutcome;
 
 #[test]
-fn a_configuration_that_goes_back_is_a_violation() {
+fn older_configuration_in_force_is_a_violation() {
     let done = OperatorOutcome::Done(String::new());
     let refused = OperatorOutcome::Refused(ApiError::not_run(Code::StaleBase));
     let mut configurations = Configurations::default();
-    configurations.answered(&done, ConfigurationVersion(4));
-    configurations.answered(&refused, ConfigurationVersion(4));
-    configurations.answered(&done, ConfigurationVersion(5));
+    configurations.record_outcome(&done, ConfigurationVersion(4));
+    configurations.record_outcome(&refused, ConfigurationVersion(4));
+    configurations.record_outcome(&done, ConfigurationVersion(5));
     configurations.check(ConfigurationVersion(5));
     assert_eq!((configurations.acknowledged, configurations.refused), (2, 1));
     assert_eq!(violations(Invariant::AcknowledgedConfigurationStays), 0);
