--- a/libraries/topazyard-wire/src/message/batch.rs
+++ b/libraries/topazyard-wire/src/message/batch.rs
@@ -179,7 +179,7 @@
     /// Lease items of these models.
     Lease {
         /// At most that many.
-        most: u32,
+        max_items: u32,
         /// Models that have a ready engine.
         models: Vec<ModelName>,
         /// Batch routes that have a ready engine.
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -208,7 +208,7 @@
             self.items.leasing.insert(shard, most.min(room));
             let most = most.min(room) as u32;
             let models = models.clone();
-            let call = BatchCall::Lease { most, models, routes: routes.clone() };
+            let call = BatchCall::Lease { max_items: most, models, routes: routes.clone() };
             let limit = DurationMs(1_000);
             self.send_batch(Caller::Leasing(now), shard, call, limit, now, out);
         }
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -208,7 +208,7 @@
     /// The call under which the shard was asked for items last.
     fn asked_lease(&self) -> (u64, u32) {
         let lease = self.calls.iter().rev().find_map(|(call, body)| match body {
-            BatchCall::Lease { most, models, routes } => {
+            BatchCall::Lease { max_items: most, models, routes } => {
                 assert!(models.is_empty() && *routes == ["r".into()]);
                 Some((*call, *most))
             }
--- a/programs/topazyard-storage/src/machine/serving.rs
+++ b/programs/topazyard-storage/src/machine/serving.rs
@@ -112,7 +112,7 @@
                 Some(changes) => (changes, PendingResponse::Status(batch, false)),
                 None => (Vec::new(), PendingResponse::Ready(BatchResponse::Unknown)),
             },
-            BatchCall::Lease { most, models, routes } => {
+            BatchCall::Lease { max_items: most, models, routes } => {
                 let copy = hosted.replica.copy();
                 let mut leased = batches.routed.lease(relay, most, &routes, copy, now);
                 let remaining = most - leased.len() as u32;
