--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -113,7 +113,7 @@
     plant: Option<Plant>,
     habits: Habits,
 ) -> Report {
-    let violated_before = topazyard_wire::invariants::counts_of_thread();
+    let violated_before = topazyard_wire::invariants::thread_counts();
     let mut world = build(deployment, seed);
     world.plant = plant;
     world.people.habits = Habits { is_open: false, ..habits };
