--- a/libraries/topazyard-membership/src/lib.rs
+++ b/libraries/topazyard-membership/src/lib.rs
@@ -12,7 +12,7 @@
 /// ```
 /// use topazyard_wire::message::membership::MembershipMessage;
 /// let to = "127.0.0.1:1".parse().unwrap();
-/// let probe = MembershipMessage::Probe { nonce: 1, news: vec![] };
+/// let probe = MembershipMessage::Probe { nonce: 1, updates: vec![] };
 /// let effects: Vec<topazyard_wire::Effect<(), ()>> =
 ///     topazyard_membership::effects(vec![(to, probe)]).collect();
 /// assert_eq!(effects.len(), 1);
