--- a/libraries/topazyard-wire/src/driver/actor.rs
+++ b/libraries/topazyard-wire/src/driver/actor.rs
@@ -1,27 +1,27 @@
-//! The actor itself.
+//! The actor that owns a machine.
 
 use crate::{Effect, Input, Machine};
 use topazyard_types::CallId;
 
-/// What the actor is told.
+/// A message to the actor.
 pub(crate) enum Signal<M: Machine> {
-    /// Time has passed.
+    /// The periodic timer fired.
     Tick,
     /// A frame arrived.
     Frame(crate::Frame),
     /// A write is synced.
     Written(crate::WriteToken),
-    /// The disk is full, or has room again.
+    /// The disk became full or has free space again.
     Disk(crate::disk::DiskState),
-    /// A call from within the process, with where its return goes if anyone waits for it.
+    /// A call from within the process, with the channel for its response if the caller waits.
     Call(M::Call, Option<tokio::sync::oneshot::Sender<M::Response>>),
 }
 
-/// Owns a machine, its links, its disk and the calls that wait for a return.
+/// Owns a machine, its links, its disk and the calls that wait for a response.
 pub(crate) struct Driver<M: Machine> {
     pub(crate) machine: M,
     pub(crate) clock: super::Clock,
-    pub(crate) place: super::NodeIdentity,
+    pub(crate) identity: super::NodeIdentity,
     pub(crate) links: crate::link::Links,
     pub(crate) disk: Option<crate::disk::Writer>,
     pub(crate) tasks: tokio::sync::mpsc::Sender<M::Task>,
@@ -65,41 +65,41 @@
             }
         };
         let effects = self.machine.step(input, self.clock.now());
-        effects.into_iter().for_each(|effect| self.make_happen(effect));
+        effects.into_iter().for_each(|effect| self.perform(effect));
     }
 }
 
 impl<M: Machine> Driver<M> {
-    pub(super) fn make_happen(&mut self, effect: Effect<M::Response, M::Task>) {
+    pub(super) fn perform(&mut self, effect: Effect<M::Response, M::Task>) {
         match effect {
             Effect::Send { to, message } => {
                 let frame = crate::Frame {
                     version: crate::message::FRAME_VERSION,
-                    fleet: self.place.fleet,
-                    sender: self.place.node,
-                    address: self.place.address,
+                    fleet: self.identity.fleet,
+                    sender: self.identity.node,
+                    address: self.identity.address,
                     message,
                 };
                 self.links.send(to, frame.encode());
             }
             Effect::Write { token, changes } => {
-                let taken = self
+                let queued = self
                     .disk
                     .as_ref()
                     .map(|disk| disk.write(crate::disk::DiskWrite { token, changes }));
-                if !matches!(taken, Some(Ok(()))) {
-                    super::give_up::give_up("a write could not be handed to the disk");
+                if !matches!(queued, Some(Ok(()))) {
+                    super::give_up::give_up("a write could not be queued for the disk thread");
                 }
             }
             Effect::Respond { call, value } => {
                 if let Some(waiting) = self.calls.remove(&call) {
-                    // Whoever asked may have gone; nothing depends on it.
+                    // The caller may have stopped waiting, which is no error.
                     let _ = waiting.send(value);
                 }
             }
             Effect::StartTask(task) => {
                 if self.tasks.try_send(task).is_err() {
-                    super::give_up::give_up("a task could not be handed on");
+                    super::give_up::give_up("a task could not be queued");
                 }
             }
             Effect::Log { is_error: true, text } => spdlog::error!("{text}"),
@@ -108,7 +108,7 @@
     }
 }
 
-/// How the rest of a process reaches its machine.
+/// Sends calls to the machine from the rest of the process.
 pub struct Handle<M: Machine> {
     pub(crate) actor: kameo::actor::ActorRef<Driver<M>>,
     pub(crate) clock: super::Clock,
@@ -120,22 +120,22 @@
     }
 }
 
-/// The machine gave no return
+/// The machine returned no response
 #[derive(Debug, displaydoc::Display)]
 pub struct CallError;
 
 impl std::error::Error for CallError {}
 
 impl<M: Machine> Handle<M> {
-    /// The clock that the machine's moments are counted on.
+    /// The clock that gives the machine its times.
     pub fn clock(&self) -> super::Clock {
         self.clock
     }
 
-    /// Asks and waits for the return.
+    /// Sends a request and waits for the response.
     ///
     /// # Errors
-    /// The machine has ended, or let the call go.
+    /// The machine has stopped, or dropped the call without a response.
     pub async fn call(&self, request: M::Call) -> Result<M::Response, CallError> {
         let (sender, receiver) = tokio::sync::oneshot::channel();
         let sent = self.actor.tell(Signal::Call(request, Some(sender))).await;
@@ -143,10 +143,10 @@
         receiver.await.map_err(|_| CallError)
     }
 
-    /// Tells without waiting for a return, even from where nothing can be awaited.
+    /// Sends a request without waiting for a response. It may be called from synchronous code.
     pub fn notify(&self, request: M::Call) {
         let actor = self.actor.clone();
-        // Without a runtime the process is ending, and its machine with it.
+        // Without a runtime the process is shutting down, and its machine with it.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move { drop(actor.tell(Signal::Call(request, None)).await) });
         }
--- a/libraries/topazyard-wire/src/driver/disk_start.rs
+++ b/libraries/topazyard-wire/src/driver/disk_start.rs
@@ -1,36 +1,36 @@
-//! Starting a node that has a disk: control and storage begin alike.
+//! Startup of nodes with a disk: control and storage nodes.
 
 use super::{NodeIdentity, StartError};
 use crate::disk::{DiskError, OpenFile};
 use crate::message::membership::{Member, MemberRole};
 
-/// From what a node with a disk starts.
+/// The inputs from which a node with a disk starts.
 #[derive(Debug)]
 pub struct DiskStart {
-    /// Who and where it is.
+    /// The node's own entry in the member table.
     pub member: Member,
-    /// Control nodes to begin with.
+    /// Addresses of control nodes from the settings.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// Drawn for this life.
+    /// Drawn once at each process start. The boot id and the random choices derive from it.
     pub random_seed: u64,
-    /// What its disk held.
+    /// The rows read from its disk.
     pub loaded: crate::rows::LoadedRows,
-    /// The bounds of the place that the fleet runs at.
+    /// The bounds of the environment that the fleet runs in.
     pub bounds: topazyard_spec::Bounds,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub resources: topazyard_spec::Resources,
-    /// Whether an empty disk may be the beginning of a new fleet.
+    /// Whether the node may bootstrap a new fleet if its disk is empty.
     pub may_bootstrap: bool,
 }
 
-/// How long to wait before a data folder whose disk is full is opened again.
-const ROOM_AGAIN: std::time::Duration = std::time::Duration::from_millis(250);
+/// Delay before a data folder whose disk is full is opened again.
+const DISK_FULL_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(250);
 
-/// Starts the log, opens the data folder and settles who the node is. While the disk is full, and
-/// the folder can't be opened for it, it waits and answers each caller of its HTTP so.
+/// Starts the log, opens the data folder and loads or creates the node's id. While the folder can't
+/// be opened because its disk is full, it waits and answers each HTTP request with that error.
 ///
 /// # Errors
-/// Settings that are missing, a folder that can't be used, or a log that can't be started.
+/// A setting is missing, the folder can't be used, or the log can't be started.
 pub async fn start_with_disk(
     settings: &topazyard_spec::NodeSettings,
     role: MemberRole,
@@ -40,30 +40,34 @@
     open_once_disk_has_space(settings.http, || open_start(settings, &folder, role)).await
 }
 
-/// Opens something, again and again while its disk is full, and answers callers meanwhile.
+/// Calls `open` and retries it while it fails because of a full disk. Meanwhile each HTTP request is
+/// answered with that error.
 ///
 /// # Errors
-/// It can't be opened for another reason than want of room, or the address can't be listened on.
+/// `open` failed for another reason, or the address can't be listened on.
 pub async fn open_once_disk_has_space<T>(
     http: Option<std::net::SocketAddr>,
     mut open: impl FnMut() -> Result<T, StartError>,
 ) -> Result<T, StartError> {
-    let mut refusing = None;
+    let mut refusal_server = None;
     loop {
         match open() {
             Err(StartError::Disk(DiskError::Full(path))) => {
-                if refusing.is_none() {
-                    spdlog::warn!("not ready: {}; waiting for room", DiskError::Full(path.clone()));
-                    refusing = Some(refuse(http).await?);
+                if refusal_server.is_none() {
+                    spdlog::warn!(
+                        "not ready: {}; waiting for free space",
+                        DiskError::Full(path.clone())
+                    );
+                    refusal_server = Some(serve_disk_full(http).await?);
                 }
-                wait_for_room(&path).await;
+                wait_for_space(&path).await;
             }
             outcome => {
-                if let Some(refusing) = refusing {
-                    spdlog::info!("the disk has room again");
-                    refusing.abort();
-                    // Its listener must be gone before the address is bound again.
-                    let _ = refusing.await;
+                if let Some(refusal_server) = refusal_server {
+                    spdlog::info!("the disk has free space again");
+                    refusal_server.abort();
+                    // Its listener must be closed before the address is bound again.
+                    let _ = refusal_server.await;
                 }
                 return outcome;
             }
@@ -71,8 +75,8 @@
     }
 }
 
-/// Answers each caller that the disk is full.
-async fn refuse(
+/// Answers each HTTP request with the error for a full disk.
+async fn serve_disk_full(
     http: Option<std::net::SocketAddr>,
 ) -> Result<tokio::task::JoinHandle<()>, StartError> {
     let listener = match http {
@@ -81,18 +85,18 @@
     };
     Ok(tokio::spawn(async move {
         let Some(listener) = listener else { return };
-        let full = || crate::ApiError::not_run(crate::api::Code::DiskFull);
-        let answer = move |_| async move { crate::http::error(&full()) };
-        crate::http::inbound::serve(listener, answer).await;
+        let disk_full = || crate::ApiError::not_run(crate::api::Code::DiskFull);
+        let respond = move |_| async move { crate::http::error(&disk_full()) };
+        crate::http::inbound::serve(listener, respond).await;
     }))
 }
 
-/// Waits until there is room beside a file, or in a folder.
-async fn wait_for_room(path: &std::path::Path) {
+/// Waits until the folder, or the folder of a file, has free space.
+async fn wait_for_space(path: &std::path::Path) {
     let folder = if path.is_dir() { path } else { path.parent().unwrap_or(path) };
     loop {
-        tokio::time::sleep(ROOM_AGAIN).await;
-        // Any other error than want of room is told by who opens the folder.
+        tokio::time::sleep(DISK_FULL_RETRY_INTERVAL).await;
+        // Any other error is reported by the next attempt to open the folder.
         if !matches!(crate::disk::open::check_free_space(folder), Err(DiskError::Full(_))) {
             return;
         }
@@ -105,7 +109,7 @@
     role: MemberRole,
 ) -> Result<(DiskStart, NodeIdentity, OpenFile), StartError> {
     let disk = crate::disk::open(folder)?;
-    let node = super::settled_id(&disk)?;
+    let node = super::load_or_create_id(&disk)?;
     let member = Member {
         id: node,
         name: settings.name.clone(),
@@ -114,7 +118,7 @@
         role,
         zone: settings.zone.clone(),
     };
-    let place = NodeIdentity { fleet: settings.fleet, node, address: settings.address };
+    let identity = NodeIdentity { fleet: settings.fleet, node, address: settings.address };
     let seeds = settings.seeds.clone();
     let start = DiskStart {
         member,
@@ -126,27 +130,28 @@
         may_bootstrap: settings.may_bootstrap,
     };
     let file = OpenFile { folder: folder.to_owned(), database: disk.database };
-    Ok((start, place, file))
+    Ok((start, identity, file))
 }
 
 impl DiskStart {
-    /// Addresses of control nodes that the node remembered when it last ran.
+    /// The control nodes that the node stored when it last ran.
     pub fn known_control_nodes(&self) -> KnownControlNodes {
         KnownControlNodes::read(&self.loaded)
     }
 
-    /// The seeds and the remembered addresses, each once.
+    /// The seeds and the stored addresses, each once.
     pub fn control_addresses(&self) -> Vec<std::net::SocketAddr> {
         self.known_control_nodes().with_seeds(&self.seeds)
     }
 }
 
-/// Where control nodes were when they were last heard of, so that old seeds strand nobody.
+/// The last known addresses of control nodes. They are stored on disk, so that a node whose seeds
+/// are outdated still finds the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct KnownControlNodes(Vec<std::net::SocketAddr>);
 
 impl KnownControlNodes {
-    /// What a disk remembers.
+    /// Reads the addresses stored on a disk.
     ///
     /// ```
     /// use topazyard_wire::driver::disk_start::KnownControlNodes;
@@ -158,14 +163,14 @@
         Self(value.and_then(|value| crate::rows::decode(value)).unwrap_or_default())
     }
 
-    /// The seeds and what is remembered, each once.
+    /// The seeds and the stored addresses, each once.
     pub fn with_seeds(&self, seeds: &[std::net::SocketAddr]) -> Vec<std::net::SocketAddr> {
         let mut known = seeds.to_vec();
         known.extend(self.0.iter().copied().filter(|address| !seeds.contains(address)));
         known
     }
 
-    /// Takes the addresses known now; gives the row to write if they are others.
+    /// Replaces the addresses. Returns the row to write if they changed.
     pub fn update(
         &mut self,
         addresses: impl Iterator<Item = std::net::SocketAddr>,
--- a/libraries/topazyard-wire/src/driver/give_up.rs
+++ b/libraries/topazyard-wire/src/driver/give_up.rs
@@ -1,12 +1,12 @@
-//! The end of a process that can't go on rightly.
+//! Ending a process that can't continue correctly.
 
-/// The exit code of a process that could not go on.
-const GAVE_UP: i32 = 70;
+/// The exit code of a process that ended because of an unrecoverable error.
+const UNRECOVERABLE_EXIT_CODE: i32 = 70;
 
-/// Ends the process: what can't go on rightly must not go on at all.
+/// Logs the reason and ends the process.
 pub(crate) fn give_up(reason: &str) -> ! {
-    spdlog::error!("giving up: {reason}");
-    // The log's owner thread writes the ring; leave it a moment.
+    spdlog::error!("unrecoverable error, exiting: {reason}");
+    // The log's thread writes the ring buffer out; give it time to do so.
     std::thread::sleep(std::time::Duration::from_millis(100));
-    std::process::exit(GAVE_UP)
+    std::process::exit(UNRECOVERABLE_EXIT_CODE)
 }
--- a/libraries/topazyard-wire/src/driver/identity.rs
+++ b/libraries/topazyard-wire/src/driver/identity.rs
@@ -1,19 +1,19 @@
-//! A node's id: kept with its data, made anew where there is none.
+//! The id of a node: stored with its data, generated if there is none.
 
-/// An id nobody else has.
+/// Generates a random id, which is never 0.
 pub fn fresh_id() -> topazyard_types::NodeId {
     topazyard_types::NodeId(rand::random::<u64>() | 1)
 }
 
-/// The id kept on disk, or a fresh one that is written before it is used.
+/// The id stored on disk, or a new one that is written before it is used.
 ///
 /// # Errors
 /// The file could not be written.
-pub fn settled_id(
+pub fn load_or_create_id(
     disk: &crate::disk::OpenDisk,
 ) -> Result<topazyard_types::NodeId, crate::disk::DiskError> {
-    let kept = disk.loaded.get(&crate::Group::Node).and_then(|rows| rows.get("id"));
-    if let Some(id) = kept.and_then(|value| crate::rows::decode(value)) {
+    let stored = disk.loaded.get(&crate::Group::Node).and_then(|rows| rows.get("id"));
+    if let Some(id) = stored.and_then(|value| crate::rows::decode(value)) {
         return Ok(id);
     }
     let id = fresh_id();
--- a/libraries/topazyard-wire/src/driver/mod.rs
+++ b/libraries/topazyard-wire/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that owns a machine and makes its effects happen.
+//! The actor that owns a machine and performs its effects.
 
 pub mod actor;
 pub mod clock;
@@ -11,6 +11,6 @@
 pub use actor::{CallError, Handle};
 pub use clock::Clock;
 pub use disk_start::{DiskStart, start_with_disk};
-pub use identity::{fresh_id, settled_id};
+pub use identity::{fresh_id, load_or_create_id};
 pub use signals::{follow_settings, terminated};
 pub use spawn::{NodeIdentity, StartError, exit_code, run_daemon, run_process, spawn, spawn_at};
--- a/libraries/topazyard-wire/src/driver/spawn.rs
+++ b/libraries/topazyard-wire/src/driver/spawn.rs
@@ -1,15 +1,15 @@
-//! Starting a machine on its own thread, apart from traffic.
+//! Starting a machine on its own thread, separate from traffic.
 
 use kameo::actor::Spawn as _;
 
-/// Where a process stands in the fleet.
+/// The identity of a process in the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeIdentity {
-    /// The fleet.
+    /// The fleet it belongs to.
     pub fleet: topazyard_types::FleetId,
-    /// Its id.
+    /// Its node id.
     pub node: topazyard_types::NodeId,
-    /// Where it takes frames.
+    /// The address at which it receives frames.
     pub address: std::net::SocketAddr,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Says why in one line, and gives exit code 2 for settings and 1 for the rest.
+/// Prints the error in one line. The exit code is 2 for invalid settings and 1 for other errors.
 pub fn exit_code(outcome: Result<(), StartError>) -> std::process::ExitCode {
     match outcome {
         Ok(()) => std::process::ExitCode::SUCCESS,
@@ -57,17 +57,19 @@
     }
 }
 
-/// Signals that may wait for the machine.
-const QUEUE_LIMIT: usize = 8_192;
-const TICK_MS: u64 = 25;
-/// Runs a process's traffic on several threads until it ends.
+/// Maximum number of messages queued for the machine.
+const MAX_QUEUED: usize = 8_192;
+const TICK_INTERVAL_MS: u64 = 25;
+
+/// Runs the work of a process on its runtime until it ends.
 ///
 /// # Errors
-/// What the work itself gives, or a runtime that can't be made.
+/// The error of `work`, or the runtime can't be created.
 pub fn run_process(work: impl Future<Output = Result<(), StartError>>) -> Result<(), StartError> {
-    // One processor is best used by one thread: a second one would only be woken in between.
-    let alone = std::thread::available_parallelism().is_ok_and(|processors| processors.get() == 1);
-    let mut builder = match alone {
+    // On a single processor further threads would only add context switches.
+    let is_single_processor =
+        std::thread::available_parallelism().is_ok_and(|processors| processors.get() == 1);
+    let mut builder = match is_single_processor {
         true => tokio::runtime::Builder::new_current_thread(),
         false => tokio::runtime::Builder::new_multi_thread(),
     };
@@ -75,61 +77,61 @@
         builder.enable_all().build().map_err(|error| StartError::Runtime(error.kind()))?;
     crate::metrics::started_at();
     let outcome = runtime.block_on(async move {
-        super::signals::outlive_hangups();
+        super::signals::ignore_hangups();
         work.await
     });
     crate::log::finish();
     outcome
 }
 
-/// Starts a machine with its links, disk and ticks on a thread of its own. `make` gives the
-/// machine and its first effects.
+/// Starts a machine with its links, disk and ticks on its own thread. `make` returns the machine and
+/// its first effects.
 ///
 /// # Errors
-/// Its address can't be listened on, or the thread's runtime can't be made.
+/// Its address can't be listened on, or the thread's runtime can't be created.
 pub fn spawn<M: crate::Machine>(
     make: impl FnOnce(topazyard_types::MonotonicMs) -> (M, crate::machine::Effects<M>),
-    place: NodeIdentity,
+    identity: NodeIdentity,
     disk: Option<crate::disk::OpenFile>,
     tasks: tokio::sync::mpsc::Sender<M::Task>,
 ) -> Result<super::Handle<M>, StartError> {
-    spawn_at(place.address, make, place, disk, tasks)
+    spawn_at(identity.address, make, identity, disk, tasks)
 }
 
-/// The same where frames are listened for at another address than the one that others send to.
+/// Like [`spawn`], for a process that listens at another address than the one that its peers use.
 ///
 /// # Errors
-/// The address to listen at can't be had, or the thread's runtime can't be made.
+/// The address `listen` can't be listened on, or the thread's runtime can't be created.
 pub fn spawn_at<M: crate::Machine>(
     listen: std::net::SocketAddr,
     make: impl FnOnce(topazyard_types::MonotonicMs) -> (M, crate::machine::Effects<M>),
-    place: NodeIdentity,
+    identity: NodeIdentity,
     disk: Option<crate::disk::OpenFile>,
     tasks: tokio::sync::mpsc::Sender<M::Task>,
 ) -> Result<super::Handle<M>, StartError> {
-    let at = |error: std::io::Error| StartError::Address(listen, error.kind());
-    let listener = std::net::TcpListener::bind(listen).map_err(at)?;
-    listener.set_nonblocking(true).map_err(at)?;
+    let listen_error = |error: std::io::Error| StartError::Address(listen, error.kind());
+    let listener = std::net::TcpListener::bind(listen).map_err(listen_error)?;
+    listener.set_nonblocking(true).map_err(listen_error)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|error| StartError::Runtime(error.kind()))?;
     let clock = super::Clock::start();
-    let (machine, first) = make(clock.now());
+    let (machine, first_effects) = make(clock.now());
     let (sender, receiver) = std::sync::mpsc::sync_channel(1);
     std::thread::spawn(move || {
         runtime.block_on(async move {
             let driver = super::actor::Driver {
                 machine,
                 clock,
-                place,
+                identity,
                 links: crate::link::Links::default(),
                 disk: None,
                 tasks,
                 calls: std::collections::HashMap::new(),
                 last_call: topazyard_types::CallId(0),
             };
-            run(driver, first, disk, listener, &sender).await;
+            run(driver, first_effects, disk, listener, &sender).await;
             super::give_up::give_up("the machine's actor ended");
         });
     });
@@ -139,22 +141,22 @@
 
 async fn run<M: crate::Machine>(
     mut driver: super::actor::Driver<M>,
-    first: crate::machine::Effects<M>,
+    first_effects: crate::machine::Effects<M>,
     disk: Option<crate::disk::OpenFile>,
     listener: std::net::TcpListener,
     started: &std::sync::mpsc::SyncSender<kameo::actor::ActorRef<super::actor::Driver<M>>>,
 ) {
-    let fleet = driver.place.fleet;
-    let (events_sender, mut events) = tokio::sync::mpsc::channel(QUEUE_LIMIT);
+    let fleet = driver.identity.fleet;
+    let (events_sender, mut events) = tokio::sync::mpsc::channel(MAX_QUEUED);
     driver.disk = disk.map(|disk| {
         let reopen = move || crate::disk::open::reopen(&disk.folder);
         crate::disk::Writer::start(disk.database, reopen, move |event| {
-            // Nobody hears it once the process ends.
+            // The receiver is gone once the process shuts down.
             let _ = events_sender.blocking_send(event);
         })
     });
-    first.into_iter().for_each(|effect| driver.make_happen(effect));
-    let mailbox = kameo::mailbox::bounded(QUEUE_LIMIT);
+    first_effects.into_iter().for_each(|effect| driver.perform(effect));
+    let mailbox = kameo::mailbox::bounded(MAX_QUEUED);
     let actor = super::actor::Driver::spawn_with_mailbox(driver, mailbox);
     let _ = started.send(actor.clone());
 
@@ -175,11 +177,12 @@
     });
     let ticks = actor.clone();
     tokio::spawn(async move {
-        let mut every = tokio::time::interval(std::time::Duration::from_millis(TICK_MS));
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval =
+            tokio::time::interval(std::time::Duration::from_millis(TICK_INTERVAL_MS));
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            every.tick().await;
-            // A tick that doesn't fit is made up for by the next.
+            interval.tick().await;
+            // If the mailbox is full, the next tick replaces this one.
             let _ = ticks.tell(super::actor::Signal::Tick).try_send();
         }
     });
@@ -187,7 +190,7 @@
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => {
             tokio::spawn(crate::link::inbound::listen(listener, fleet, move |frame| {
-                // A frame that doesn't fit is dropped; its sender asks again.
+                // If the mailbox is full, the frame is dropped; its sender retries.
                 let _ = frames.tell(super::actor::Signal::Frame(frame)).try_send();
             }));
         }
@@ -196,7 +199,7 @@
     actor.wait_for_shutdown().await;
 }
 
-/// A daemon's whole `main`: runs it on its flags and gives the exit code.
+/// The `main` function of a daemon: checks its flags, runs it and returns the exit code.
 pub fn run_daemon(
     flags: topazyard_spec::Settings,
     run: impl FnOnce(topazyard_spec::NodeSettings) -> Result<(), StartError>,
--- a/libraries/topazyard-wire/src/machine.rs
+++ b/libraries/topazyard-wire/src/machine.rs
@@ -1,91 +1,91 @@
-//! Machines without input or output of their own.
+//! State machines that perform no I/O.
 //!
-//! A machine takes an input and the present moment and says what should happen. The driver actor
-//! makes it happen in a process, the simulator on a seeded network, clock and disk.
+//! A machine takes an input and the current time and returns effects. In a process the driver actor
+//! applies them; in the simulator they are applied to a simulated network, clock and disk.
 
 use topazyard_types::{CallId, MonotonicMs, NodeId};
 
-/// Marks a write, so that the machine hears when it is synced.
+/// Identifies a write, so that the machine can be notified when it is synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WriteToken {
-    /// The group written.
+    /// The group whose rows are written.
     pub group: crate::Group,
-    /// The machine's own number for the write.
+    /// The number that the machine gave to the write.
     pub number: u64,
 }
 
-/// What a machine is told.
+/// An input of a machine.
 #[derive(Debug)]
 pub enum Input<C> {
-    /// Time has passed.
+    /// The periodic timer fired.
     Tick,
     /// A frame arrived.
     Frame {
-        /// Who sent it.
+        /// The node that sent it.
         sender: NodeId,
-        /// Where the sender takes frames.
+        /// The address at which the sender receives frames.
         from: std::net::SocketAddr,
-        /// What it says.
+        /// The message that it carries.
         message: crate::Message,
     },
     /// A write is synced.
     Written(WriteToken),
-    /// The disk is full, or has room again. Until it has, nothing that was written is synced.
+    /// The disk became full or has free space again. While it is full, no write is synced.
     Disk(crate::disk::DiskState),
     /// A call from within the process.
     Call {
-        /// Marks its return.
+        /// Identifies the call in its response.
         call: CallId,
-        /// What is asked.
+        /// The request.
         request: C,
     },
 }
 
-/// What a machine wants done.
+/// An action that a machine asks its driver to perform.
 #[derive(Debug)]
 pub enum Effect<R, T> {
-    /// Send a frame; it may be lost.
+    /// Send a frame. Delivery is not guaranteed.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: std::net::SocketAddr,
-        /// What it says.
+        /// The message that it carries.
         message: crate::Message,
     },
-    /// Write and sync rows, then say so.
+    /// Write and sync rows, then report it by [`Input::Written`].
     Write {
-        /// Marks the write.
+        /// Identifies the write.
         token: WriteToken,
-        /// The rows.
+        /// The changed rows.
         changes: Vec<crate::RowChange>,
     },
-    /// Give a call its return.
+    /// Respond to a call.
     Respond {
         /// The call.
         call: CallId,
-        /// Its return.
+        /// The response.
         value: R,
     },
-    /// Begin a task outside the machine, which reports by a call.
+    /// Start a task outside the machine. It reports its result by a call.
     StartTask(T),
-    /// Put a line into the log's ring; a grave one writes the ring out.
+    /// Write a line to the log. An error also makes the log write out its ring buffer.
     Log {
-        /// Whether something went wrong.
+        /// Whether the line is logged as an error.
         is_error: bool,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
 
-/// A protocol's state without any input or output of its own.
+/// The state of a protocol, without any I/O.
 pub trait Machine: Send + 'static {
-    /// What may be asked from within the process.
+    /// A request from within the process.
     type Call: Send + std::fmt::Debug + 'static;
-    /// What such a call returns.
+    /// The response to such a request.
     type Response: Send + std::fmt::Debug + 'static;
-    /// What it may begin outside.
+    /// A task that the machine may start outside itself.
     type Task: Send + std::fmt::Debug + 'static;
 
-    /// Takes one input at one moment and says what should happen.
+    /// Applies one input at the time `now` and returns the effects to perform.
     fn step(
         &mut self,
         input: Input<Self::Call>,
@@ -96,6 +96,6 @@
 /// The effects of a machine.
 pub type Effects<M> = Vec<Effect<<M as Machine>::Response, <M as Machine>::Task>>;
 
-/// The machine in which no task is ever begun.
+/// The task type of a machine that starts none.
 #[derive(Debug)]
 pub enum NoTask {}
