--- a/libraries/topazyard-wire/src/disk/backend.rs
+++ b/libraries/topazyard-wire/src/disk/backend.rs
@@ -1,13 +1,13 @@
-//! The file under the database.
+//! The storage backend of the database.
 
 use redb::{BackendError, StorageBackend};
 use std::ops::Bound;
 
-/// A storage backend on which a failed sync is never taken for want of room.
+/// A storage backend that never reports a failed sync as a full disk.
 ///
-/// After a write that found no room nothing is lost, and it may be tried again. After a sync that
-/// failed, for whatever reason, the operating system may have dropped pages that it still shows to
-/// whoever reads the file: nothing may be built on them.
+/// A write that failed because the disk is full loses nothing and may be retried. After a failed
+/// sync, whatever its cause, the operating system may have discarded dirty pages that it still
+/// returns to readers of the file, so that a retry could build on lost data.
 #[derive(Debug)]
 pub struct SyncBackend<B>(pub B);
 
--- a/libraries/topazyard-wire/src/disk/error.rs
+++ b/libraries/topazyard-wire/src/disk/error.rs
@@ -7,13 +7,13 @@
 pub enum DiskError {
     /// the disk that holds {0:?} is full
     Full(PathBuf),
-    /// the file {0:?} is held by another process
+    /// the file {0:?} is locked by another process
     Locked(PathBuf),
     /// the file {0:?} is damaged: {1}
     Damaged(PathBuf, String),
-    /// the file {0:?} is of the unknown format {1}
+    /// the file {0:?} has the unknown format version {1}
     UnknownFormat(PathBuf, u32),
-    /// the file {0:?} holds the unknown table {1}
+    /// the file {0:?} contains the unknown table {1}
     UnknownTable(PathBuf, String),
     /// {0:?} can't be read or written: {1}
     Failed(PathBuf, String),
@@ -22,7 +22,7 @@
 impl std::error::Error for DiskError {}
 
 impl DiskError {
-    /// What an error of the database means for its file.
+    /// Classifies an error of the database.
     pub fn from_database_error(file: &Path, error: impl Into<redb::Error>) -> Self {
         let file = file.to_owned();
         match error.into() {
@@ -39,15 +39,15 @@
         }
     }
 
-    /// What an error of the operating system means for a file or folder.
+    /// Classifies an I/O error of a file or folder.
     ///
     /// ```
     /// use std::io::{Error, ErrorKind};
     /// use topazyard_wire::disk::DiskError;
-    /// let of = |kind| DiskError::from_io_error("node.redb".as_ref(), &Error::from(kind));
-    /// assert!(matches!(of(ErrorKind::StorageFull), DiskError::Full(_)));
-    /// assert!(matches!(of(ErrorKind::InvalidData), DiskError::Damaged(..)));
-    /// assert!(matches!(of(ErrorKind::PermissionDenied), DiskError::Failed(..)));
+    /// let classify = |kind| DiskError::from_io_error("node.redb".as_ref(), &Error::from(kind));
+    /// assert!(matches!(classify(ErrorKind::StorageFull), DiskError::Full(_)));
+    /// assert!(matches!(classify(ErrorKind::InvalidData), DiskError::Damaged(..)));
+    /// assert!(matches!(classify(ErrorKind::PermissionDenied), DiskError::Failed(..)));
     /// ```
     pub fn from_io_error(file: &Path, error: &std::io::Error) -> Self {
         use std::io::ErrorKind;
--- a/libraries/topazyard-wire/src/disk/state.rs
+++ b/libraries/topazyard-wire/src/disk/state.rs
@@ -1,14 +1,14 @@
-//! How a disk fares, as the machine that writes to it sees it.
+//! The health of a disk, as seen by the machine that writes to it.
 
 use crate::WriteToken;
 use topazyard_types::{DurationMs, MonotonicMs};
 
-/// After how long without being synced the oldest write marks a disk as stalled.
-const STALLED_AFTER: DurationMs = DurationMs(1_000);
-/// With so many writes that are not synced a node takes on nothing more that needs one.
-const MOST_UNSYNCED: usize = 64;
+/// Age of the oldest unsynced write from which the disk counts as stalled.
+const STALL_THRESHOLD: DurationMs = DurationMs(1_000);
+/// Number of unsynced writes from which a node accepts no more work that needs a write.
+const MAX_UNSYNCED: usize = 64;
 
-/// How a disk fares.
+/// The health of a disk.
 #[derive(
     Debug,
     Clone,
@@ -25,59 +25,59 @@
     /// disk healthy: writes are synced
     #[default]
     Healthy,
-    /// disk full: nothing is written until there is room
+    /// disk full: writes wait for free space
     Full,
-    /// disk stalled: a write has not been synced for a second
+    /// disk stalled: a write has been unsynced for at least one second
     Stalled,
 }
 
-/// What a machine knows of its disk.
+/// Tracks the unsynced writes of a machine and whether its disk is full.
 #[derive(Debug, Clone, Default)]
 pub struct DiskWatch {
     is_full: bool,
-    /// Writes that are not synced, in the order they were begun.
+    /// Unsynced writes with their start times, in the order in which they were started.
     unsynced: std::collections::VecDeque<(WriteToken, MonotonicMs)>,
-    noted: DiskState,
+    last_reported: DiskState,
 }
 
 impl DiskWatch {
-    /// The disk thread says that the disk is full, or no longer. What waited for room counts as
-    /// begun once there is some: the disk did not stall.
+    /// Records that the disk became full or has free space again. Writes that waited for space count
+    /// as started when it becomes available, because the disk did not stall meanwhile.
     pub fn set_state(&mut self, state: DiskState, now: MonotonicMs) {
         let was_full = std::mem::replace(&mut self.is_full, state == DiskState::Full);
         if was_full && !self.is_full {
-            self.unsynced.iter_mut().for_each(|(_, begun)| *begun = now);
+            self.unsynced.iter_mut().for_each(|(_, started_at)| *started_at = now);
         }
     }
 
-    /// A write is handed to the disk.
+    /// Records that a write was handed to the disk.
     pub fn write_started(&mut self, token: WriteToken, now: MonotonicMs) {
         self.unsynced.push_back((token, now));
     }
 
-    /// A write is synced, and with it all that were begun before it.
+    /// Records that a write is synced, and with it all that were started before it.
     pub fn write_synced(&mut self, token: WriteToken) {
-        if let Some(at) = self.unsynced.iter().position(|(begun, _)| *begun == token) {
+        if let Some(at) = self.unsynced.iter().position(|(started, _)| *started == token) {
             self.unsynced.drain(..=at);
         }
     }
 
-    /// Whether the disk has no room.
+    /// Whether the disk is full.
     pub fn is_full(&self) -> bool {
         self.is_full
     }
 
-    /// Whether a duty may be taken on that needs another write.
+    /// Whether work that needs another write may be accepted.
     pub fn accepts_writes(&self) -> bool {
-        !self.is_full && self.unsynced.len() < MOST_UNSYNCED
+        !self.is_full && self.unsynced.len() < MAX_UNSYNCED
     }
 
-    /// How long the oldest write that is not synced has taken.
+    /// The age of the oldest unsynced write.
     pub fn oldest_write_age(&self, now: MonotonicMs) -> DurationMs {
-        self.unsynced.front().map_or(DurationMs(0), |(_, begun)| now.since(*begun))
+        self.unsynced.front().map_or(DurationMs(0), |(_, started_at)| now.since(*started_at))
     }
 
-    /// How the disk fares now.
+    /// The current state.
     ///
     /// ```
     /// use topazyard_types::MonotonicMs;
@@ -92,14 +92,14 @@
     pub fn state(&self, now: MonotonicMs) -> DiskState {
         match self.is_full {
             true => DiskState::Full,
-            false if self.oldest_write_age(now) >= STALLED_AFTER => DiskState::Stalled,
+            false if self.oldest_write_age(now) >= STALL_THRESHOLD => DiskState::Stalled,
             false => DiskState::Healthy,
         }
     }
 
-    /// The state, if it is another than when this was last asked.
+    /// The current state, if it differs from that at the previous call.
     pub fn take_state_change(&mut self, now: MonotonicMs) -> Option<DiskState> {
         let state = self.state(now);
-        (std::mem::replace(&mut self.noted, state) != state).then_some(state)
+        (std::mem::replace(&mut self.last_reported, state) != state).then_some(state)
     }
 }
--- a/libraries/topazyard-wire/src/disk/writer.rs
+++ b/libraries/topazyard-wire/src/disk/writer.rs
@@ -1,87 +1,87 @@
-//! The thread that owns the file and syncs writes, many in one transaction when they queue up.
+//! The thread that owns the database and syncs writes. Queued writes share a transaction.
 //!
-//! Writes reach the disk in the order they came. One that finds no room stays at the head and is
-//! tried again until there is some: no later one is synced before it.
+//! Writes are synced in the order in which they were queued. While the disk is full, the first batch
+//! is retried until it succeeds, so that no later write is synced before it.
 
 use super::{DiskError, DiskState};
 
-/// One write.
+/// A write to one group's table.
 #[derive(Debug)]
 pub struct DiskWrite {
-    /// Marks it.
+    /// Identifies the write.
     pub token: crate::WriteToken,
-    /// The rows.
+    /// The changed rows.
     pub changes: Vec<crate::RowChange>,
 }
 
-/// What the disk thread says.
+/// An event that the disk thread reports.
 #[derive(Debug)]
 pub enum DiskEvent {
     /// A write is synced.
     Written(crate::WriteToken),
-    /// The disk is full, or has room again.
+    /// The disk became full or has free space again.
     State(DiskState),
-    /// A write failed for another reason than want of room: the thread has ended.
+    /// A write failed for another reason than a full disk, and the thread has ended.
     Failed(DiskError),
 }
 
-/// Where writes are handed to the disk thread.
+/// Queues writes for the disk thread.
 pub struct Writer {
     sender: std::sync::mpsc::SyncSender<DiskWrite>,
 }
 
-/// The disk thread can take no more, or has ended
+/// The queue of the disk thread is full, or the thread has ended
 #[derive(Debug, displaydoc::Display)]
 pub struct WriterStopped;
 
 impl std::error::Error for WriterStopped {}
 
-/// The most writes that may wait for the disk.
-const QUEUE_LIMIT: usize = 1024;
-/// The most writes in one transaction.
-const MOST_IN_BATCH: usize = 256;
-/// How long to wait before a write that found no room is tried again.
-const ROOM_AGAIN: std::time::Duration = std::time::Duration::from_millis(100);
+/// Maximum number of queued writes.
+const MAX_QUEUED: usize = 1024;
+/// Maximum number of writes in one transaction.
+const MAX_BATCH_WRITES: usize = 256;
+/// Delay before a write that failed because of a full disk is retried.
+const DISK_FULL_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
 
 impl Writer {
-    /// Starts the thread. `reopen` opens the file anew after a write found no room; `tell` hears
-    /// what becomes of the writes.
+    /// Starts the thread. `reopen` opens the database again after a write failed because of a full
+    /// disk. `report` is called with each event.
     pub fn start(
         database: redb::Database,
         reopen: impl FnMut() -> Result<redb::Database, DiskError> + Send + 'static,
-        tell: impl Fn(DiskEvent) + Send + 'static,
+        report: impl Fn(DiskEvent) + Send + 'static,
     ) -> Self {
-        let (sender, receiver) = std::sync::mpsc::sync_channel::<DiskWrite>(QUEUE_LIMIT);
-        let mut file = WriterFile { database: Some(database), reopen, tell, is_full: false };
+        let (sender, receiver) = std::sync::mpsc::sync_channel::<DiskWrite>(MAX_QUEUED);
+        let mut file = WriterFile { database: Some(database), reopen, report, is_full: false };
         std::thread::spawn(move || {
             while let Ok(first) = receiver.recv() {
                 let mut batch = vec![first];
-                batch.extend(receiver.try_iter().take(MOST_IN_BATCH - 1));
+                batch.extend(receiver.try_iter().take(MAX_BATCH_WRITES - 1));
                 if let Err(error) = file.sync(&batch) {
-                    (file.tell)(DiskEvent::Failed(error));
+                    (file.report)(DiskEvent::Failed(error));
                     return;
                 }
-                batch.iter().for_each(|write| (file.tell)(DiskEvent::Written(write.token)));
+                batch.iter().for_each(|write| (file.report)(DiskEvent::Written(write.token)));
             }
         });
         Self { sender }
     }
 
-    /// Hands a write over.
+    /// Queues a write.
     ///
     /// # Errors
-    /// The thread has ended, or far too many writes wait: the disk is not to be relied on.
+    /// The thread has ended, or the queue is full because the disk can't keep up.
     pub fn write(&self, write: DiskWrite) -> Result<(), WriterStopped> {
         self.sender.try_send(write).map_err(|_| WriterStopped)
     }
 }
 
-/// The file as its thread holds it.
+/// The database as the disk thread owns it.
 struct WriterFile<R, T> {
-    /// None after a write found no room: the database takes nothing more once one has failed.
+    /// `None` after a failed write, because the database accepts no writes after a failure.
     database: Option<redb::Database>,
     reopen: R,
-    tell: T,
+    report: T,
     is_full: bool,
 }
 
@@ -90,38 +90,39 @@
     R: FnMut() -> Result<redb::Database, DiskError>,
     T: Fn(DiskEvent),
 {
-    /// Syncs a batch, however long it takes until there is room.
+    /// Syncs a batch, waiting while the disk is full.
     fn sync(&mut self, batch: &[DiskWrite]) -> Result<(), DiskError> {
         loop {
             match self.try_commit(batch) {
                 Ok(()) => {
-                    self.become_full(false);
+                    self.set_full(false);
                     return Ok(());
                 }
-                Err(DiskError::Full(_)) => self.become_full(true),
+                Err(DiskError::Full(_)) => self.set_full(true),
                 Err(error) => return Err(error),
             }
-            std::thread::sleep(ROOM_AGAIN);
+            std::thread::sleep(DISK_FULL_RETRY_INTERVAL);
         }
     }
 
-    /// Tries a batch once. Whether one that failed is in the file is unknown: the same rows are
-    /// written again, so that either comes to the same.
+    /// Commits a batch once. Whether a failed commit is in the file is unknown. The retry writes the
+    /// same rows, so the result is the same either way.
     fn try_commit(&mut self, batch: &[DiskWrite]) -> Result<(), DiskError> {
         let database = match self.database.take() {
             Some(database) => database,
             None => (self.reopen)()?,
         };
-        commit(&database, batch)
-            .map_err(|error| DiskError::from_database_error(super::open::FILE.as_ref(), error))?;
+        commit(&database, batch).map_err(|error| {
+            DiskError::from_database_error(super::open::FILE_NAME.as_ref(), error)
+        })?;
         self.database = Some(database);
         Ok(())
     }
 
-    fn become_full(&mut self, is_full: bool) {
+    fn set_full(&mut self, is_full: bool) {
         if std::mem::replace(&mut self.is_full, is_full) != is_full {
             let state = if is_full { DiskState::Full } else { DiskState::Healthy };
-            (self.tell)(DiskEvent::State(state));
+            (self.report)(DiskEvent::State(state));
         }
     }
 }
