--- a/libraries/topazyard-wire/src/disk/mod.rs
+++ b/libraries/topazyard-wire/src/disk/mod.rs
@@ -1,5 +1,5 @@
-//! The disk: one redb file in the data folder, written by one thread. A write is reported only after
-//! it is synced.
+//! The disk: one redb file in the data folder, written by one thread. A write is reported only
+//! after it is synced.
 
 pub mod backend;
 pub mod error;
--- a/libraries/topazyard-wire/src/disk/open.rs
+++ b/libraries/topazyard-wire/src/disk/open.rs
@@ -9,8 +9,8 @@
 const FORMAT_TABLE: redb::TableDefinition<'static, &str, u32> =
     redb::TableDefinition::new("format");
 
-/// Size of the page cache. All rows are read at the start and kept in memory by the machine, so that
-/// a commit needs little more than the pages that it changes.
+/// Size of the page cache. All rows are read at the start and kept in memory by the machine, so
+/// that a commit needs little more than the pages that it changes.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 /// The name of the database file in the data folder.
 pub(super) const FILE_NAME: &str = "node.redb";
@@ -83,8 +83,9 @@
     }
 }
 
-/// Creates the file under a temporary name and renames it once it is complete. Otherwise a file whose
-/// first pages are missing after a full disk or a power loss would be refused as damaged forever.
+/// Creates the file under a temporary name and renames it once it is complete. Otherwise a file
+/// whose first pages are missing after a full disk or a power loss would be refused as damaged
+/// forever.
 fn create_file(folder: &Path, path: &Path) -> Result<redb::Database, DiskError> {
     let new = folder.join(NEW_FILE_NAME);
     let database = match open_database(&new) {
--- a/libraries/topazyard-wire/src/disk/state.rs
+++ b/libraries/topazyard-wire/src/disk/state.rs
@@ -41,8 +41,8 @@
 }
 
 impl DiskWatch {
-    /// Records that the disk became full or has free space again. Writes that waited for space count
-    /// as started when it becomes available, because the disk did not stall meanwhile.
+    /// Records that the disk became full or has free space again. Writes that waited for space
+    /// count as started when it becomes available, because the disk did not stall meanwhile.
     pub fn set_state(&mut self, state: DiskState, now: MonotonicMs) {
         let was_full = std::mem::replace(&mut self.is_full, state == DiskState::Full);
         if was_full && !self.is_full {
--- a/libraries/topazyard-wire/src/disk/writer.rs
+++ b/libraries/topazyard-wire/src/disk/writer.rs
@@ -1,7 +1,7 @@
 //! The thread that owns the database and syncs writes. Queued writes share a transaction.
 //!
-//! Writes are synced in the order in which they were queued. While the disk is full, the first batch
-//! is retried until it succeeds, so that no later write is synced before it.
+//! Writes are synced in the order in which they were queued. While the disk is full, the first
+//! batch is retried until it succeeds, so that no later write is synced before it.
 
 use super::{DiskError, DiskState};
 
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Commits a batch once. Whether a failed commit is in the file is unknown. The retry writes the
-    /// same rows, so the result is the same either way.
+    /// Commits a batch once. Whether a failed commit is in the file is unknown. The retry writes
+    /// the same rows, so the result is the same either way.
     fn try_commit(&mut self, batch: &[DiskWrite]) -> Result<(), DiskError> {
         let database = match self.database.take() {
             Some(database) => database,
--- a/libraries/topazyard-wire/src/driver/clock.rs
+++ b/libraries/topazyard-wire/src/driver/clock.rs
@@ -24,7 +24,8 @@
         Self { origin_ms: since_boot_ms() }
     }
 
-    /// The current time. It starts at one day, so that earlier times can be represented at the start.
+    /// The current time. It starts at one day, so that earlier times can be represented at the
+    /// start.
     pub fn now(&self) -> topazyard_types::MonotonicMs {
         topazyard_types::MonotonicMs(86_400_000 + since_boot_ms() - self.origin_ms)
     }
--- a/libraries/topazyard-wire/src/driver/disk_start.rs
+++ b/libraries/topazyard-wire/src/driver/disk_start.rs
@@ -40,8 +40,8 @@
     open_once_disk_has_space(settings.http, || open_start(settings, &folder, role)).await
 }
 
-/// Calls `open` and retries it while it fails because of a full disk. Meanwhile each HTTP request is
-/// answered with that error.
+/// Calls `open` and retries it while it fails because of a full disk. Meanwhile each HTTP request
+/// is answered with that error.
 ///
 /// # Errors
 /// `open` failed for another reason, or the address can't be listened on.
--- a/libraries/topazyard-wire/src/driver/signals.rs
+++ b/libraries/topazyard-wire/src/driver/signals.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Reads the settings again at each SIGHUP and at a fixed interval. Calls `notify` whenever they name
-/// other control nodes. It never returns.
+/// Reads the settings again at each SIGHUP and at a fixed interval. Calls `notify` whenever they
+/// name other control nodes. It never returns.
 pub async fn follow_settings(
     mut settings: topazyard_spec::NodeSettings,
     notify: impl Fn(topazyard_spec::NodeSettings),
--- a/libraries/topazyard-wire/src/driver/spawn.rs
+++ b/libraries/topazyard-wire/src/driver/spawn.rs
@@ -80,12 +80,12 @@
         super::signals::ignore_hangups();
         work.await
     });
-    crate::log::finish();
+    crate::log::flush();
     outcome
 }
 
-/// Starts a machine with its links, disk and ticks on its own thread. `make` returns the machine and
-/// its first effects.
+/// Starts a machine with its links, disk and ticks on its own thread. `make` returns the machine
+/// and its first effects.
 ///
 /// # Errors
 /// Its address can't be listened on, or the thread's runtime can't be created.
--- a/libraries/topazyard-wire/src/http/inbound.rs
+++ b/libraries/topazyard-wire/src/http/inbound.rs
@@ -1,15 +1,15 @@
-//! Serving HTTP.
+//! Serving HTTP requests.
 
 use http_body_util::BodyExt as _;
 
-/// The most connections served at once.
-const MOST_CONNECTIONS: usize = 8_192;
-const HEADERS_MS: u64 = 10_000;
-const BODY_MS: u64 = 30_000;
-/// For how long a caller may take nothing of what is sent to it before its connection is closed.
-const UNREAD_MS: u32 = 30_000;
+/// Maximum number of connections served at once.
+const MAX_CONNECTIONS: usize = 8_192;
+const HEADERS_TIMEOUT_MS: u64 = 10_000;
+const BODY_TIMEOUT_MS: u64 = 30_000;
+/// Time after which a connection is closed if the client acknowledges none of the data sent to it.
+const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 30_000;
 
-/// Binds a listener that serves can be run on.
+/// Binds a listener for [`serve`] or [`serve_draining`].
 ///
 /// # Errors
 /// The address can't be listened on.
@@ -21,53 +21,53 @@
         .map_err(|error| crate::driver::StartError::Address(address, error.kind()))
 }
 
-/// How far a server is on its way to its end.
+/// The stage of a server's graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It serves.
+    /// It serves normally.
     Serving,
-    /// It serves, and keeps no connection after a response on it.
+    /// It serves, and closes each connection after its next response.
     Closing,
-    /// It also closes connections on which nothing is under way. New ones are served once each.
+    /// It also closes idle connections. On a new connection it serves one request.
     ClosingIdle,
-    /// It takes no more connections, and closes each as soon as nothing is under way on it.
+    /// It accepts no more connections and closes each one as soon as it is idle.
     Ending,
-    /// There is no time left: what has no response yet gets its final answer now.
+    /// The time for the shutdown is over: requests without a response get their final one now.
     Overdue,
 }
 
-/// Tells servers how far they are on their way to their end.
+/// Notifies servers of the current stage of the shutdown.
 pub type Drain = tokio::sync::watch::Receiver<Stage>;
 
-/// Serves for ever. When a caller goes away, the future that works for it is dropped.
+/// Serves forever. When a client disconnects, the future that handles its request is dropped.
 pub async fn serve<F, R>(listener: tokio::net::TcpListener, handle: F)
 where
     F: Fn(hyper::Request<hyper::body::Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = hyper::Response<super::Body>> + Send + 'static,
 {
-    let (_never, drain) = tokio::sync::watch::channel(Stage::Serving);
+    let (_sender, drain) = tokio::sync::watch::channel(Stage::Serving);
     serve_draining(listener, handle, drain).await;
 }
 
-/// Serves, and closes connections as it is told to. Once it is to end it takes no more of them, and
-/// returns when the last has had its response. Whoever ends a process lets its clients be sent
-/// elsewhere first: an idle connection that is closed may meet a request on its way.
+/// Serves, and closes connections as the stage of `drain` requires. From [`Stage::Ending`] on it
+/// accepts none and returns after the last response. The caller must first have its clients
+/// directed elsewhere: a request may already be on its way on an idle connection that is closed.
 pub async fn serve_draining<F, R>(listener: tokio::net::TcpListener, handle: F, drain: Drain)
 where
     F: Fn(hyper::Request<hyper::body::Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = hyper::Response<super::Body>> + Send + 'static,
 {
-    let room = std::sync::Arc::new(tokio::sync::Semaphore::new(MOST_CONNECTIONS));
-    let mut ends = drain.clone();
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
+    let mut accept_drain = drain.clone();
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = wait_for_stage(&mut ends, Stage::Ending) => break,
+            () = wait_for_stage(&mut accept_drain, Stage::Ending) => break,
         };
         let Ok((stream, _)) = accepted else { continue };
         let _ = stream.set_nodelay(true);
-        let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, UNREAD_MS);
+        let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_TIMEOUT_MS);
         let handle = handle.clone();
         let drain = drain.clone();
         tokio::spawn(async move {
@@ -76,8 +76,8 @@
         });
     }
     drop(listener);
-    // The last connection gives its room back.
-    drop(room.acquire_many(MOST_CONNECTIONS as u32).await);
+    // All permits are available once the last connection is closed.
+    drop(permits.acquire_many(MAX_CONNECTIONS as u32).await);
 }
 
 async fn serve_one<F, R>(stream: tokio::net::TcpStream, handle: F, mut drain: Drain)
@@ -85,13 +85,13 @@
     F: Fn(hyper::Request<hyper::body::Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = hyper::Response<super::Body>> + Send + 'static,
 {
-    let drains = drain.clone();
+    let response_drain = drain.clone();
     let service = hyper::service::service_fn(move |request| {
-        let returned = handle(request);
-        let drains = drains.clone();
+        let response = handle(request);
+        let response_drain = response_drain.clone();
         async move {
-            let mut response = returned.await;
-            if *drains.borrow() > Stage::Serving {
+            let mut response = response.await;
+            if *response_drain.borrow() > Stage::Serving {
                 let close = hyper::header::HeaderValue::from_static("close");
                 response.headers_mut().insert(hyper::header::CONNECTION, close);
             }
@@ -100,42 +100,41 @@
     });
     let served = hyper::server::conn::http1::Builder::new()
         .timer(hyper_util::rt::TokioTimer::new())
-        .header_read_timeout(std::time::Duration::from_millis(HEADERS_MS))
+        .header_read_timeout(std::time::Duration::from_millis(HEADERS_TIMEOUT_MS))
         .serve_connection(hyper_util::rt::TokioIo::new(stream), service);
     tokio::pin!(served);
-    // One that was opened when idle ones are closed already is about to bring its request.
-    let closed_at = match *drain.borrow() {
+    // A connection opened while idle ones are being closed is about to carry a request.
+    let close_stage = match *drain.borrow() {
         Stage::Serving | Stage::Closing => Stage::ClosingIdle,
         Stage::ClosingIdle | Stage::Ending | Stage::Overdue => Stage::Ending,
     };
-    // A cut return ends here as an error, by which the caller's connection breaks.
+    // An interrupted response ends as an error here, which closes the client's connection.
     tokio::select! {
         ended = &mut served => return drop(ended),
-        () = wait_for_stage(&mut drain, closed_at) => {}
+        () = wait_for_stage(&mut drain, close_stage) => {}
     }
     served.as_mut().graceful_shutdown();
     drop(served.await);
 }
 
-/// Waits until a server has come so far on its way to its end; for ever if nobody is left who could
-/// tell.
+/// Waits until the shutdown has reached a stage. It never returns if the sender is gone before.
 pub async fn wait_for_stage(drain: &mut Drain, stage: Stage) {
-    if drain.wait_for(|now| *now >= stage).await.is_err() {
+    if drain.wait_for(|current| *current >= stage).await.is_err() {
         std::future::pending().await
     }
 }
 
-/// Reads a body whole, up to a limit.
+/// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
-/// The body is larger than the limit, broke off, or took too long.
+/// The body is too large, ended early, or took too long.
 pub async fn read_body(
     body: hyper::body::Incoming,
     max_bytes: usize,
 ) -> Result<bytes::Bytes, crate::ApiError> {
-    let limit = std::time::Duration::from_millis(BODY_MS);
+    let timeout = std::time::Duration::from_millis(BODY_TIMEOUT_MS);
     let limited = http_body_util::Limited::new(body, max_bytes);
-    let Ok(collected) = tokio::time::timeout(limit, limited.collect()).await else {
+    let Ok(collected) = tokio::time::timeout(timeout, limited.collect()).await else {
         return Err(crate::ApiError::not_run(crate::api::Code::Malformed).at("body"));
     };
     match collected {
--- a/libraries/topazyard-wire/src/http/mod.rs
+++ b/libraries/topazyard-wire/src/http/mod.rs
@@ -1,19 +1,19 @@
-//! HTTP by library, with the few helpers that the programs share.
+//! HTTP helpers shared by the programs.
 
 pub mod inbound;
 pub mod outbound;
 pub mod server;
 
-/// A body of either side.
+/// The body of a request or a response.
 pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, BodyError>;
 
-/// the body broke off
+/// the body ended early
 #[derive(Debug, displaydoc::Display)]
 pub struct BodyError;
 
 impl std::error::Error for BodyError {}
 
-/// A whole body.
+/// A body with all its bytes.
 ///
 /// ```
 /// use hyper::body::Body as _;
@@ -24,7 +24,7 @@
     http_body_util::Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A return with a JSON body.
+/// A response with a JSON body.
 ///
 /// ```
 /// let response = topazyard_wire::http::json(201, &serde_json::json!({"ok": true}));
@@ -35,7 +35,7 @@
     json_text(status, text)
 }
 
-/// A return with a body that is JSON already.
+/// A response with a body that is already encoded as JSON.
 pub fn json_text(status: u16, text: impl Into<bytes::Bytes>) -> hyper::Response<Body> {
     let mut response = hyper::Response::new(full_body(text));
     *response.status_mut() =
@@ -45,7 +45,7 @@
     response
 }
 
-/// An error as a return, with `Retry-After` where coming back helps.
+/// An error as a response, with `Retry-After` if a retry may succeed.
 ///
 /// ```
 /// use topazyard_wire::api::{ApiError, Code};
--- a/libraries/topazyard-wire/src/http/outbound.rs
+++ b/libraries/topazyard-wire/src/http/outbound.rs
@@ -1,34 +1,35 @@
-//! Calling over HTTP: one request a connection, so that no return can meet another's request.
+//! An HTTP client with one request per connection, so that a response can't be taken for that of
+//! another request.
 
 use http_body_util::BodyExt as _;
 
-/// Why a call failed, told apart by whether a byte can have been sent.
+/// Why a request failed. The variants tell whether any byte may have been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum OutboundError {
-    /// no connection could be made: nothing was sent
+    /// no connection could be established; nothing was sent
     NotConnected,
-    /// the connection broke after the request was handed over
+    /// the connection was lost after the request was started
     ConnectionLost,
-    /// nothing came back in time
+    /// no complete response arrived in time
     TimedOut,
 }
 
 impl std::error::Error for OutboundError {}
 
-/// A connection that has sent nothing yet.
+/// A connection on which nothing has been sent yet.
 pub struct Connection {
     sender: hyper::client::conn::http1::SendRequest<super::Body>,
 }
 
-/// Connects within a limit. Nothing is sent.
+/// Connects within `timeout` without sending anything.
 ///
 /// # Errors
-/// No connection could be made in time.
+/// No connection could be established in time.
 pub async fn connect(
     address: std::net::SocketAddr,
-    limit: std::time::Duration,
+    timeout: std::time::Duration,
 ) -> Result<Connection, OutboundError> {
-    let stream = tokio::time::timeout(limit, tokio::net::TcpStream::connect(address))
+    let stream = tokio::time::timeout(timeout, tokio::net::TcpStream::connect(address))
         .await
         .ok()
         .and_then(Result::ok)
@@ -37,16 +38,16 @@
     let io = hyper_util::rt::TokioIo::new(stream);
     let (sender, connection) =
         hyper::client::conn::http1::handshake(io).await.map_err(|_| OutboundError::NotConnected)?;
-    // The connection's end shows in the request's own outcome.
+    // The request itself reports any error of the connection.
     tokio::spawn(async move { drop(connection.await) });
     Ok(Connection { sender })
 }
 
 impl Connection {
-    /// Sends the one request that this connection is for and waits for the head of its return.
+    /// Sends the only request of this connection and waits for the head of the response.
     ///
     /// # Errors
-    /// The connection broke; the request may have been received.
+    /// The connection was lost; the request may have been received.
     pub async fn send(
         mut self,
         request: hyper::Request<super::Body>,
@@ -55,19 +56,19 @@
     }
 }
 
-/// One whole exchange: status and body.
+/// Sends a request and returns the status and the complete body of the response.
 ///
 /// # Errors
-/// No connection, a broken one, or no whole return in time.
+/// No connection could be established, it was lost, or no complete response arrived in time.
 pub async fn exchange(
     address: std::net::SocketAddr,
     method: hyper::Method,
     path: &str,
     body: bytes::Bytes,
-    limit: std::time::Duration,
+    timeout: std::time::Duration,
 ) -> Result<(u16, bytes::Bytes), OutboundError> {
-    let work = async {
-        let connection = connect(address, limit).await?;
+    let request = async {
+        let connection = connect(address, timeout).await?;
         let request = hyper::Request::builder()
             .method(method)
             .uri(path)
@@ -81,5 +82,5 @@
             response.into_body().collect().await.map_err(|_| OutboundError::ConnectionLost)?;
         Ok((status, body.to_bytes()))
     };
-    tokio::time::timeout(limit, work).await.unwrap_or(Err(OutboundError::TimedOut))
+    tokio::time::timeout(timeout, request).await.unwrap_or(Err(OutboundError::TimedOut))
 }
--- a/libraries/topazyard-wire/src/http/server.rs
+++ b/libraries/topazyard-wire/src/http/server.rs
@@ -1,8 +1,8 @@
-//! A server of HTTP that a process ends in order: what was read is answered.
+//! An HTTP server with graceful shutdown: every request that was read gets its response.
 
 use super::inbound::{Stage, serve_draining};
 
-/// A server that runs until it is ended.
+/// A server that runs until it is shut down.
 #[derive(Debug)]
 pub struct Server {
     stage: tokio::sync::watch::Sender<Stage>,
@@ -21,15 +21,15 @@
         Self { stage, served }
     }
 
-    /// From now on no connection is kept after a response on it.
+    /// Closes each connection after its next response from now on.
     pub fn close_after_responses(&self) {
         self.stage.send_replace(Stage::Closing);
     }
 
-    /// Takes no more connections, closes idle ones, and waits until what was read is answered.
-    /// False if that took longer than `limit`.
-    pub async fn shut_down(self, limit: std::time::Duration) -> bool {
+    /// Accepts no more connections, closes idle ones, and waits for the responses to all requests
+    /// that were read. Returns false if that took longer than `timeout`.
+    pub async fn shut_down(self, timeout: std::time::Duration) -> bool {
         self.stage.send_replace(Stage::Ending);
-        tokio::time::timeout(limit, self.served).await.is_ok()
+        tokio::time::timeout(timeout, self.served).await.is_ok()
     }
 }
--- a/libraries/topazyard-wire/src/invariants.rs
+++ b/libraries/topazyard-wire/src/invariants.rs
@@ -1,7 +1,7 @@
-//! Invariants that the code checks while it runs.
+//! Invariants that are checked at run time.
 //!
-//! A violation is counted by name and logged; in tests it also panics. A running product goes on:
-//! the count is for its operators, who read it in the metrics.
+//! A violation is counted by name and logged; in tests it also panics. In production the process
+//! continues, and operators see the count in the metrics.
 //!
 //! ```
 //! use topazyard_wire::invariants::{self, Invariant};
@@ -16,20 +16,20 @@
 use std::cell::Cell;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Declares the invariants with their stable names, so that the list is always complete.
+/// Declares the invariants with their stable names, so that [`Invariant::ALL`] is always complete.
 macro_rules! invariants {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)*) => {
-        /// What must hold in a running process.
+        /// A condition that must hold in a running process.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, displaydoc::Display)]
         pub enum Invariant {
             $($(#[$doc])* $variant,)*
         }
 
         impl Invariant {
-            /// All of them.
+            /// All invariants.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The stable name that logs and metrics use.
+            /// The stable name used in logs and metrics.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)*
@@ -42,50 +42,50 @@
 invariants! {
     /// no two decided records have the same epoch
     EpochHasOneRecord = "epoch_has_one_record",
-    /// two followers of the feed at the same place hold the same rows
+    /// two followers of the feed at the same position hold the same rows
     FeedPositionHasOneState = "feed_place_has_one_state",
-    /// a request changes its state only as its chart allows, and ends once
+    /// a request changes its state only as its state machine allows, and ends once
     RequestFollowsStateMachine = "request_follows_its_chart",
     /// the configuration in force is never older than one that this node acknowledged
     AcknowledgedConfigurationStays = "acknowledged_configuration_stays",
-    /// what is acknowledged is synced on as many copies as its record asks for
+    /// what is acknowledged is synced on as many replicas as its record requires
     AcknowledgedOnEnoughCopies = "acknowledged_on_enough_copies",
-    /// a copy never goes back behind what was committed on it
+    /// a replica never goes back to a position before one that was committed on it
     CommittedStays = "committed_stays",
-    /// each item of a batch is open or listed, and each listed result is there
+    /// each item of a batch is open or listed, and each listed result exists
     BatchIsWhole = "batch_is_whole",
-    /// a request that a draining relay takes has the time that it may need
+    /// a request that a draining relay admits has the time that it may need
     AdmittedWithTimeLeft = "taken_with_time_left",
-    /// each request that a relay has taken gets its final answer before the process ends
+    /// each request that a relay has admitted gets its final response before the process ends
     AnsweredBeforeEnd = "answered_before_end",
 }
 
-/// How often one invariant may be logged, in ms.
-const LOG_EVERY_MS: u64 = 1_000;
+/// Minimum time between two log lines of one invariant, in ms.
+const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// What is kept of one invariant.
-struct Record {
+/// The violation count and the log limiter of one invariant.
+struct InvariantState {
     violations: AtomicU64,
     limiter: LogLimiter,
 }
 
-static RECORDS: [Record; Invariant::ALL.len()] =
-    [const { Record { violations: AtomicU64::new(0), limiter: LogLimiter::new() } };
+static STATES: [InvariantState; Invariant::ALL.len()] =
+    [const { InvariantState { violations: AtomicU64::new(0), limiter: LogLimiter::new() } };
         Invariant::ALL.len()];
 
-static PANICS: AtomicBool = AtomicBool::new(false);
+static PANIC_ON_VIOLATION: AtomicBool = AtomicBool::new(false);
 
 thread_local! {
-    static OF_THREAD: [Cell<u64>; Invariant::ALL.len()] = Default::default();
+    static THREAD_COUNTS: [Cell<u64>; Invariant::ALL.len()] = Default::default();
 }
 
-/// Makes each violation panic from now on, or no longer. Test harnesses and the simulator switch it
-/// on; the product never does.
+/// Sets whether a violation panics. Test harnesses and the simulator enable it; it is never enabled
+/// in production.
 pub fn panic_on_violation(panics: bool) {
-    PANICS.store(panics, Ordering::Relaxed);
+    PANIC_ON_VIOLATION.store(panics, Ordering::Relaxed);
 }
 
-/// Reports a violation unless `holds`. The details are only written where it doesn't.
+/// Reports a violation unless `holds`. The details are formatted only for a violation.
 ///
 /// # Panics
 /// The invariant is violated, after [`panic_on_violation`].
@@ -96,56 +96,57 @@
     }
 }
 
-/// Counts a violation and logs it, once a second at most.
+/// Counts a violation and logs it, at most once per second and invariant.
 ///
 /// # Panics
 /// Always, after [`panic_on_violation`].
 #[cold]
 #[track_caller]
 pub fn report_violation(invariant: Invariant, details: &str) {
-    let record = &RECORDS[invariant as usize];
-    let violations = record.violations.fetch_add(1, Ordering::Relaxed) + 1;
-    OF_THREAD.with(|counts| counts[invariant as usize].update(|count| count + 1));
-    if record.limiter.allows(crate::driver::clock::since_boot_ms()) {
+    let state = &STATES[invariant as usize];
+    let violations = state.violations.fetch_add(1, Ordering::Relaxed) + 1;
+    THREAD_COUNTS.with(|counts| counts[invariant as usize].update(|count| count + 1));
+    if state.limiter.allows(crate::driver::clock::since_boot_ms()) {
         let name = invariant.name();
         spdlog::error!("invariant violated: name={name} violations={violations} {details}");
     }
-    if PANICS.load(Ordering::Relaxed) {
+    if PANIC_ON_VIOLATION.load(Ordering::Relaxed) {
         panic!("invariant violated: {invariant}: {details}");
     }
 }
 
-/// How often an invariant was violated since the process began.
+/// The number of violations of an invariant since the process start.
 pub fn violations(invariant: Invariant) -> u64 {
-    RECORDS[invariant as usize].violations.load(Ordering::Relaxed)
+    STATES[invariant as usize].violations.load(Ordering::Relaxed)
 }
 
-/// Each invariant with how often it was violated since the process began.
+/// The number of violations of each invariant since the process start.
 pub fn counts() -> impl Iterator<Item = (Invariant, u64)> {
     Invariant::ALL.iter().map(|invariant| (*invariant, violations(*invariant)))
 }
 
-/// Each invariant with how often this thread violated it. Where whole fleets are simulated side by
-/// side, each on a thread of its own, it tells them apart.
+/// The number of violations of each invariant on this thread. The simulator runs several fleets in
+/// parallel, each on its own thread, and separates their counts by it.
 pub fn thread_counts() -> Vec<(Invariant, u64)> {
-    let count = |invariant: Invariant| OF_THREAD.with(|counts| counts[invariant as usize].get());
+    let count =
+        |invariant: Invariant| THREAD_COUNTS.with(|counts| counts[invariant as usize].get());
     Invariant::ALL.iter().map(|invariant| (*invariant, count(*invariant))).collect()
 }
 
-/// Lets a line through once in [`LOG_EVERY_MS`].
+/// Allows one line per [`LOG_INTERVAL_MS`].
 #[derive(Debug)]
 pub struct LogLimiter {
-    /// When the last line was let through; 0 before the first.
+    /// The time of the last allowed line; 0 before the first.
     last_ms: AtomicU64,
 }
 
 impl LogLimiter {
-    /// A limiter that has let nothing through yet.
+    /// A limiter that has allowed no line yet.
     pub const fn new() -> Self {
         Self { last_ms: AtomicU64::new(0) }
     }
 
-    /// Whether a line may be written now. Of several threads that ask at once one is told so.
+    /// Whether a line may be written now. Of several threads that call it at once, one is allowed.
     ///
     /// ```
     /// let limiter = topazyard_wire::invariants::LogLimiter::new();
@@ -155,7 +156,7 @@
     /// ```
     pub fn allows(&self, now_ms: u64) -> bool {
         let last_ms = self.last_ms.load(Ordering::Relaxed);
-        if last_ms != 0 && now_ms < last_ms.saturating_add(LOG_EVERY_MS) {
+        if last_ms != 0 && now_ms < last_ms.saturating_add(LOG_INTERVAL_MS) {
             return false;
         }
         let swapped =
--- a/libraries/topazyard-wire/src/link/inbound.rs
+++ b/libraries/topazyard-wire/src/link/inbound.rs
@@ -1,26 +1,26 @@
-//! Links inward: frames of this version and fleet go on, others are refused and counted.
+//! Inbound links. Frames of this version and fleet are passed on, others are refused and counted.
 
 use futures_util::StreamExt as _;
 
-/// The most links that are open inward at once.
-const MOST_LINKS: usize = 4096;
-/// After how long without a frame a link is closed, so that peers that vanished without a word
-/// don't use up the room. A sender opens a new one with its next frame.
-const IDLE_MS: u64 = 120_000;
+/// Maximum number of open inbound links.
+const MAX_LINKS: usize = 4096;
+/// Time after which a link without frames is closed, so that peers that disappeared without closing
+/// their links don't use up all of them. A sender opens a new link with its next frame.
+const IDLE_TIMEOUT_MS: u64 = 120_000;
 
-/// Takes links for ever; `take` gets each good frame and says whether to go on.
+/// Accepts links forever and calls `receive` with each valid frame.
 pub async fn listen(
     listener: tokio::net::TcpListener,
     fleet: topazyard_types::FleetId,
-    take: impl Fn(crate::Frame) + Clone + Send + 'static,
+    receive: impl Fn(crate::Frame) + Clone + Send + 'static,
 ) {
-    let room = std::sync::Arc::new(tokio::sync::Semaphore::new(MOST_LINKS));
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_LINKS));
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else { continue };
-        let take = take.clone();
+        let receive = receive.clone();
         tokio::spawn(async move {
-            read(stream, fleet, take).await;
+            read(stream, fleet, receive).await;
             drop(permit);
         });
     }
@@ -29,14 +29,14 @@
 async fn read(
     stream: tokio::net::TcpStream,
     fleet: topazyard_types::FleetId,
-    take: impl Fn(crate::Frame),
+    receive: impl Fn(crate::Frame),
 ) {
     let mut link = tokio_util::codec::FramedRead::new(stream, super::codec());
     let mut refused = 0_u64;
-    let idle = std::time::Duration::from_millis(IDLE_MS);
-    while let Ok(Some(Ok(bytes))) = tokio::time::timeout(idle, link.next()).await {
+    let idle_timeout = std::time::Duration::from_millis(IDLE_TIMEOUT_MS);
+    while let Ok(Some(Ok(bytes))) = tokio::time::timeout(idle_timeout, link.next()).await {
         match crate::Frame::decode(&bytes, fleet) {
-            Ok(frame) => take(frame),
+            Ok(frame) => receive(frame),
             Err(error) => {
                 refused += 1;
                 spdlog::warn!("frame refused ({refused} on this link): {error}");
--- a/libraries/topazyard-wire/src/link/mod.rs
+++ b/libraries/topazyard-wire/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links between processes: frames over TCP, length-delimited by library.
+//! Links between processes: length-delimited frames over TCP.
 
 pub mod inbound;
 pub mod outbound;
--- a/libraries/topazyard-wire/src/link/outbound.rs
+++ b/libraries/topazyard-wire/src/link/outbound.rs
@@ -1,20 +1,20 @@
-//! Links outward: one task per address with a bounded queue. What doesn't fit or can't be sent is
-//! dropped; every protocol here asks again.
+//! Outbound links: one task with a bounded queue per address. Frames that don't fit into the queue
+//! or can't be sent are dropped, because every protocol retries.
 
 use futures_util::{SinkExt as _, StreamExt as _};
 
-/// The most frames that wait for one address.
-const QUEUE_LIMIT: usize = 2048;
-const CONNECT_MS: u64 = 500;
-/// After how long without a word of the other machine another attempt is made beside the first: the
-/// kernel repeats its own only after a second, and a machine that was off may be on again.
-const CONNECT_BESIDE_MS: u64 = 100;
-const WRITE_MS: u64 = 2_000;
-/// After how long a link over which nothing is confirmed is given up and made anew: what waits in
-/// it would come late, and after a cut only once the kernel tries again.
-const UNCONFIRMED_MS: u32 = 1_000;
+/// Maximum number of frames queued for one address.
+const MAX_QUEUED: usize = 2048;
+const CONNECT_TIMEOUT_MS: u64 = 500;
+/// Delay between parallel connection attempts. The kernel retransmits a lost SYN only after a
+/// second, and a host that was off may be up again before.
+const CONNECT_STAGGER_MS: u64 = 100;
+const WRITE_TIMEOUT_MS: u64 = 2_000;
+/// Time without TCP acknowledgements after which a link is closed and opened again. Its queued data
+/// would arrive late, and after a network partition only at the kernel's next retransmission.
+const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 1_000;
 
-/// All links outward, owned by the driver.
+/// All outbound links, owned by the driver.
 #[derive(Default)]
 pub struct Links {
     senders:
@@ -22,7 +22,7 @@
 }
 
 impl Links {
-    /// Sends a frame's bytes, opening a link where there is none.
+    /// Sends an encoded frame, opening a link if there is none.
     pub fn send(&mut self, to: std::net::SocketAddr, frame: bytes::Bytes) {
         let frame = match self.senders.get(&to) {
             Some(sender) => match sender.try_send(frame) {
@@ -31,7 +31,7 @@
             },
             None => frame,
         };
-        let (sender, receiver) = tokio::sync::mpsc::channel(QUEUE_LIMIT);
+        let (sender, receiver) = tokio::sync::mpsc::channel(MAX_QUEUED);
         // The queue is new and empty, so the first frame always fits.
         let _ = sender.try_send(frame);
         self.senders.insert(to, sender);
@@ -39,35 +39,35 @@
     }
 }
 
-/// Makes attempts, each a while after the one before, until one of them has any outcome: that of the
-/// first to end. Gives up after a while.
+/// Starts attempts at a fixed stagger until one of them succeeds or fails, and returns its success.
+/// Returns `None` after a failure or the connect timeout.
 pub async fn race_staggered_attempts<T, E, F>(attempt: impl Fn() -> F) -> Option<T>
 where
     F: Future<Output = Result<T, E>>,
 {
     let attempts = futures_util::stream::FuturesUnordered::new();
-    for number in 0..CONNECT_MS / CONNECT_BESIDE_MS {
-        let begins = std::time::Duration::from_millis(number * CONNECT_BESIDE_MS);
+    for number in 0..CONNECT_TIMEOUT_MS / CONNECT_STAGGER_MS {
+        let delay = std::time::Duration::from_millis(number * CONNECT_STAGGER_MS);
         let attempt = &attempt;
         attempts.push(async move {
-            tokio::time::sleep(begins).await;
+            tokio::time::sleep(delay).await;
             attempt().await
         });
     }
-    let limit = std::time::Duration::from_millis(CONNECT_MS);
+    let timeout = std::time::Duration::from_millis(CONNECT_TIMEOUT_MS);
     let mut attempts = std::pin::pin!(attempts);
-    let first = tokio::time::timeout(limit, attempts.next()).await;
+    let first = tokio::time::timeout(timeout, attempts.next()).await;
     first.ok().flatten()?.ok()
 }
 
-/// Writes frames until the link breaks or nobody sends any more.
+/// Writes frames until the link fails or its sender is dropped.
 async fn run(to: std::net::SocketAddr, mut queue: tokio::sync::mpsc::Receiver<bytes::Bytes>) {
     let connected = race_staggered_attempts(|| tokio::net::TcpStream::connect(to)).await;
     let Some(stream) = connected else { return };
     let _ = stream.set_nodelay(true);
-    let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, UNCONFIRMED_MS);
+    let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_TIMEOUT_MS);
     let mut link = tokio_util::codec::FramedWrite::new(stream, super::codec());
-    let limit = std::time::Duration::from_millis(WRITE_MS);
+    let timeout = std::time::Duration::from_millis(WRITE_TIMEOUT_MS);
     while let Some(frame) = queue.recv().await {
         let batch = async {
             link.feed(frame).await?;
@@ -76,7 +76,7 @@
             }
             futures_util::SinkExt::<bytes::Bytes>::flush(&mut link).await
         };
-        if !matches!(tokio::time::timeout(limit, batch).await, Ok(Ok(()))) {
+        if !matches!(tokio::time::timeout(timeout, batch).await, Ok(Ok(()))) {
             return;
         }
     }
--- a/libraries/topazyard-wire/src/log/mod.rs
+++ b/libraries/topazyard-wire/src/log/mod.rs
@@ -1,5 +1,6 @@
-//! The log: a ring in memory, written out when something goes wrong.
+//! The log: a ring buffer in memory that is written out after each error and at a graceful
+//! shutdown.
 
 pub mod ring;
 
-pub use ring::{finish, mirror_to_stdout, start};
+pub use ring::{flush, mirror_to_stdout, start};
--- a/libraries/topazyard-wire/src/log/ring.rs
+++ b/libraries/topazyard-wire/src/log/ring.rs
@@ -1,50 +1,50 @@
-//! A sink that keeps the last lines and an owner thread that writes them out.
+//! A log sink, and the thread that keeps the last lines and writes them out.
 
-/// Lines kept.
-const LINES: usize = 2_000;
-/// Lines that may wait for the owner thread.
-const QUEUE_LIMIT: usize = 4_096;
+/// Maximum number of lines kept.
+const MAX_LINES: usize = 2_000;
+/// Maximum number of lines queued for the ring's thread.
+const MAX_QUEUED: usize = 4_096;
 
-/// Whether each line also goes to standard output as it comes.
-static TO_OUTPUT: std::sync::atomic::AtomicBool = std::sync::atomic::AtomicBool::new(false);
+/// Whether each line is also written to standard output.
+static MIRROR_TO_STDOUT: std::sync::atomic::AtomicBool = std::sync::atomic::AtomicBool::new(false);
 
-/// Lets each line go to standard output too, as it comes.
+/// Also writes each line to standard output from now on.
 pub fn mirror_to_stdout() {
-    TO_OUTPUT.store(true, std::sync::atomic::Ordering::Relaxed);
+    MIRROR_TO_STDOUT.store(true, std::sync::atomic::Ordering::Relaxed);
 }
 
 struct Line {
-    grave: bool,
+    is_error: bool,
     text: String,
 }
 
-/// What the thread that keeps the ring is told.
-enum Told {
+/// A message to the ring's thread.
+enum RingMessage {
     /// A line of the log.
     Line(Line),
-    /// Write the ring out now, and say when that is done.
+    /// Write the ring out now and report when that is done.
     WriteOut(std::sync::mpsc::SyncSender<()>),
 }
 
-type Sender = std::sync::mpsc::SyncSender<Told>;
+type Sender = std::sync::mpsc::SyncSender<RingMessage>;
 
-/// Leads to the ring of this process.
+/// The sender to the ring's thread of this process.
 static RING: std::sync::OnceLock<Sender> = std::sync::OnceLock::new();
 
-/// How long a process that ends waits until its ring is written.
-const WRITE_LIMIT: std::time::Duration = std::time::Duration::from_millis(100);
+/// Time that a process waits at its shutdown until the ring is written out.
+const WRITE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// Has the ring written out as a grave line would, when a process ends in order: nobody could read
-/// it later. Where each line went to standard output there is nothing left to write.
-pub fn finish() {
-    if TO_OUTPUT.load(std::sync::atomic::Ordering::Relaxed) {
+/// Writes the ring out at a graceful shutdown, as its lines would be lost with the process. If the
+/// lines also went to standard output, there is nothing left to write.
+pub fn flush() {
+    if MIRROR_TO_STDOUT.load(std::sync::atomic::Ordering::Relaxed) {
         return;
     }
     let Some(ring) = RING.get() else { return };
     let (done, written) = std::sync::mpsc::sync_channel(1);
-    if ring.try_send(Told::WriteOut(done)).is_ok() {
-        // A disk that takes longer holds no end up.
-        let _ = written.recv_timeout(WRITE_LIMIT);
+    if ring.try_send(RingMessage::WriteOut(done)).is_ok() {
+        // A slow disk must not delay the shutdown further.
+        let _ = written.recv_timeout(WRITE_TIMEOUT);
     }
 }
 
@@ -67,14 +67,14 @@
             .map_or(0, |since| since.as_millis());
         let level = record.level().as_str();
         let line = Line {
-            grave: matches!(record.level(), spdlog::Level::Critical | spdlog::Level::Error),
+            is_error: matches!(record.level(), spdlog::Level::Critical | spdlog::Level::Error),
             text: format!("at_ms={at_ms} level={level} {}", record.payload()),
         };
-        if TO_OUTPUT.load(std::sync::atomic::Ordering::Relaxed) {
+        if MIRROR_TO_STDOUT.load(std::sync::atomic::Ordering::Relaxed) {
             println!("{}", line.text);
         }
-        // A full queue drops the line: logging never holds work up.
-        let _ = self.sender.try_send(Told::Line(line));
+        // A full queue drops the line, so that logging never blocks.
+        let _ = self.sender.try_send(RingMessage::Line(line));
         Ok(())
     }
 
@@ -83,14 +83,14 @@
     }
 }
 
-/// Makes the ring the log of this process. Grave lines write it to `ring.log` in the data folder,
-/// or to standard error where there is none.
+/// Makes the ring the log of this process. Each error writes it out to `ring.log` in the data
+/// folder, or to standard error if there is no data folder.
 ///
 /// # Errors
 /// The logger could not be built.
 pub fn start(folder: Option<std::path::PathBuf>) -> Result<(), spdlog::Error> {
-    let (sender, receiver) = std::sync::mpsc::sync_channel(QUEUE_LIMIT);
-    // Only the first log of a process is written at its end; there is one.
+    let (sender, receiver) = std::sync::mpsc::sync_channel(MAX_QUEUED);
+    // A process starts one log. Only the first one is written out at the shutdown.
     let _ = RING.set(sender.clone());
     let sink = RingSink { prop: spdlog::sink::SinkProp::default(), sender };
     let logger = spdlog::Logger::builder()
@@ -98,27 +98,27 @@
         .level_filter(spdlog::LevelFilter::MoreSevereEqual(spdlog::Level::Info))
         .build()?;
     spdlog::set_default_logger(std::sync::Arc::new(logger));
-    std::thread::spawn(move || keep(&receiver, folder.as_deref()));
+    std::thread::spawn(move || run_ring(&receiver, folder.as_deref()));
     Ok(())
 }
 
-fn keep(receiver: &std::sync::mpsc::Receiver<Told>, folder: Option<&std::path::Path>) {
-    let mut ring = std::collections::VecDeque::with_capacity(LINES);
-    while let Ok(told) = receiver.recv() {
-        let line = match told {
-            Told::Line(line) => line,
-            Told::WriteOut(done) => {
+fn run_ring(receiver: &std::sync::mpsc::Receiver<RingMessage>, folder: Option<&std::path::Path>) {
+    let mut ring = std::collections::VecDeque::with_capacity(MAX_LINES);
+    while let Ok(message) = receiver.recv() {
+        let line = match message {
+            RingMessage::Line(line) => line,
+            RingMessage::WriteOut(done) => {
                 write_out(&ring, folder);
                 let _ = done.send(());
                 continue;
             }
         };
-        let grave = line.grave;
-        if ring.len() == LINES {
+        let is_error = line.is_error;
+        if ring.len() == MAX_LINES {
             ring.pop_front();
         }
         ring.push_back(line.text);
-        if grave {
+        if is_error {
             write_out(&ring, folder);
             if folder.is_none() {
                 ring.clear();
@@ -132,7 +132,7 @@
     match folder {
         Some(folder) => {
             if let Err(error) = std::fs::write(folder.join("ring.log"), text) {
-                eprintln!("the log ring could not be written: {error}");
+                eprintln!("the log could not be written to ring.log: {error}");
             }
         }
         None => eprint!("{text}"),
--- a/libraries/topazyard-wire/src/metrics.rs
+++ b/libraries/topazyard-wire/src/metrics.rs
@@ -1,7 +1,7 @@
-//! A process's own figures in the standard text exposition format.
+//! The metrics of a process in the OpenMetrics text format.
 //!
-//! Nothing is kept for them: each fetch asks the machine how it fares and writes that down. What
-//! each metric means stands on the operators' page of metrics.
+//! No samples are stored: each scrape requests the machine's current state and encodes it. The
+//! operators' page of metrics documents the meaning of each metric.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
@@ -9,18 +9,18 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-/// Where metrics are served.
+/// The path at which metrics are served.
 pub const PATH: &str = "/metrics";
-/// All names but those of the process itself start so.
+/// The prefix of all metric names but those of the process itself.
 const PREFIX: &str = "topazyard";
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A role's figures at one moment.
+/// The metrics of a role at one time.
 pub trait MetricSource: std::fmt::Debug + Send + Sync + 'static {
-    /// Writes each of them.
+    /// Writes all metrics.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result;
 }
 
@@ -28,26 +28,26 @@
 pub struct Writer<'a>(DescriptorEncoder<'a>);
 
 impl Writer<'_> {
-    /// Writes a value that may rise and fall.
+    /// Writes a gauge.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     pub fn gauge(&mut self, name: &str, help: &str, value: u64) -> std::fmt::Result {
         self.metric(name, help, &ConstGauge::new(value))
     }
 
-    /// Writes a value that is a fraction.
+    /// Writes a gauge with a fractional value.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     pub fn fraction(&mut self, name: &str, help: &str, value: f64) -> std::fmt::Result {
         self.metric(name, help, &ConstGauge::new(value))
     }
 
-    /// Writes a count since the process began; `_total` is added to its name.
+    /// Writes a counter since the process start; `_total` is appended to its name.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) -> std::fmt::Result {
         self.metric(name, help, &ConstCounter::new(value))
     }
@@ -55,7 +55,7 @@
     /// Writes one gauge for each value of a label.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     pub fn gauges<L: AsRef<str>>(
         &mut self,
         name: &str,
@@ -67,10 +67,10 @@
         self.family(name, help, label, values)
     }
 
-    /// Writes one count for each value of a label; `_total` is added to its name.
+    /// Writes one counter for each value of a label; `_total` is appended to its name.
     ///
     /// # Errors
-    /// There is no room to write to.
+    /// The output could not be written.
     pub fn counters<L: AsRef<str>>(
         &mut self,
         name: &str,
@@ -104,17 +104,17 @@
     }
 }
 
-/// Lets figures stand in a registry of the library.
+/// Adapts a source of metrics to a registry.
 #[derive(Debug)]
-struct Collected<F>(F);
+struct SourceCollector<S>(S);
 
-impl<F: MetricSource> Collector for Collected<F> {
+impl<S: MetricSource> Collector for SourceCollector<S> {
     fn encode(&self, encoder: DescriptorEncoder<'_>) -> std::fmt::Result {
         self.0.write(&mut Writer(encoder))
     }
 }
 
-/// What every process tells of its invariants.
+/// The violation counts of a process.
 #[derive(Debug)]
 struct Invariants;
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// What every process tells of itself, under the names that are usual for it.
+/// The metrics of the process itself, under their conventional names.
 #[derive(Debug)]
 struct Process;
 
@@ -139,13 +139,13 @@
     }
 }
 
-/// When this process began, as far as it was noted: at the first call.
+/// The start time of this process, recorded at the first call.
 pub fn started_at() -> std::time::SystemTime {
     static STARTED: std::sync::OnceLock<std::time::SystemTime> = std::sync::OnceLock::new();
     *STARTED.get_or_init(std::time::SystemTime::now)
 }
 
-/// The text of a process's metrics. Those of the role are left out where its machine gave none.
+/// Encodes the metrics of a process, without those of the role if its machine gave none.
 ///
 /// ```
 /// #[derive(Debug)]
@@ -160,36 +160,37 @@
 /// ```
 ///
 /// # Errors
-/// A figure could not be written.
-pub fn text(figures: Option<impl MetricSource>) -> Result<String, std::fmt::Error> {
+/// A metric could not be encoded.
+pub fn text(source: Option<impl MetricSource>) -> Result<String, std::fmt::Error> {
     let mut registry = Registry::default();
-    registry.register_collector(Box::new(Collected(Process)));
-    let own = registry.sub_registry_with_prefix(PREFIX);
-    own.register_collector(Box::new(Collected(Invariants)));
-    if let Some(figures) = figures {
-        own.register_collector(Box::new(Collected(figures)));
+    registry.register_collector(Box::new(SourceCollector(Process)));
+    let prefixed = registry.sub_registry_with_prefix(PREFIX);
+    prefixed.register_collector(Box::new(SourceCollector(Invariants)));
+    if let Some(source) = source {
+        prefixed.register_collector(Box::new(SourceCollector(source)));
     }
     let mut text = String::new();
     prometheus_client::encoding::text::encode(&mut text, &registry)?;
     Ok(text)
 }
 
-/// Serves metrics at an address, if there is one, until the process ends. `fetch` asks the role's
-/// machine for its figures. An address that is taken is logged and keeps nobody from service.
-pub async fn serve<F, R>(
+/// Serves metrics at an address, if one is set, until the process ends. `fetch` requests the
+/// metrics of the role's machine. If the address is in use, that is logged and the process runs
+/// without.
+pub async fn serve<S, R>(
     address: Option<std::net::SocketAddr>,
     fetch: impl Fn() -> R + Clone + Send + Sync + 'static,
 ) where
-    F: MetricSource,
-    R: Future<Output = Option<F>> + Send + 'static,
+    S: MetricSource,
+    R: Future<Output = Option<S>> + Send + 'static,
 {
     started_at();
     let Some(address) = address else { return };
     let listener = match crate::http::inbound::bind(address).await {
         Ok(listener) => listener,
-        Err(error) => return spdlog::error!("no metrics are served: {error}"),
+        Err(error) => return spdlog::error!("metrics are not served: {error}"),
     };
-    let answer = move |request: hyper::Request<hyper::body::Incoming>| {
+    let respond = move |request: hyper::Request<hyper::body::Incoming>| {
         let fetch = fetch.clone();
         async move {
             match request.uri().path() {
@@ -201,12 +202,12 @@
             }
         }
     };
-    tokio::spawn(crate::http::inbound::serve(listener, answer));
+    tokio::spawn(crate::http::inbound::serve(listener, respond));
 }
 
-fn response(figures: Option<impl MetricSource>) -> hyper::Response<crate::http::Body> {
-    // Text that is cut short is no answer: a reader would take it for whole.
-    let Ok(text) = text(figures) else {
+fn response(source: Option<impl MetricSource>) -> hyper::Response<crate::http::Body> {
+    // A scraper would take a truncated text for a complete one, so an error is returned instead.
+    let Ok(text) = text(source) else {
         return crate::http::error(&crate::ApiError::not_run(crate::api::Code::OutcomeUnknown));
     };
     let mut response = hyper::Response::new(crate::http::full_body(text));
