--- a/libraries/topazyard-wire/src/driver/actor.rs
+++ b/libraries/topazyard-wire/src/driver/actor.rs
@@ -88,7 +88,7 @@
                     .as_ref()
                     .map(|disk| disk.write(crate::disk::DiskWrite { token, changes }));
                 if !matches!(queued, Some(Ok(()))) {
-                    super::give_up::give_up("a write could not be queued for the disk thread");
+                    super::fatal::fatal_error("a write could not be queued for the disk thread");
                 }
             }
             Effect::Respond { call, value } => {
@@ -99,7 +99,7 @@
             }
             Effect::StartTask(task) => {
                 if self.tasks.try_send(task).is_err() {
-                    super::give_up::give_up("a task could not be queued");
+                    super::fatal::fatal_error("a task could not be queued");
                 }
             }
             Effect::Log { is_error: true, text } => spdlog::error!("{text}"),
--- a/libraries/topazyard-wire/src/driver/give_up.rs
+++ b/libraries/topazyard-wire/src/driver/fatal.rs
@@ -4,7 +4,7 @@
 const UNRECOVERABLE_EXIT_CODE: i32 = 70;
 
 /// Logs the reason and ends the process.
-pub(crate) fn give_up(reason: &str) -> ! {
+pub(crate) fn fatal_error(reason: &str) -> ! {
     spdlog::error!("unrecoverable error, exiting: {reason}");
     // The log's thread writes the ring buffer out; give it time to do so.
     std::thread::sleep(std::time::Duration::from_millis(100));
--- a/libraries/topazyard-wire/src/driver/mod.rs
+++ b/libraries/topazyard-wire/src/driver/mod.rs
@@ -3,7 +3,7 @@
 pub mod actor;
 pub mod clock;
 pub mod disk_start;
-mod give_up;
+mod fatal;
 pub mod identity;
 pub mod signals;
 pub mod spawn;
--- a/libraries/topazyard-wire/src/driver/spawn.rs
+++ b/libraries/topazyard-wire/src/driver/spawn.rs
@@ -132,7 +132,7 @@
                 last_call: topazyard_types::CallId(0),
             };
             run(driver, first_effects, disk, listener, &sender).await;
-            super::give_up::give_up("the machine's actor ended");
+            super::fatal::fatal_error("the machine's actor ended");
         });
     });
     let actor = receiver.recv().map_err(|_| StartError::Runtime(std::io::ErrorKind::Other))?;
@@ -160,22 +160,22 @@
     let actor = super::actor::Driver::spawn_with_mailbox(driver, mailbox);
     let _ = started.send(actor.clone());
 
-    let written = actor.clone();
+    let disk_actor = actor.clone();
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
             let signal = match event {
                 crate::disk::DiskEvent::Written(token) => super::actor::Signal::Written(token),
                 crate::disk::DiskEvent::State(state) => super::actor::Signal::Disk(state),
                 crate::disk::DiskEvent::Failed(error) => {
-                    super::give_up::give_up(&format!("a write failed: {error}"))
+                    super::fatal::fatal_error(&format!("a write failed: {error}"))
                 }
             };
-            if written.tell(signal).await.is_err() {
+            if disk_actor.tell(signal).await.is_err() {
                 return;
             }
         }
     });
-    let ticks = actor.clone();
+    let tick_actor = actor.clone();
     tokio::spawn(async move {
         let mut interval =
             tokio::time::interval(std::time::Duration::from_millis(TICK_INTERVAL_MS));
@@ -183,18 +183,18 @@
         loop {
             interval.tick().await;
             // If the mailbox is full, the next tick replaces this one.
-            let _ = ticks.tell(super::actor::Signal::Tick).try_send();
+            let _ = tick_actor.tell(super::actor::Signal::Tick).try_send();
         }
     });
-    let frames = actor.clone();
+    let frame_actor = actor.clone();
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => {
             tokio::spawn(crate::link::inbound::listen(listener, fleet, move |frame| {
                 // If the mailbox is full, the frame is dropped; its sender retries.
-                let _ = frames.tell(super::actor::Signal::Frame(frame)).try_send();
+                let _ = frame_actor.tell(super::actor::Signal::Frame(frame)).try_send();
             }));
         }
-        Err(error) => super::give_up::give_up(&format!("the listener failed: {error}")),
+        Err(error) => super::fatal::fatal_error(&format!("the listener failed: {error}")),
     }
     actor.wait_for_shutdown().await;
 }
--- a/libraries/topazyard-wire/tests/connecting.rs
+++ b/libraries/topazyard-wire/tests/connecting.rs
@@ -1,36 +1,36 @@
-//! Connecting to a machine that was off and is on again; time stands still but for the attempts'.
+//! Staggered connection attempts to a host that was off and comes up again, under paused time.
 
 use std::time::Duration;
 use topazyard_wire::link::outbound::race_staggered_attempts;
 
-/// An attempt that gets no word: its first packet was lost with the machine's power.
-async fn no_word() -> Result<u32, ()> {
+/// An attempt without a response: its SYN was lost because the host was off.
+async fn no_response() -> Result<u32, ()> {
     std::future::pending().await
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_comes_on_is_reached_beside_an_attempt_that_hangs() {
-    let begun = tokio::time::Instant::now();
-    let on_after = Duration::from_millis(150);
+async fn host_that_comes_up_is_reached_while_an_attempt_hangs() {
+    let started = tokio::time::Instant::now();
+    let up_after = Duration::from_millis(150);
     let connected = race_staggered_attempts(|| async {
-        if begun.elapsed() < on_after { no_word().await } else { Ok(7) }
+        if started.elapsed() < up_after { no_response().await } else { Ok(7) }
     });
     assert_eq!(connected.await, Some(7));
-    assert_eq!(begun.elapsed(), Duration::from_millis(200));
+    assert_eq!(started.elapsed(), Duration::from_millis(200));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refusal_ends_it_at_once() {
-    // The machine is on and the process is not: whoever sends next tries again.
-    let begun = tokio::time::Instant::now();
+async fn refused_connection_fails_at_once() {
+    // The host is up but the process is not running. The next frame triggers a new attempt.
+    let started = tokio::time::Instant::now();
     let connected = race_staggered_attempts(|| async { Err::<u32, ()>(()) });
     assert_eq!(connected.await, None);
-    assert!(begun.elapsed() < Duration::from_millis(10));
+    assert!(started.elapsed() < Duration::from_millis(10));
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_any_word_it_is_given_up() {
-    let begun = tokio::time::Instant::now();
-    assert_eq!(race_staggered_attempts(no_word).await, None);
-    assert_eq!(begun.elapsed(), Duration::from_millis(500));
+async fn attempts_without_a_response_time_out() {
+    let started = tokio::time::Instant::now();
+    assert_eq!(race_staggered_attempts(no_response).await, None);
+    assert_eq!(started.elapsed(), Duration::from_millis(500));
 }
--- a/libraries/topazyard-wire/tests/disks.rs
+++ b/libraries/topazyard-wire/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Data folders: what is damaged or unknown is refused, and what was synced is read again.
+//! Opening data folders: synced rows are read back, and damaged or unknown files are refused.
 
 use topazyard_types::MonotonicMs;
 use topazyard_wire::disk::{DiskError, DiskEvent, DiskState, DiskWatch, DiskWrite, Writer, open};
@@ -6,7 +6,7 @@
 
 fn folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("topazyard-{name}-{}", std::process::id()));
-    // It is there only if an earlier run of this process number was cut short.
+    // It exists only if an earlier run with the same process id was interrupted.
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
@@ -15,22 +15,22 @@
     let disk = open(folder).expect("a new folder");
     let (sender, receiver) = std::sync::mpsc::channel();
     let written = move |event| match event {
-        DiskEvent::Written(token) => sender.send(token.number).expect("a waiting test"),
+        DiskEvent::Written(token) => sender.send(token.number).expect("the test waits"),
         other => panic!("{other:?}"),
     };
-    let reopen = || panic!("a disk with room is never opened again");
+    let reopen = || panic!("a disk with free space is never opened again");
     let writer = Writer::start(disk.database, reopen, written);
     let token = WriteToken { group: Group::Control, number: 4 };
     let changes = vec![RowChange::put("key", &77_u64)];
-    writer.write(DiskWrite { token, changes }).expect("room for one write");
+    writer.write(DiskWrite { token, changes }).expect("the queue has space");
     assert_eq!(receiver.recv(), Ok(4));
 }
 
 #[test]
-fn what_was_said_to_be_synced_is_read_again() {
+fn synced_rows_are_read_back() {
     let folder = folder("again");
     write_one(&folder);
-    // The writer thread lets the file go a moment after its sender is gone.
+    // The writer thread closes the file shortly after its sender is dropped.
     let disk = loop {
         match open(&folder) {
             Ok(disk) => break disk,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_damaged_file_is_refused() {
+fn damaged_file_is_refused() {
     let folder = folder("damaged");
     std::fs::create_dir_all(&folder).expect("a folder");
     std::fs::write(folder.join("node.redb"), vec![9_u8; 8_192]).expect("a file");
@@ -53,32 +53,32 @@
 }
 
 #[test]
-fn a_file_that_was_never_whole_is_made_anew_and_one_that_was_is_not() {
-    // What is left where the first pages found no room: a length, and nothing in it.
-    let unfinished = vec![0_u8; 73_728];
+fn incomplete_new_file_is_created_again_but_a_damaged_one_is_refused() {
+    // The content after the first pages did not fit on a full disk: the length is set, all is zero.
+    let incomplete = vec![0_u8; 73_728];
     let folder = folder("unfinished");
     std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::write(folder.join("node.redb.new"), &unfinished).expect("a file");
-    drop(open(&folder).expect("a file made anew"));
+    std::fs::write(folder.join("node.redb.new"), &incomplete).expect("a file");
+    drop(open(&folder).expect("a newly created file"));
     let names = || std::fs::read_dir(&folder).expect("a folder").flatten().map(|e| e.file_name());
     assert_eq!(names().collect::<Vec<_>>(), ["node.redb"]);
-    std::fs::write(folder.join("node.redb"), &unfinished).expect("a file");
+    std::fs::write(folder.join("node.redb"), &incomplete).expect("a file");
     assert!(matches!(open(&folder).map(drop), Err(DiskError::Damaged(..))));
     std::fs::remove_dir_all(&folder).expect("its own folder");
 }
 
 #[test]
-fn a_file_that_another_process_holds_is_not_called_damaged() {
+fn locked_file_is_not_reported_as_damaged() {
     let folder = folder("held");
     let holder = open(&folder).expect("a new folder");
     assert!(matches!(open(&folder).map(drop), Err(DiskError::Locked(_))));
     drop(holder);
-    open(&folder).expect("a folder that nobody holds");
+    open(&folder).expect("an unlocked folder");
     std::fs::remove_dir_all(&folder).expect("its own folder");
 }
 
 #[test]
-fn a_folder_that_can_not_be_made_is_not_called_damaged() {
+fn folder_that_cannot_be_created_is_not_reported_as_damaged() {
     let file = folder("no-folder");
     std::fs::write(&file, "a file").expect("a file");
     assert!(matches!(open(&file).map(drop), Err(DiskError::Failed(..))));
@@ -86,20 +86,20 @@
 }
 
 #[test]
-fn room_is_looked_for_and_nothing_stays_behind() {
+fn free_space_check_leaves_no_file_behind() {
     let folder = folder("room");
     drop(open(&folder).expect("a new folder"));
-    topazyard_wire::disk::open::check_free_space(&folder).expect("room");
+    topazyard_wire::disk::open::check_free_space(&folder).expect("free space");
     assert_eq!(std::fs::read_dir(&folder).expect("a folder").count(), 1);
-    // Whoever writes there finds no room.
+    // Writing to this link fails as on a full disk.
     std::os::unix::fs::symlink("/dev/full", folder.join("node.room")).expect("a link");
-    let found = topazyard_wire::disk::open::check_free_space(&folder);
-    assert!(matches!(found, Err(DiskError::Full(_))), "{found:?}");
+    let checked = topazyard_wire::disk::open::check_free_space(&folder);
+    assert!(matches!(checked, Err(DiskError::Full(_))), "{checked:?}");
     std::fs::remove_dir_all(&folder).expect("its own folder");
 }
 
 #[test]
-fn an_unknown_table_is_refused() {
+fn unknown_table_is_refused() {
     let folder = folder("table");
     std::fs::create_dir_all(&folder).expect("a folder");
     {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_newer_format_is_refused() {
+fn newer_format_is_refused() {
     let folder = folder("newer");
     std::fs::create_dir_all(&folder).expect("a folder");
     {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_waited_for_room_is_no_stall_once_there_is_some() {
+fn waiting_for_free_space_does_not_count_as_a_stall() {
     let mut watch = DiskWatch::default();
     let token = |number| WriteToken { group: Group::Node, number };
     watch.write_started(token(1), MonotonicMs(0));
--- a/libraries/topazyard-wire/tests/frames.rs
+++ b/libraries/topazyard-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames and rows: whatever arrives is refused with a type, never with a panic.
+//! Decoding frames and rows: any bytes decode or give a typed error, and never a panic.
 
 use topazyard_types::{FleetId, NodeId};
 use topazyard_wire::message::membership::MembershipMessage;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn any_bytes_are_a_frame_or_a_typed_error() {
+fn any_bytes_decode_or_give_a_typed_error() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(5_000).for_each(|bytes| {
         if let Ok(frame) = Frame::decode(bytes, FLEET) {
             assert_eq!(Frame::decode(&frame.encode(), FLEET), Ok(frame));
@@ -26,20 +26,20 @@
 }
 
 #[test]
-fn a_spoiled_frame_is_never_taken_for_another_fleets() {
+fn corrupted_frame_never_passes_as_one_of_another_fleet_or_version() {
     let bytes = frame().encode();
-    bolero::check!().with_type::<(usize, u8)>().with_iterations(2_000).for_each(|(at, with)| {
-        let mut spoiled = bytes.to_vec();
-        let at = at % spoiled.len();
-        spoiled[at] ^= with;
-        if let Ok(taken) = Frame::decode(&spoiled, FLEET) {
-            assert_eq!((taken.version, taken.fleet), (FRAME_VERSION, FLEET));
+    bolero::check!().with_type::<(usize, u8)>().with_iterations(2_000).for_each(|(at, mask)| {
+        let mut corrupted = bytes.to_vec();
+        let at = at % corrupted.len();
+        corrupted[at] ^= mask;
+        if let Ok(decoded) = Frame::decode(&corrupted, FLEET) {
+            assert_eq!((decoded.version, decoded.fleet), (FRAME_VERSION, FLEET));
         }
     });
 }
 
 #[test]
-fn another_version_or_fleet_is_refused() {
+fn other_version_or_fleet_is_refused() {
     let newer = Frame { version: FRAME_VERSION + 1, ..frame() };
     let refused = Frame::decode(&newer.encode(), FLEET);
     assert_eq!(refused, Err(FrameError::Version(FRAME_VERSION + 1)));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_view_is_read_from_any_rows() {
+fn fleet_snapshot_reads_any_rows_without_panicking() {
     type Rows = std::collections::BTreeMap<u8, Vec<u8>>;
     let kinds = ["in-force", "engine/e", "shard/1", "shard/x", "storage/9", "weight/w", "other"];
     bolero::check!().with_type::<Rows>().with_iterations(2_000).for_each(|rows| {
@@ -56,7 +56,7 @@
             let key = kinds[usize::from(*kind) % kinds.len()].to_owned();
             (key, bytes::Bytes::from(value.clone()))
         });
-        let view = topazyard_wire::state::FleetSnapshot::read(&rows.collect());
-        assert!(view.shards.len() <= 1);
+        let snapshot = topazyard_wire::state::FleetSnapshot::read(&rows.collect());
+        assert!(snapshot.shards.len() <= 1);
     });
 }
--- a/libraries/topazyard-wire/tests/invariants.rs
+++ b/libraries/topazyard-wire/tests/invariants.rs
@@ -1,12 +1,12 @@
-//! Violations are counted by name, and the product goes on.
+//! Violations are counted by name, and the process continues.
 
 use topazyard_wire::invariants::{self, Invariant, LogLimiter};
 
 #[test]
-fn each_listed_invariant_is_counted_by_its_own_name() {
+fn violations_are_counted_by_invariant_name() {
     for invariant in Invariant::ALL {
         let before: Vec<(Invariant, u64)> = invariants::counts().collect();
-        invariants::report_violation(*invariant, "planted");
+        invariants::report_violation(*invariant, "injected");
         for ((at, count), (_, old)) in invariants::counts().zip(before) {
             assert_eq!(count - old, u64::from(at == *invariant), "{at:?} after {invariant:?}");
         }
@@ -29,18 +29,18 @@
 }
 
 #[test]
-fn what_holds_costs_no_details() {
+fn details_are_not_formatted_when_the_invariant_holds() {
     invariants::check(true, Invariant::EpochHasOneRecord, || unreachable!("nothing was violated"));
 }
 
 #[test]
-fn a_line_is_let_through_once_a_second() {
+fn limiter_allows_one_line_per_second() {
     let limiter = LogLimiter::new();
-    let let_through = (10_000..13_000).step_by(10).filter(|now_ms| limiter.allows(*now_ms)).count();
-    assert_eq!(let_through, 3);
+    let allowed = (10_000..13_000).step_by(10).filter(|now_ms| limiter.allows(*now_ms)).count();
+    assert_eq!(allowed, 3);
 }
 
-/// A role without figures.
+/// A role without metrics.
 #[derive(Debug)]
 struct Nothing;
 
--- a/libraries/topazyard-wire/tests/metrics.rs
+++ b/libraries/topazyard-wire/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that a process serves, fetched over loopback.
+//! The metrics endpoint of a process, scraped over loopback.
 
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use topazyard_wire::metrics::{MetricSource, Writer, serve};
@@ -14,26 +14,26 @@
     }
 }
 
-async fn fetch(from: std::net::SocketAddr, path: &str) -> String {
-    let mut stream = tokio::net::TcpStream::connect(from).await.unwrap();
+async fn fetch(address: std::net::SocketAddr, path: &str) -> String {
+    let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: metrics\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    response
 }
 
 #[tokio::test]
-async fn figures_are_asked_for_at_each_fetch() {
+async fn each_scrape_requests_current_metrics() {
     let address = stand_ins::loopback::free_address();
-    let asked = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
-    let counted = asked.clone();
-    let next = move || {
-        let count = counted.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    let requests = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
+    let counter = requests.clone();
+    let fetch_metrics = move || {
+        let count = counter.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         async move { Some(Queue(10 + count)) }
     };
-    serve(Some(address), next).await;
-    assert_eq!(asked.load(std::sync::atomic::Ordering::Relaxed), 0);
+    serve(Some(address), fetch_metrics).await;
+    assert_eq!(requests.load(std::sync::atomic::Ordering::Relaxed), 0);
     let first = fetch(address, "/metrics").await;
     assert!(first.starts_with("HTTP/1.1 200 OK\r\n"), "{first}");
     assert!(first.contains("content-type: application/openmetrics-text; version=1.0.0"));
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn a_machine_that_gives_nothing_leaves_the_process_its_own_figures() {
+async fn process_metrics_are_served_without_those_of_the_machine() {
     let address = stand_ins::loopback::free_address();
     serve(Some(address), || async { None::<Queue> }).await;
     let text = fetch(address, "/metrics").await;
@@ -60,14 +60,14 @@
 }
 
 #[tokio::test]
-async fn another_path_is_not_found() {
+async fn other_path_is_not_found() {
     let address = stand_ins::loopback::free_address();
     serve(Some(address), || async { Some(Queue(1)) }).await;
     assert!(fetch(address, "/").await.starts_with("HTTP/1.1 404 "));
 }
 
 #[tokio::test]
-async fn an_address_that_is_taken_ends_nothing() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    serve(Some(taken.local_addr().unwrap()), || async { Some(Queue(1)) }).await;
+async fn address_in_use_does_not_end_the_process() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    serve(Some(listener.local_addr().unwrap()), || async { Some(Queue(1)) }).await;
 }
