--- a/libraries/topazyard-wire/tests/disk_faults.rs
+++ b/libraries/topazyard-wire/tests/disk_faults.rs
@@ -346,8 +346,8 @@
     assert_synced_rows_survive(image, &(1..=last).collect::<Vec<_>>(), 1);
 }
 
-/// Writes to a disk that is full during a random range of operations. Returns how often it could not
-/// be opened for that reason, and how often the writer reported it as full.
+/// Writes to a disk that is full during a random range of operations. Returns how often it could
+/// not be opened for that reason, and how often the writer reported it as full.
 fn write_while_temporarily_full(blank: &[u8], seed: u64) -> (usize, usize) {
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
     let from = rng.random_range(1..250);
