--- a/fleet-simulator/src/model/world/apply.rs
+++ b/fleet-simulator/src/model/world/apply.rs
@@ -6,10 +6,10 @@
 use crate::model::node::Node;
 use crate::model::people::{Asked, Asking};
 use crate::model::{Action, Letter, Party};
-use topazyard_types::{DurationMs, SpecVersion};
+use topazyard_types::{ConfigurationVersion, DurationMs};
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{Operate, Query};
+use topazyard_wire::message::operate::{OperatorRequest, Query};
 use topazyard_wire::{Input, WriteToken};
 
 /// What happens next by itself.
@@ -76,7 +76,7 @@
             Action::Order { operator, node, skip } => self.order(*operator, *node, *skip),
             Action::Resend { operator, node } => self.resend(*operator, *node),
             Action::Read { operator, node } => {
-                self.call(*operator, *node, Asked::Read, Operate::Query(Query::ReadSource))
+                self.call(*operator, *node, Asked::Read, OperatorRequest::Query(Query::ReadSource))
             }
             Action::Calm => self.calm(),
         }
@@ -178,18 +178,24 @@
             return false;
         }
         let base = self.operators[operator].knows;
-        let order = self.judge.add_order(base, SpecVersion(base.0 + 1 + skip));
+        let order = self.judge.add_order(base, ConfigurationVersion(base.0 + 1 + skip));
         self.operators[operator].open = Some(order);
         self.resend(operator, node)
     }
 
     fn resend(&mut self, operator: usize, node: usize) -> bool {
         let Some(order) = self.operators[operator].open.clone() else { return false };
-        let request = Operate::Command(order.command());
+        let request = OperatorRequest::Command(order.command());
         self.call(operator, node, Asked::Order(order.number), request)
     }
 
-    fn call(&mut self, operator: usize, node: usize, asked: Asked, request: Operate) -> bool {
+    fn call(
+        &mut self,
+        operator: usize,
+        node: usize,
+        asked: Asked,
+        request: OperatorRequest,
+    ) -> bool {
         let since = self.judge.newest_acknowledged();
         self.askings.push(Asking { operator, asked, since, arrived: None });
         let asking = self.askings.len() - 1;
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/carry.rs
@@ -7,15 +7,15 @@
 use crate::model::people::Asked;
 use crate::model::{Party, Plant};
 use topazyard_control::{ControlCall, ControlTask};
-use topazyard_types::SpecVersion;
+use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::control::CoreMessage;
-use topazyard_wire::message::feed::{FeedMessage, Matter};
-use topazyard_wire::message::operate::OperateOutcome;
-use topazyard_wire::message::replica::{Follows, ReplicaBody, ReplicaMessage};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
+use topazyard_wire::message::operate::OperatorOutcome;
+use topazyard_wire::message::replica::{FollowerRole, ReplicaBody, ReplicaMessage};
 use topazyard_wire::{Effect, Input, Machine as _, Message};
 
-pub(super) type ControlEffect = Effect<OperateOutcome, ControlTask>;
+pub(super) type ControlEffect = Effect<OperatorOutcome, ControlTask>;
 
 /// What a planted fault remembers.
 #[derive(Debug, Clone, Default)]
@@ -29,17 +29,17 @@
 }
 
 /// Whether an outcome is final: the order is taken, or refused for good.
-fn is_final(outcome: &OperateOutcome) -> bool {
+fn is_final(outcome: &OperatorOutcome) -> bool {
     match outcome {
-        OperateOutcome::Done(_) => true,
-        OperateOutcome::Refused(error) => {
+        OperatorOutcome::Done(_) => true,
+        OperatorOutcome::Refused(error) => {
             matches!(error.code, Code::StaleBase | Code::InvalidSpec | Code::NotFound)
         }
     }
 }
 
-fn stale_base() -> OperateOutcome {
-    OperateOutcome::Refused(topazyard_wire::ApiError::not_run(Code::StaleBase))
+fn stale_base() -> OperatorOutcome {
+    OperatorOutcome::Refused(topazyard_wire::ApiError::not_run(Code::StaleBase))
 }
 
 impl World {
@@ -53,7 +53,7 @@
         let now = self.now;
         let node = Node::change(&mut self.nodes[number]);
         let Some(machine) = &mut node.machine else { return };
-        let before = (machine.copy().place(), machine.is_serving());
+        let before = (machine.copy().position(), machine.is_serving());
         let effects = machine.step(input, now);
         self.judge.see_node(node.id, machine, before);
         self.carry_out(number, effects);
@@ -71,9 +71,9 @@
                         self.step(number, Input::Written(token));
                     }
                 }
-                Effect::Return { call, value } => self.answer(number, call, value),
-                Effect::Note { text, .. } => self.note(|| format!("    n{number}: {text}")),
-                Effect::Start(_) => {}
+                Effect::Respond { call, value } => self.answer(number, call, value),
+                Effect::Log { text, .. } => self.note(|| format!("    n{number}: {text}")),
+                Effect::StartTask(_) => {}
             }
         }
     }
@@ -93,7 +93,8 @@
             record.backups.clear();
         }
         let Some(party) = self.party_at(to) else { return };
-        if let (Message::Feed(FeedMessage::News { .. }), Party::Reader(reader)) = (&message, party)
+        if let (Message::Feed(FeedMessage::Update { .. }), Party::Reader(reader)) =
+            (&message, party)
         {
             let asked = self.readers[reader].arrived.get(&number).copied();
             self.check_alone(number, asked, "confirmed a reader's asking");
@@ -139,8 +140,8 @@
             }
             (
                 Some(Plant::ForgetVotesAndForgeSteps),
-                ReplicaBody::Digests { round, sequence, of: Follows::AsBackup, .. },
-            ) => ReplicaBody::InStep { round: *round, sequence: *sequence },
+                ReplicaBody::Digests { round, sequence, of: FollowerRole::Backup, .. },
+            ) => ReplicaBody::InSync { round: *round, sequence: *sequence },
             _ => return,
         };
         let message = Message::Replica(ReplicaMessage { body, ..sent.clone() });
@@ -162,7 +163,7 @@
         }
     }
 
-    fn answer(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperateOutcome) {
+    fn answer(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperatorOutcome) {
         let node = Node::change(&mut self.nodes[number]);
         let Some(asking) = node.calls.remove(&call) else { return };
         if is_final(&outcome) {
@@ -195,7 +196,7 @@
             // The address may have gone to another machine meanwhile.
             Payload::Frame { to, .. } if self.nodes[number].address != to => {}
             Payload::Frame { sender, from, message, .. } => {
-                let is_asking = matches!(message, Message::Feed(FeedMessage::Ask { .. }));
+                let is_asking = matches!(message, Message::Feed(FeedMessage::Request { .. }));
                 if let (Party::Reader(reader), true) = (party, is_asking) {
                     let event = self.next_event();
                     self.readers[reader].arrived.insert(number, event);
@@ -233,26 +234,30 @@
     }
 
     /// The planted fault of a reader that is shown the first view again.
-    fn plant_news(&mut self, shown: Option<SpecVersion>, message: FeedMessage) -> FeedMessage {
-        let FeedMessage::News { nonce, place, matter } = message else { return message };
-        if let Matter::View(rows) = &matter {
+    fn plant_news(
+        &mut self,
+        shown: Option<ConfigurationVersion>,
+        message: FeedMessage,
+    ) -> FeedMessage {
+        let FeedMessage::Update { nonce, position, content } = message else { return message };
+        if let UpdateContent::Snapshot(rows) = &content {
             self.planted.view.get_or_insert_with(|| rows.iter().cloned().collect());
         }
-        let matter = match &self.planted.view {
+        let content = match &self.planted.view {
             Some(rows) if crate::model::order::in_force(rows) < shown => {
-                Matter::View(rows.clone().into_iter().collect())
+                UpdateContent::Snapshot(rows.clone().into_iter().collect())
             }
-            _ => matter,
+            _ => content,
         };
-        FeedMessage::News { nonce, place, matter }
+        FeedMessage::Update { nonce, position, content }
     }
 
-    fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperateOutcome) {
+    fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperatorOutcome) {
         let asking = self.askings[asking];
         let outcome = self.plant_outcome(asking.asked, outcome);
         let operator = &mut self.operators[number];
         match (asking.asked, &outcome) {
-            (Asked::Order(order), OperateOutcome::Done(_)) => {
+            (Asked::Order(order), OperatorOutcome::Done(_)) => {
                 let version = self.judge.order(order).map(|order| order.version);
                 operator.knows = operator.knows.max(version.unwrap_or_default());
                 operator.open.take_if(|open| open.number == order);
@@ -262,7 +267,7 @@
                 operator.open.take_if(|open| open.number == order);
                 self.judge.refuse(order);
             }
-            (Asked::Read, OperateOutcome::Done(source)) => {
+            (Asked::Read, OperatorOutcome::Done(source)) => {
                 let read = crate::model::order::number_of(source);
                 let version = read.and_then(|number| self.judge.order(number)).map(|o| o.version);
                 operator.knows = operator.knows.max(version.unwrap_or_default());
@@ -276,9 +281,9 @@
         self.note(|| format!("    operator{number}: {:?} -> {outcome:?}", asking.asked));
     }
 
-    fn plant_outcome(&mut self, asked: Asked, outcome: OperateOutcome) -> OperateOutcome {
+    fn plant_outcome(&mut self, asked: Asked, outcome: OperatorOutcome) -> OperatorOutcome {
         let Some(plant) = self.settings.plant else { return outcome };
-        let is_done = matches!(outcome, OperateOutcome::Done(_));
+        let is_done = matches!(outcome, OperatorOutcome::Done(_));
         match (plant, asked) {
             // The first order founds what follows.
             (_, Asked::Order(0)) => outcome,
@@ -287,14 +292,14 @@
                 if self.planted.answered.insert(order) { outcome } else { stale_base() }
             }
             (Plant::TakeRefused, Asked::Order(_)) if !is_done && is_final(&outcome) => {
-                OperateOutcome::Done("{}".to_owned())
+                OperatorOutcome::Done("{}".to_owned())
             }
             (Plant::OldSource, Asked::Read) => match &outcome {
-                OperateOutcome::Done(source) => {
+                OperatorOutcome::Done(source) => {
                     let first = self.planted.source.get_or_insert_with(|| source.clone());
-                    OperateOutcome::Done(first.clone())
+                    OperatorOutcome::Done(first.clone())
                 }
-                OperateOutcome::Refused(_) => outcome,
+                OperatorOutcome::Refused(_) => outcome,
             },
             _ => outcome,
         }
--- a/fleet-simulator/src/world/disk.rs
+++ b/fleet-simulator/src/world/disk.rs
@@ -1,15 +1,15 @@
 //! Disks: writes are synced in order after a while; what was not synced is lost with the power.
 
-use super::{Event, NodeIndex, Plant, World};
+use super::{Event, InjectedBug, NodeIndex, World};
 use topazyard_wire::disk::DiskState;
-use topazyard_wire::rows::Loaded;
+use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
 
 /// A disk.
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
     /// What is synced.
-    pub synced: Loaded,
+    pub synced: LoadedRows,
     pub(crate) queue: std::collections::VecDeque<(u64, WriteToken, Vec<RowChange>)>,
     pub(crate) last_write: u64,
     /// How long a sync takes besides its usual time, in microseconds.
@@ -84,7 +84,7 @@
             self.tell_disk(node, DiskState::Full);
             return;
         }
-        let lies = self.plant == Some(Plant::LyingDisk);
+        let lies = self.injected_bug == Some(InjectedBug::EarlySyncReport);
         if std::mem::take(&mut self.nodes[node.0].disk.is_told_full) {
             self.tell_disk(node, DiskState::Healthy);
         }
--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -43,7 +43,7 @@
     }
 
     /// A storage node that runs, has a copy of a shard and doesn't serve it.
-    pub fn other_holder(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
+    pub fn other_replica(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
         let holds = |node: &Node| match &node.body {
             Body::Storage(machine) => machine.copy(shard).is_some() && !machine.is_serving(shard),
             _ => false,
@@ -52,7 +52,7 @@
     }
 
     /// The storage nodes that run and have a copy of a shard.
-    pub(crate) fn holders(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
+    pub(crate) fn replica_nodes(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
         let holds = |node: &Node| match &node.body {
             Body::Storage(machine) => machine.copy(shard).is_some(),
             _ => false,
@@ -69,20 +69,21 @@
                 Body::Storage(machine) => machine.copy(shard),
                 _ => None,
             });
-            let Some(copy) = copies.max_by_key(|copy| copy.place()) else { continue };
-            let weighed = self.weighed.get(&shard).filter(|(place, _)| *place == copy.place());
+            let Some(copy) = copies.max_by_key(|copy| copy.position()) else { continue };
+            let weighed =
+                self.weighed.get(&shard).filter(|(position, _)| *position == copy.position());
             let waiting = match weighed {
                 Some((_, waiting)) => *waiting,
-                None => topazyard_storage::batches::waiting(copy).0,
+                None => topazyard_storage::batches::waiting_cost(copy).0,
             };
-            self.weighed.insert(shard, (copy.place(), waiting));
+            self.weighed.insert(shard, (copy.position(), waiting));
             all += waiting;
         }
         all
     }
 
     /// Holds at the counter, where one leads it.
-    pub fn holds(&self) -> Option<usize> {
+    pub fn counter_holds(&self) -> Option<usize> {
         self.nodes.iter().find_map(|node| match &node.body {
             Body::Storage(machine) if machine.is_serving(topazyard_types::ShardId::COUNTER) => {
                 machine.holds()
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -2,10 +2,10 @@
 
 mod clocks;
 mod in_force;
+mod inspection;
 mod steps;
-mod watch;
 
-use super::{Caller, Disk, Event, Plant, World};
+use super::{Caller, Disk, Event, InjectedBug, World};
 use crate::history::{Struck, StruckSeen, Us};
 use topazyard_control::ControlMachine;
 use topazyard_edge_agent::AgentMachine;
@@ -14,7 +14,7 @@
 use topazyard_types::{CallId, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::driver::DiskStart;
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// Names a process in the world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,7 +22,7 @@
 
 /// What a process is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum NodeKind {
     /// A control node.
     Control,
     /// A storage node.
@@ -55,7 +55,7 @@
     /// Its name.
     pub name: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// Where it takes frames.
     pub address: std::net::SocketAddr,
     /// Its neighbour, for relays and agents.
@@ -87,7 +87,7 @@
     }
 
     /// Whether it runs.
-    pub fn is_on(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         !matches!(self.body, Body::Off)
     }
 }
@@ -97,7 +97,7 @@
     pub fn add_node(
         &mut self,
         name: String,
-        kind: Kind,
+        kind: NodeKind,
         port: u16,
         beside: Option<u16>,
         zone: u16,
@@ -127,14 +127,14 @@
 
     /// Starts a process from what its disk holds.
     pub fn start(&mut self, index: NodeIndex) {
-        if self.nodes[index.0].is_on() {
+        if self.nodes[index.0].is_running() {
             return;
         }
         if self.nodes[index.0].disk.is_full {
             self.nodes[index.0].disk.is_awaited = true;
             return;
         }
-        let chance = self.draw(0..u64::MAX);
+        let random_seed = self.draw(0..u64::MAX);
         let fresh = NodeId(self.draw(1..u64::MAX) | 1);
         let time = self.time;
         let name = self.nodes[index.0].name.clone();
@@ -147,7 +147,7 @@
         node.stood_still = 0;
         node.frozen_until = None;
         node.calls.clear();
-        let keeps_id = matches!(node.kind, Kind::Control | Kind::Storage);
+        let keeps_id = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let rows = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
         let kept = rows.get("id").and_then(|value| topazyard_wire::rows::decode(value));
         node.id = match kept {
@@ -159,17 +159,17 @@
                 fresh
             }
         };
-        let duty = match node.kind {
-            Kind::Control => Duty::Control,
-            Kind::Storage => Duty::Storage,
-            Kind::Agent | Kind::Relay => Duty::Edge,
+        let role = match node.kind {
+            NodeKind::Control => MemberRole::Control,
+            NodeKind::Storage => MemberRole::Storage,
+            NodeKind::Agent | NodeKind::Relay => MemberRole::Edge,
         };
         let member = Member {
             id: node.id,
             name: Some(format!("node-{}", node.id)),
             address: node.address,
             http: None,
-            duty,
+            role,
             zone: topazyard_types::ZoneName(format!("zone-{}", node.zone)),
         };
         let loaded = node.disk.synced.clone();
@@ -180,32 +180,47 @@
         let now = self.node_clock(index);
         let mut first = Vec::new();
         let body = match kind {
-            Kind::Control => {
+            NodeKind::Control => {
                 let resources = topazyard_spec::Resources::default();
-                let start =
-                    DiskStart { member, seeds, chance, loaded, bounds, resources, may_found: true };
+                let start = DiskStart {
+                    member,
+                    seeds,
+                    random_seed,
+                    loaded,
+                    bounds,
+                    resources,
+                    may_bootstrap: true,
+                };
                 let (machine, effects) = ControlMachine::new(start, now);
                 first = effects;
                 Body::Control(Box::new(machine))
             }
-            Kind::Storage => {
+            NodeKind::Storage => {
                 let resources = topazyard_spec::Resources::default();
-                let start =
-                    DiskStart { member, seeds, chance, loaded, bounds, resources, may_found: true };
+                let start = DiskStart {
+                    member,
+                    seeds,
+                    random_seed,
+                    loaded,
+                    bounds,
+                    resources,
+                    may_bootstrap: true,
+                };
                 Body::Storage(Box::new(StorageMachine::new(start)))
             }
-            Kind::Agent => {
-                let remembered = topazyard_wire::driver::disked::Remembered::read(&loaded);
+            NodeKind::Agent => {
+                let remembered =
+                    topazyard_wire::driver::disk_start::KnownControlNodes::read(&loaded);
                 let start = topazyard_edge_agent::Start {
                     member,
                     seeds,
                     remembered: Some(remembered),
                     relay: beside,
-                    chance,
+                    random_seed,
                 };
                 Body::Agent(Box::new(AgentMachine::new(start)))
             }
-            Kind::Relay => {
+            NodeKind::Relay => {
                 let start = topazyard_relay::Start { node: id, agent: beside, bounds };
                 Body::Relay(Box::new(RelayMachine::new(&start)))
             }
@@ -222,7 +237,7 @@
     /// Ends a process; `power` says whether the power goes with it.
     pub fn stop(&mut self, index: NodeIndex, power: bool) {
         let more = self.draw(0..4) as usize;
-        if self.nodes[index.0].is_on() {
+        if self.nodes[index.0].is_running() {
             self.strike_for(index, Struck::Off);
         }
         let node = &mut self.nodes[index.0];
@@ -245,7 +260,7 @@
         if let Some(struck) = self.history.struck.last_mut() {
             struck.until = Some(until);
         }
-        if self.plant == Some(Plant::StoppedClock) {
+        if self.injected_bug == Some(InjectedBug::StoppedClock) {
             self.nodes[index.0].stood_still += us;
         }
     }
@@ -253,7 +268,7 @@
     /// Notes that a process's machine is struck from now on.
     pub(crate) fn strike_for(&mut self, index: NodeIndex, by: Struck) {
         let node = &self.nodes[index.0];
-        let has_disk = matches!(node.kind, Kind::Control | Kind::Storage);
+        let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let (name, from) = (node.name.clone(), self.time);
         self.history.struck.push(StruckSeen { name, by, has_disk, from, until: None });
     }
@@ -309,7 +324,7 @@
     }
 
     pub(crate) fn find(&self, address: std::net::SocketAddr) -> Option<NodeIndex> {
-        let found = |node: &Node| node.address == address && node.is_on();
+        let found = |node: &Node| node.address == address && node.is_running();
         self.nodes.iter().position(found).map(NodeIndex)
     }
 
--- a/libraries/topazyard-replication/src/epoch/witness.rs
+++ b/libraries/topazyard-replication/src/epoch/witness.rs
@@ -1,4 +1,4 @@
-//! The witness: what it promised and accepted for the epoch after the one it knows.
+//! The witness: what it has promised and accepted for the epoch after the newest one it knows.
 
 use topazyard_wire::RowChange;
 use topazyard_wire::invariants::{self, Invariant};
@@ -6,49 +6,50 @@
 
 const RECORD_KEY: &str = "record";
 const VOTE_KEY: &str = "vote";
-const GENESIS_KEY: &str = "genesis";
+const BOOTSTRAP_KEY: &str = "genesis";
 
-/// What a witness promised and accepted in the decision that is open.
+/// The promised ballot, and the accepted ballot with its record, in the open decision.
 type Vote = (Ballot, Option<(Ballot, EpochRecord)>);
 
-/// A witness. All it says must wait until what it wrote is synced.
+/// A witness. Its responses must be held back until the rows it returned with them are synced.
 #[derive(Debug, Clone, Default)]
 pub struct Witness {
     record: Option<EpochRecord>,
     vote: Vote,
-    /// What the first record of a fleet follows, if this witness may vote on it.
-    genesis: Option<EpochRecord>,
+    /// The record that the first record of a fleet follows, if this witness may vote on that one.
+    bootstrap_base: Option<EpochRecord>,
 }
 
 impl Witness {
-    /// The witness that a disk held.
+    /// Loads a witness from the rows found on disk.
     ///
     /// ```
-    /// let empty = topazyard_replication::Witness::loaded(&Default::default());
+    /// let empty = topazyard_replication::Witness::from_rows(&Default::default());
     /// assert!(empty.record().is_none());
     /// ```
-    pub fn loaded(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
-        let decode = |key: &str| rows.get(key);
-        let record = decode(RECORD_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        let vote = decode(VOTE_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        let genesis = decode(GENESIS_KEY).and_then(|v| topazyard_wire::rows::decode(v));
-        Self { record, vote: vote.unwrap_or_default(), genesis }
+    pub fn from_rows(rows: &std::collections::BTreeMap<String, bytes::Bytes>) -> Self {
+        let row = |key: &str| rows.get(key);
+        let record = row(RECORD_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        let vote = row(VOTE_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        let bootstrap_base = row(BOOTSTRAP_KEY).and_then(|v| topazyard_wire::rows::decode(v));
+        Self { record, vote: vote.unwrap_or_default(), bootstrap_base }
     }
 
-    /// Lets this witness vote on the first record of a fleet; gives the row to write if it could
-    /// not before. Only a witness whose disk is empty may be let.
-    pub fn may_found(&mut self, genesis: EpochRecord) -> Option<RowChange> {
-        if self.genesis.is_some() || self.record.is_some() {
+    /// Allows this witness to vote on the first record of a fleet. Returns the row to write, or
+    /// `None` if it was allowed before or already knows a record. Only a witness with an empty disk
+    /// may be allowed this.
+    pub fn allow_bootstrap(&mut self, bootstrap_base: EpochRecord) -> Option<RowChange> {
+        if self.bootstrap_base.is_some() || self.record.is_some() {
             return None;
         }
-        let row = RowChange::put(GENESIS_KEY, &genesis);
-        self.genesis = Some(genesis);
+        let row = RowChange::put(BOOTSTRAP_KEY, &bootstrap_base);
+        self.bootstrap_base = Some(bootstrap_base);
         Some(row)
     }
 
-    /// What the first record follows, if this witness may vote on it.
-    pub fn genesis(&self) -> Option<&EpochRecord> {
-        self.genesis.as_ref()
+    /// The record that the first record follows, if this witness may vote on that one.
+    pub fn bootstrap_base(&self) -> Option<&EpochRecord> {
+        self.bootstrap_base.as_ref()
     }
 
     /// The newest record known to be decided.
@@ -56,14 +57,14 @@
         self.record.as_ref()
     }
 
-    /// Whether this witness knows that epoch as the newest one and has accepted none after it. As
-    /// long as a majority of its witnesses say so, the next epoch is not decided.
+    /// Whether `epoch` is the newest one known to this witness and it has accepted no later record.
+    /// As long as a majority of the epoch's witnesses confirms this, the next epoch is not decided.
     pub fn confirms(&self, epoch: topazyard_types::Epoch) -> bool {
         let is_newest = self.record.as_ref().is_some_and(|known| known.epoch == epoch);
         is_newest && self.vote.1.is_none()
     }
 
-    /// Learns a decided record; gives the rows to write if it is newer.
+    /// Learns a decided record and returns the rows to write, or `None` if it is not newer.
     pub fn learn(&mut self, record: &EpochRecord) -> Option<Vec<RowChange>> {
         if let Some(known) = self.record.as_ref().filter(|known| known.epoch >= record.epoch) {
             let is_same = known.epoch > record.epoch || known == record;
@@ -77,13 +78,14 @@
         Some(vec![RowChange::put(RECORD_KEY, record), RowChange::put(VOTE_KEY, &self.vote)])
     }
 
-    /// Whether a proposal follows the record this witness knows; anything lower is refused.
+    /// Whether `base` is the newest record known to this witness; proposals on any other are
+    /// ignored.
     fn is_next(&self, base: &EpochRecord) -> bool {
-        self.record.as_ref().or(self.genesis.as_ref()).is_some_and(|known| known == base)
+        self.record.as_ref().or(self.bootstrap_base.as_ref()).is_some_and(|known| known == base)
     }
 
-    /// Answers a prepare: what to write, and what to say once that is synced. The base was
-    /// learned first, if it was news.
+    /// Handles a prepare request: returns the rows to write and the response to send once they are
+    /// synced. If `base` was new to this witness, the caller has let it learn that record first.
     pub fn prepare(
         &mut self,
         base: &EpochRecord,
@@ -94,7 +96,7 @@
         }
         let epoch = base.epoch.next();
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote.0 = ballot;
@@ -102,7 +104,7 @@
         Some((vec![RowChange::put(VOTE_KEY, &self.vote)], promise))
     }
 
-    /// Answers an accept, likewise.
+    /// Handles an accept request in the same way.
     pub fn accept(
         &mut self,
         base: &EpochRecord,
@@ -114,7 +116,7 @@
         }
         let epoch = record.epoch;
         if ballot < self.vote.0 {
-            let outbid = CoreMessage::Outbid { epoch, promised: self.vote.0 };
+            let outbid = CoreMessage::Rejected { epoch, promised: self.vote.0 };
             return Some((Vec::new(), outbid));
         }
         self.vote = (ballot, Some((ballot, record)));
--- a/libraries/topazyard-replication/src/lib.rs
+++ b/libraries/topazyard-replication/src/lib.rs
@@ -1,5 +1,5 @@
-//! Copies of rows, the primary that keeps several of them in step, the witness that decides epochs, and
-//! the follower that reads the feed.
+//! Replication of a group's rows: the data itself, the primary that keeps its backups in sync, the
+//! witnesses that decide epochs, and the follower of the configuration feed.
 
 pub mod copy;
 pub mod epoch;
@@ -10,6 +10,6 @@
 
 pub use copy::Copy;
 pub use epoch::{Proposal, Witness};
-pub use follower::Follower;
-pub use replica::{Doubt, Followers, Replica, ReplicaOutput, Ticket};
+pub use follower::FeedFollower;
+pub use replica::{Followers, Replica, ReplicaOutput, Uncommitted, WriteTicket};
 pub use snapshot::Snapshot;
--- a/libraries/topazyard-wire/src/driver/mod.rs
+++ b/libraries/topazyard-wire/src/driver/mod.rs
@@ -1,16 +1,16 @@
-//! The actor that owns a machine and makes its effects happen.
+//! The actor that owns a machine and performs its effects.
 
 pub mod actor;
 pub mod clock;
-pub mod disked;
-mod give_up;
+pub mod disk_start;
+mod fatal;
 pub mod identity;
 pub mod signals;
 pub mod spawn;
 
 pub use actor::{CallError, Handle};
 pub use clock::Clock;
-pub use disked::{DiskStart, start_with_disk};
-pub use identity::{fresh_id, settled_id};
+pub use disk_start::{DiskStart, start_with_disk};
+pub use identity::{fresh_id, load_or_create_id};
 pub use signals::{follow_settings, terminated};
-pub use spawn::{Place, StartError, daemon, exit_code, run_process, spawn, spawn_at};
+pub use spawn::{NodeIdentity, StartError, exit_code, run_daemon, run_process, spawn, spawn_at};
--- a/libraries/topazyard-wire/src/http/mod.rs
+++ b/libraries/topazyard-wire/src/http/mod.rs
@@ -1,30 +1,30 @@
-//! HTTP by library, with the few helpers that the programs share.
+//! HTTP helpers shared by the programs.
 
-pub mod inward;
-pub mod outward;
+pub mod inbound;
+pub mod outbound;
 pub mod server;
 
-/// A body of either side.
+/// The body of a request or a response.
 pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, BodyError>;
 
-/// the body broke off
+/// the body ended early
 #[derive(Debug, displaydoc::Display)]
 pub struct BodyError;
 
 impl std::error::Error for BodyError {}
 
-/// A whole body.
+/// A body with all its bytes.
 ///
 /// ```
 /// use hyper::body::Body as _;
-/// assert_eq!(topazyard_wire::http::whole("hi").size_hint().exact(), Some(2));
+/// assert_eq!(topazyard_wire::http::full_body("hi").size_hint().exact(), Some(2));
 /// ```
-pub fn whole(bytes: impl Into<bytes::Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<bytes::Bytes>) -> Body {
     use http_body_util::BodyExt as _;
     http_body_util::Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A return with a JSON body.
+/// A response with a JSON body.
 ///
 /// ```
 /// let response = topazyard_wire::http::json(201, &serde_json::json!({"ok": true}));
@@ -35,9 +35,9 @@
     json_text(status, text)
 }
 
-/// A return with a body that is JSON already.
+/// A response with a body that is already encoded as JSON.
 pub fn json_text(status: u16, text: impl Into<bytes::Bytes>) -> hyper::Response<Body> {
-    let mut response = hyper::Response::new(whole(text));
+    let mut response = hyper::Response::new(full_body(text));
     *response.status_mut() =
         hyper::StatusCode::from_u16(status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
     let json = hyper::header::HeaderValue::from_static("application/json");
@@ -45,7 +45,7 @@
     response
 }
 
-/// An error as a return, with `Retry-After` where coming back helps.
+/// An error as a response, with `Retry-After` if a retry may succeed.
 ///
 /// ```
 /// use topazyard_wire::api::{ApiError, Code};
--- a/libraries/topazyard-wire/src/lib.rs
+++ b/libraries/topazyard-wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process needs to speak with the others and to run its machine: messages, frames, links,
-//! the disk thread, the log ring, invariants, metrics, HTTP helpers and the actor that owns a
+//! What every process shares: messages and frames, links between processes, the disk thread, the
+//! ring buffer of log lines, invariants, metrics, HTTP helpers, and the actor that runs a state
 //! machine.
 
 pub mod api;
@@ -15,7 +15,7 @@
 pub mod rows;
 pub mod state;
 
-pub use api::{ApiError, Ran};
+pub use api::{ApiError, Execution};
 pub use machine::{Effect, Input, Machine, WriteToken};
 pub use message::{Frame, Message};
 pub use rows::{Group, RowChange};
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -1,17 +1,17 @@
-//! HTTP for operators and the platform.
+//! The HTTP interface for operators and the platform.
 
-use topazyard_types::{NodeId, SpecVersion};
+use topazyard_types::{ConfigurationVersion, NodeId};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
-use topazyard_wire::message::operate::{Command, Operate, OperateOutcome, Query};
+use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
-/// The largest declaration taken, in bytes.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmitBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     bundle: &'a serde_json::value::RawValue,
 }
@@ -19,7 +19,7 @@
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PatchBody<'a> {
-    base: SpecVersion,
+    base: ConfigurationVersion,
     #[serde(borrow)]
     patch: &'a serde_json::value::RawValue,
 }
@@ -30,57 +30,61 @@
     by: String,
 }
 
-/// Answers one request of an operator or the platform.
-pub async fn answer(
+/// Responds to one request of an operator or the platform.
+pub async fn respond(
     handle: topazyard_wire::driver::Handle<crate::ControlMachine>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     let (head, body) = request.into_parts();
     if head.method == hyper::Method::GET && head.uri.path() == "/health" {
-        return returned(handle.call(crate::ControlCall::Health).await);
+        return outcome_response(handle.call(crate::ControlCall::Health).await);
     }
-    let operate = match topazyard_wire::http::inward::read_body(body, MOST_BYTES).await {
-        Ok(body) => understand(&head.method, head.uri.path(), &body),
+    let operation = match topazyard_wire::http::inbound::read_body(body, MAX_BODY_BYTES).await {
+        Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
-    let outcome = match operate {
-        Ok(operate) => handle.call(crate::ControlCall::Operate(operate)).await,
+    let outcome = match operation {
+        Ok(operation) => handle.call(crate::ControlCall::Operate(operation)).await,
         Err(error) => return topazyard_wire::http::error(&error),
     };
-    returned(outcome)
+    outcome_response(outcome)
 }
 
-fn returned(
-    outcome: Result<OperateOutcome, topazyard_wire::driver::CallError>,
+fn outcome_response(
+    outcome: Result<OperatorOutcome, topazyard_wire::driver::CallError>,
 ) -> hyper::Response<Body> {
     match outcome {
-        Ok(OperateOutcome::Done(text)) => topazyard_wire::http::json_text(200, text),
-        Ok(OperateOutcome::Refused(error)) => topazyard_wire::http::error(&error),
+        Ok(OperatorOutcome::Done(text)) => topazyard_wire::http::json_text(200, text),
+        Ok(OperatorOutcome::Refused(error)) => topazyard_wire::http::error(&error),
         Err(_) => topazyard_wire::http::error(&ApiError::may_have_run(Code::OutcomeUnknown)),
     }
 }
 
-/// What a request asks, or why it can't be understood.
+/// Parses a request into a command or query.
 ///
 /// ```
-/// use topazyard_control::http::understand;
-/// use topazyard_wire::message::operate::{Operate, Query};
-/// let asked = understand(&hyper::Method::GET, "/specs/in-force", b"");
-/// assert_eq!(asked, Ok(Operate::Query(Query::ReadSpec(None))));
-/// assert!(understand(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
+/// use topazyard_control::http::parse_request;
+/// use topazyard_wire::message::operate::{OperatorRequest, Query};
+/// let operation = parse_request(&hyper::Method::GET, "/specs/in-force", b"");
+/// assert_eq!(operation, Ok(OperatorRequest::Query(Query::ReadConfiguration(None))));
+/// assert!(parse_request(&hyper::Method::POST, "/specs/x/roll-out", b"").is_err());
 /// ```
 ///
 /// # Errors
 /// A path that does not exist, or a malformed part of the request.
-pub fn understand(method: &hyper::Method, path: &str, body: &[u8]) -> Result<Operate, ApiError> {
+pub fn parse_request(
+    method: &hyper::Method,
+    path: &str,
+    body: &[u8],
+) -> Result<OperatorRequest, ApiError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let query = |query| Ok(Operate::Query(query));
-    let command = |command| Ok(Operate::Command(command));
+    let query = |query| Ok(OperatorRequest::Query(query));
+    let command = |command| Ok(OperatorRequest::Command(command));
     match (method.as_str(), parts.as_slice()) {
         ("POST", ["specs"]) => {
             let submit: SubmitBody<'_> = read_json(body)?;
             let text = submit.bundle.get().to_owned();
-            command(Command::SubmitSpec { base: submit.base, text })
+            command(Command::SubmitConfiguration { base: submit.base, text })
         }
         ("PATCH", ["specs"]) => {
             let change: PatchBody<'_> = read_json(body)?;
@@ -97,9 +101,9 @@
         ("POST", ["specs", version, "roll-out"]) => {
             command(Command::RollOut { version: version_of(version)? })
         }
-        ("GET", ["specs"]) => query(Query::ListSpecs),
-        ("GET", ["specs", "in-force"]) => query(Query::ReadSpec(None)),
-        ("GET", ["specs", version]) => query(Query::ReadSpec(Some(version_of(version)?))),
+        ("GET", ["specs"]) => query(Query::ListConfigurations),
+        ("GET", ["specs", "in-force"]) => query(Query::ReadConfiguration(None)),
+        ("GET", ["specs", version]) => query(Query::ReadConfiguration(Some(version_of(version)?))),
         ("PUT", ["engines"]) => {
             let text = std::str::from_utf8(body)
                 .map_err(|_| ApiError::not_run(Code::Malformed).at("body"))?;
@@ -122,9 +126,9 @@
     })
 }
 
-fn version_of(text: &str) -> Result<SpecVersion, ApiError> {
+fn version_of(text: &str) -> Result<ConfigurationVersion, ApiError> {
     let malformed = |_| ApiError::not_run(Code::Malformed).at("version");
-    text.parse().map(SpecVersion).map_err(malformed)
+    text.parse().map(ConfigurationVersion).map_err(malformed)
 }
 
 fn node_of(text: &str) -> Result<NodeId, ApiError> {
--- a/programs/topazyard-control/src/machine/commands.rs
+++ b/programs/topazyard-control/src/machine/commands.rs
@@ -1,77 +1,82 @@
-//! What each command changes, judged against the committed state.
+//! What each command changes, evaluated on the committed state.
 
 use super::ControlMachine;
-use super::orders::{Known, unclear};
-use topazyard_types::{Digest, MonotonicMs, NodeId, SpecVersion};
+use super::orders::{OrderStatus, outcome_unknown};
+use topazyard_types::{ConfigurationVersion, Digest, MonotonicMs, NodeId};
 use topazyard_wire::RowChange;
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::operate::{Command, SourcePatch};
 use topazyard_wire::state::{
-    ENGINES, FleetView, IN_FORCE, InForceRow, ROUTES, SPECS, SpecRow, SpecStage, StorageRow,
-    StorageStage, WeightRow, engine_key, route_key, spec_key, storage_key, weight_key,
+    CONFIGURATIONS, ConfigurationRow, ConfigurationStage, ENGINES, FleetSnapshot, IN_FORCE,
+    InForceRow, ROUTES, StorageRow, StorageStage, WeightRow, configuration_key, engine_key,
+    route_key, storage_key, weight_key,
 };
 
-/// The changes and what is returned once they are committed.
-type Judged = Result<Done, ApiError>;
-type Done = (Vec<RowChange>, serde_json::Value);
+/// The changes to commit, and the value to return once they are committed.
+type CommandResult = Result<Accepted, ApiError>;
+type Accepted = (Vec<RowChange>, serde_json::Value);
 
-/// The digest that tells a submitted bundle from another.
+/// Digest that identifies a submitted configuration.
 fn digest_of_submission(text: &str) -> Digest {
     Digest::of(&[b"submitted", text.as_bytes()])
 }
 
-/// The digest that tells a submitted change from other submissions.
+/// Digest that identifies a submitted patch.
 fn digest_of_submitted_patch(patch: &str) -> Digest {
     Digest::of(&[b"submitted patch", patch.as_bytes()])
 }
 
-/// The digest that tells a partial change with its own version from other orders.
+/// Digest that identifies a patch order that brings its own version.
 fn digest_of_patch(order: &[u8]) -> Digest {
     Digest::of(&[b"patch", order])
 }
 
-/// The digest that tells an order with its own version from another.
+/// Digest that identifies an order that brings its own version.
 fn digest_of_source(source: &[u8]) -> Digest {
     Digest::of(&[b"source", source])
 }
 
-/// A bundle's text with a partial change made.
-fn patched(text: &str, patch: &str) -> Result<topazyard_spec::Bundle, ApiError> {
-    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::of_read)?;
-    let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
-    bundle.patched(&patch).map_err(ApiError::of_read)
+/// Applies a patch to the text of a configuration.
+fn apply_patch(text: &str, patch: &str) -> Result<topazyard_spec::Configuration, ApiError> {
+    let patch = topazyard_spec::Patch::read(patch).map_err(ApiError::from_read_error)?;
+    let configuration =
+        topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
+    configuration.patched(&patch).map_err(ApiError::from_read_error)
 }
 
-/// The source that is read back, with a partial change made.
-fn patched_source(before: Option<&[u8]>, change: &SourcePatch) -> Result<bytes::Bytes, ApiError> {
+/// Applies a patch to the source text that operators read back.
+fn apply_source_patch(
+    before: Option<&[u8]>,
+    change: &SourcePatch,
+) -> Result<bytes::Bytes, ApiError> {
     let invalid = || ApiError::not_run(Code::InvalidSpec).at("source");
     let before: serde_json::Value =
         before.and_then(|text| serde_json::from_slice(text).ok()).ok_or_else(invalid)?;
-    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::of_read)?;
+    let patch = topazyard_spec::Patch::read(&change.patch).map_err(ApiError::from_read_error)?;
     let after = patch
         .apply(&before)
-        .map_err(|faults| ApiError::of_read(topazyard_spec::ReadError::Faults(faults)))?;
+        .map_err(|faults| ApiError::from_read_error(topazyard_spec::ReadError::Faults(faults)))?;
     let after = bytes::Bytes::from(after.to_string());
-    if after.len() as u64 > change.most_bytes {
+    if after.len() as u64 > change.max_bytes {
         return Err(ApiError::not_run(Code::BodyTooLarge).at("source"));
     }
     Ok(after)
 }
 
 impl ControlMachine {
-    pub(super) fn judge(&self, command: &Command, now: MonotonicMs) -> Judged {
+    pub(super) fn evaluate(&self, command: &Command, now: MonotonicMs) -> CommandResult {
         match command {
-            Command::SubmitSpec { base, text } => self.submit_spec(*base, text),
+            Command::SubmitConfiguration { base, text } => self.submit_configuration(*base, text),
             Command::SignOff { version, by } => self.sign_off(*version, by),
             Command::RollOut { version } => self.roll_out(*version),
-            Command::TakeSpec { base, version, text, source } => {
-                self.take_spec(*base, *version, text, source)
+            Command::ApplyConfiguration { base, version, text, source } => {
+                self.apply_configuration(*base, *version, text, source)
             }
             Command::SubmitPatch { base, patch } => self.submit_patch(*base, patch),
-            Command::PatchSpec { base, version, patch, source } => {
-                self.patch_spec(*base, *version, patch, source)
+            Command::PatchConfiguration { base, version, patch, source } => {
+                self.patch_configuration(*base, *version, patch, source)
             }
-            Command::ListEngines(engines) => Ok(self.list_engines(engines)),
+            Command::ListEngines(engines) => Ok(self.replace_engines(engines)),
             Command::PutEngines { text } => self.put_engines(text),
             Command::EmptyStorage(id) => self.empty_storage(*id, now),
             Command::RetireNamed(name) => self.retire_named(name, now),
@@ -83,151 +88,166 @@
         }
     }
 
-    pub(super) fn newest_version(&self) -> SpecVersion {
-        let newest = self.replica.copy().with_prefix(SPECS).last();
-        let row = newest.and_then(|(_, value)| topazyard_wire::rows::decode::<SpecRow>(value));
+    pub(super) fn newest_version(&self) -> ConfigurationVersion {
+        let newest = self.replica.copy().with_prefix(CONFIGURATIONS).last();
+        let row =
+            newest.and_then(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value));
         row.map(|row| row.version).unwrap_or_default()
     }
 
-    /// The text of a version. Where it was dropped nothing is known of how far it came.
-    fn spec(&self, version: SpecVersion) -> Result<SpecRow, ApiError> {
-        let missing = || match self.may_be_taken(version) {
-            true => unclear(),
+    /// Looks up a version. If its text was dropped, how far it got is unknown.
+    fn stored_configuration(
+        &self,
+        version: ConfigurationVersion,
+    ) -> Result<ConfigurationRow, ApiError> {
+        let missing = || match self.may_be_accepted(version) {
+            true => outcome_unknown(),
             false => ApiError::not_run(Code::NotFound).at("version"),
         };
-        self.replica.copy().get(&spec_key(version)).ok_or_else(missing)
+        self.replica.copy().get(&configuration_key(version)).ok_or_else(missing)
     }
 
-    /// Refuses a base below the newest version for good, as versions only rise. One above it is to
-    /// come yet, or this node lags: an order on it could be taken later.
-    fn check_base(base: SpecVersion, newest: SpecVersion) -> Result<(), ApiError> {
+    /// Checks that an order is based on the newest version. An older base is refused for good,
+    /// since versions only increase. A newer base may still be committed, or this node lags behind:
+    /// an order on it could be accepted later.
+    fn check_base(
+        base: ConfigurationVersion,
+        newest: ConfigurationVersion,
+    ) -> Result<(), ApiError> {
         match base.cmp(&newest) {
             std::cmp::Ordering::Equal => Ok(()),
             std::cmp::Ordering::Less => Err(ApiError::not_run(Code::StaleBase).at("base")),
-            std::cmp::Ordering::Greater => Err(unclear()),
+            std::cmp::Ordering::Greater => Err(outcome_unknown()),
         }
     }
 
-    fn submit_spec(&self, base: SpecVersion, text: &str) -> Judged {
-        let version = SpecVersion(base.0.saturating_add(1));
-        let done = serde_json::json!({ "version": version });
+    fn submit_configuration(&self, base: ConfigurationVersion, text: &str) -> CommandResult {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
+        let result = serde_json::json!({ "version": version });
         let digest = digest_of_submission(text);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
-        topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.newest_version())?;
-        Ok((self.submitted(base, text, digest), done))
+        Ok((self.submission_changes(base, text, digest), result))
     }
 
-    /// The whole bundle that a change makes of the newest version, submitted as its successor.
-    fn submit_patch(&self, base: SpecVersion, patch: &str) -> Judged {
-        let version = SpecVersion(base.0.saturating_add(1));
-        let done = serde_json::json!({ "version": version });
+    /// Applies a patch to the newest version and submits the resulting configuration as its
+    /// successor.
+    fn submit_patch(&self, base: ConfigurationVersion, patch: &str) -> CommandResult {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
+        let result = serde_json::json!({ "version": version });
         let digest = digest_of_submitted_patch(patch);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.newest_version())?;
-        let bundle = patched(&self.patchable(base)?.text, patch)?;
-        let text = serde_json::to_string(&bundle).unwrap_or_default();
-        Ok((self.submitted(base, &text, digest), done))
+        let configuration = apply_patch(&self.patch_base(base)?.text, patch)?;
+        let text = serde_json::to_string(&configuration).unwrap_or_default();
+        Ok((self.submission_changes(base, &text, digest), result))
     }
 
-    /// The changes that submit a bundle as the successor of its base.
-    fn submitted(&self, base: SpecVersion, text: &str, digest: Digest) -> Vec<RowChange> {
-        let version = SpecVersion(base.0.saturating_add(1));
-        let row = SpecRow {
+    /// The changes that submit a configuration as the successor of its base.
+    fn submission_changes(
+        &self,
+        base: ConfigurationVersion,
+        text: &str,
+        digest: Digest,
+    ) -> Vec<RowChange> {
+        let version = ConfigurationVersion(base.0.saturating_add(1));
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::Submitted,
+            stage: ConfigurationStage::Submitted,
             signed_by: None,
             text: text.to_owned(),
             source: None,
         };
-        let change = RowChange::put(spec_key(version), &row);
+        let change = RowChange::put(configuration_key(version), &row);
         let mut changes = self.drop_old_texts(&change, self.version_in_force());
         changes.push(change);
         changes.extend(self.remember_order(version, digest));
         changes
     }
 
-    /// Checks, takes and rolls out in one step. A source that was taken under its version before is
-    /// acknowledged again, whatever came after it.
-    fn take_spec(
+    /// Checks, accepts and activates a configuration in one step. A source that was accepted under
+    /// its version before is acknowledged again, even after newer ones.
+    fn apply_configuration(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         text: &str,
         source: &bytes::Bytes,
-    ) -> Judged {
-        let done = serde_json::json!({ "version": version, "in_force": true });
+    ) -> CommandResult {
+        let result = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_source(source);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
-        let bundle = topazyard_spec::Bundle::read(text).map_err(ApiError::of_read)?;
+        let configuration =
+            topazyard_spec::Configuration::read(text).map_err(ApiError::from_read_error)?;
         Self::check_base(base, self.version_in_force())?;
-        self.check_rises(version)?;
-        let row = SpecRow {
+        self.check_version_increases(version)?;
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
             text: text.to_owned(),
             source: Some(source.clone()),
         };
-        Ok((self.taken(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), result))
     }
 
-    /// Makes a partial change of the spec in force, and of the source that is read back, in one
-    /// step with taking it.
-    fn patch_spec(
+    /// Applies a patch to the configuration in force and to the source that is read back, and
+    /// activates the result in one step.
+    fn patch_configuration(
         &self,
-        base: SpecVersion,
-        version: SpecVersion,
+        base: ConfigurationVersion,
+        version: ConfigurationVersion,
         patch: &str,
         source: &SourcePatch,
-    ) -> Judged {
-        let done = serde_json::json!({ "version": version, "in_force": true });
+    ) -> CommandResult {
+        let result = serde_json::json!({ "version": version, "in_force": true });
         let digest = digest_of_patch(&source.order);
-        match self.known_order(version, digest) {
-            Known::Taken => return Ok((Vec::new(), done)),
-            Known::Forgotten => return Err(unclear()),
-            Known::NotTaken => {}
+        match self.order_status(version, digest) {
+            OrderStatus::Accepted => return Ok((Vec::new(), result)),
+            OrderStatus::Forgotten => return Err(outcome_unknown()),
+            OrderStatus::NotAccepted => {}
         }
         Self::check_base(base, self.version_in_force())?;
-        let before = self.patchable(base)?;
-        let bundle = patched(&before.text, patch)?;
-        let source = patched_source(before.source.as_deref(), source)?;
-        self.check_rises(version)?;
-        let row = SpecRow {
+        let before = self.patch_base(base)?;
+        let configuration = apply_patch(&before.text, patch)?;
+        let source = apply_source_patch(before.source.as_deref(), source)?;
+        self.check_version_increases(version)?;
+        let row = ConfigurationRow {
             version,
             base,
-            stage: SpecStage::RolledOut,
+            stage: ConfigurationStage::RolledOut,
             signed_by: None,
-            text: serde_json::to_string(&bundle).unwrap_or_default(),
+            text: serde_json::to_string(&configuration).unwrap_or_default(),
             source: Some(source),
         };
-        Ok((self.taken(&row, bundle, digest), done))
+        Ok((self.acceptance_changes(&row, configuration, digest), result))
     }
 
-    /// The version that a partial change builds on.
-    fn patchable(&self, base: SpecVersion) -> Result<SpecRow, ApiError> {
+    /// The version that a patch is based on.
+    fn patch_base(&self, base: ConfigurationVersion) -> Result<ConfigurationRow, ApiError> {
         match base {
-            SpecVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
-            _ => self.spec(base),
+            ConfigurationVersion(0) => Err(ApiError::not_run(Code::InvalidSpec).at("base")),
+            _ => self.stored_configuration(base),
         }
     }
 
-    /// Checks that an order's own version is above all before it.
-    fn check_rises(&self, version: SpecVersion) -> Result<(), ApiError> {
+    /// Checks that an order's own version is greater than all versions before it.
+    fn check_version_increases(&self, version: ConfigurationVersion) -> Result<(), ApiError> {
         if version > self.version_in_force() && version > self.newest_version() {
             return Ok(());
         }
@@ -240,96 +260,107 @@
         Err(ApiError { faults: vec![fault], ..refused })
     }
 
-    /// The changes that take a version and put it in force in one step.
-    fn taken(
+    /// The changes that accept a version and activate it in one step.
+    fn acceptance_changes(
         &self,
-        row: &SpecRow,
-        bundle: topazyard_spec::Bundle,
+        row: &ConfigurationRow,
+        configuration: topazyard_spec::Configuration,
         digest: Digest,
     ) -> Vec<RowChange> {
-        let change = RowChange::put(spec_key(row.version), row);
+        let change = RowChange::put(configuration_key(row.version), row);
         let mut changes = self.drop_old_texts(&change, row.version);
         changes.push(change);
         changes.extend(self.remember_order(row.version, digest));
-        changes.extend(self.in_force(row.version, bundle));
+        changes.extend(self.activation_changes(row.version, configuration));
         changes
     }
 
-    /// The rows that put a bundle in force: each route in a row of its own, so that followers are
-    /// told only what changed.
-    fn in_force(&self, version: SpecVersion, mut bundle: topazyard_spec::Bundle) -> Vec<RowChange> {
-        let routes = std::mem::take(&mut bundle.routes);
-        let text = serde_json::to_string(&bundle).unwrap_or_default();
+    /// The changes that activate a configuration. Each route has a row of its own, so that
+    /// followers receive only the routes that changed.
+    fn activation_changes(
+        &self,
+        version: ConfigurationVersion,
+        mut configuration: topazyard_spec::Configuration,
+    ) -> Vec<RowChange> {
+        let routes = std::mem::take(&mut configuration.routes);
+        let text = serde_json::to_string(&configuration).unwrap_or_default();
         let mut changes = vec![RowChange::put(IN_FORCE, &InForceRow { version, text })];
-        let mut gone: std::collections::BTreeSet<String> =
+        let mut removed: std::collections::BTreeSet<String> =
             self.replica.copy().with_prefix(ROUTES).map(|(key, _)| key.to_owned()).collect();
         for route in &routes {
             let change = RowChange::put(route_key(&route.name), route);
-            gone.remove(&change.key);
+            removed.remove(&change.key);
             if self.replica.copy().rows().get(&change.key) != change.value.as_ref() {
                 changes.push(change);
             }
         }
-        changes.extend(gone.into_iter().map(RowChange::gone));
+        changes.extend(removed.into_iter().map(RowChange::delete));
         changes
     }
 
-    fn sign_off(&self, version: SpecVersion, by: &str) -> Judged {
-        let row = self.spec(version)?;
-        let done = serde_json::json!({ "version": version, "signed_by": by });
+    fn sign_off(&self, version: ConfigurationVersion, by: &str) -> CommandResult {
+        let row = self.stored_configuration(version)?;
+        let result = serde_json::json!({ "version": version, "signed_by": by });
         match row.stage {
-            SpecStage::Submitted => {
-                let signed =
-                    SpecRow { stage: SpecStage::Signed, signed_by: Some(by.to_owned()), ..row };
-                Ok((vec![RowChange::put(spec_key(version), &signed)], done))
+            ConfigurationStage::Submitted => {
+                let signed = ConfigurationRow {
+                    stage: ConfigurationStage::Signed,
+                    signed_by: Some(by.to_owned()),
+                    ..row
+                };
+                Ok((vec![RowChange::put(configuration_key(version), &signed)], result))
             }
-            // Said twice by the same person, as after a lost return.
-            SpecStage::Signed | SpecStage::RolledOut if row.signed_by.as_deref() == Some(by) => {
-                Ok((Vec::new(), done))
+            // Repeated by the same person, as after a lost response.
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut
+                if row.signed_by.as_deref() == Some(by) =>
+            {
+                Ok((Vec::new(), result))
             }
-            SpecStage::Signed | SpecStage::RolledOut => {
+            ConfigurationStage::Signed | ConfigurationStage::RolledOut => {
                 Err(ApiError::not_run(Code::WrongState).at("version"))
             }
         }
     }
 
-    fn roll_out(&self, version: SpecVersion) -> Judged {
-        let row = self.spec(version)?;
-        let now_in_force = self.version_in_force();
+    fn roll_out(&self, version: ConfigurationVersion) -> CommandResult {
+        let row = self.stored_configuration(version)?;
+        let in_force_version = self.version_in_force();
         match row.stage {
-            // Said again, as after a lost return, maybe once another is in force.
-            SpecStage::RolledOut => {
-                let is_in_force = version == now_in_force;
-                let done = serde_json::json!({ "version": version, "in_force": is_in_force });
-                Ok((Vec::new(), done))
+            // Repeated, as after a lost response, possibly after a newer version was activated.
+            ConfigurationStage::RolledOut => {
+                let is_in_force = version == in_force_version;
+                let result = serde_json::json!({ "version": version, "in_force": is_in_force });
+                Ok((Vec::new(), result))
             }
-            SpecStage::Signed if version > now_in_force => {
-                let bundle = topazyard_spec::Bundle::read(&row.text).map_err(ApiError::of_read)?;
-                let rolled = SpecRow { stage: SpecStage::RolledOut, ..row };
-                let change = RowChange::put(spec_key(version), &rolled);
+            ConfigurationStage::Signed if version > in_force_version => {
+                let configuration = topazyard_spec::Configuration::read(&row.text)
+                    .map_err(ApiError::from_read_error)?;
+                let rolled_out = ConfigurationRow { stage: ConfigurationStage::RolledOut, ..row };
+                let change = RowChange::put(configuration_key(version), &rolled_out);
                 let mut changes = self.drop_old_texts(&change, version);
                 changes.push(change);
-                changes.extend(self.in_force(version, bundle));
-                let done = serde_json::json!({ "version": version, "in_force": true });
-                Ok((changes, done))
+                changes.extend(self.activation_changes(version, configuration));
+                let result = serde_json::json!({ "version": version, "in_force": true });
+                Ok((changes, result))
             }
-            // Unsigned, or older than what is in force: an old text comes back as a new version.
+            // Unsigned, or older than the version in force. An older text must be submitted as a
+            // new version.
             _ => Err(ApiError::not_run(Code::WrongState).at("version")),
         }
     }
 
-    fn put_engines(&self, text: &str) -> Judged {
-        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::of_read)?;
-        Ok(self.list_engines(&list.engines))
+    fn put_engines(&self, text: &str) -> CommandResult {
+        let list = topazyard_spec::EngineList::read(text).map_err(ApiError::from_read_error)?;
+        Ok(self.replace_engines(&list.engines))
     }
 
-    fn list_engines(&self, engines: &[topazyard_spec::Engine]) -> Done {
+    fn replace_engines(&self, engines: &[topazyard_spec::Engine]) -> Accepted {
         let mut changes = Vec::new();
-        let keep: std::collections::BTreeSet<String> =
+        let kept_keys: std::collections::BTreeSet<String> =
             engines.iter().map(|engine| engine_key(&engine.name)).collect();
         for (key, _) in self.replica.copy().with_prefix(ENGINES) {
-            if !keep.contains(key) {
-                changes.push(RowChange::gone(key));
+            if !kept_keys.contains(key) {
+                changes.push(RowChange::delete(key));
             }
         }
         for engine in engines {
@@ -338,13 +369,13 @@
                 changes.push(RowChange::put(key, engine));
             }
         }
-        let done = serde_json::json!({ "engines": engines.len(), "changed": changes.len() });
-        (changes, done)
+        let result = serde_json::json!({ "engines": engines.len(), "changed": changes.len() });
+        (changes, result)
     }
 
-    /// Whether a list says anything that the committed one doesn't.
+    /// Whether a list differs from the committed one.
     pub(super) fn changes_engines(&self, engines: &[topazyard_spec::Engine]) -> bool {
-        !self.list_engines(engines).0.is_empty()
+        !self.replace_engines(engines).0.is_empty()
     }
 
     fn storage(&self, id: NodeId) -> Result<StorageRow, ApiError> {
@@ -352,48 +383,56 @@
         self.replica.copy().get(&storage_key(id)).ok_or_else(missing)
     }
 
-    fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> Judged {
+    fn empty_storage(&self, id: NodeId, now: MonotonicMs) -> CommandResult {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
-        let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
-        if !crate::planner::has_room_without(&view, &standings, id, self.backups() + 1) {
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
+        if !crate::planner::has_capacity_without(&fleet, &status, id, self.backups() + 1) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Emptying, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
-    /// Has the storage node of that name emptied and then retired by itself.
-    fn retire_named(&self, name: &str, now: MonotonicMs) -> Judged {
-        let view = FleetView::read(self.replica.copy().rows());
+    /// Starts emptying the storage node of that name; it is then retired automatically.
+    fn retire_named(&self, name: &str, now: MonotonicMs) -> CommandResult {
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let missing = || ApiError::not_run(Code::NotFound).at("node");
-        let id = self.named(&view, name, now).ok_or_else(missing)?;
+        let id = self.storage_by_name(&fleet, name, now).ok_or_else(missing)?;
         let row = self.storage(id)?;
-        let done = serde_json::json!({ "node": id, "stage": StorageStage::Retiring });
+        let result = serde_json::json!({ "node": id, "stage": StorageStage::Retiring });
         match row.stage {
-            StorageStage::Retired => return Ok((Vec::new(), done)),
+            StorageStage::Retired => return Ok((Vec::new(), result)),
             StorageStage::Retiring => return Err(ApiError::not_run(Code::WrongState).at("node")),
             StorageStage::Active | StorageStage::Emptying => {}
         }
-        let standings = self.storage_standings(&view, self.serving_since.unwrap_or(now), now);
-        let left = self.backups() + 1;
-        if !crate::planner::has_room_without(&view, &standings, id, left) {
+        let status = self.storage_status(&fleet, self.serving_since.unwrap_or(now), now);
+        let needed = self.backups() + 1;
+        if !crate::planner::has_capacity_without(&fleet, &status, id, needed) {
             return Err(ApiError::not_run(Code::NoRoom).at("node"));
         }
         let row = StorageRow { stage: StorageStage::Retiring, ..row };
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
-    /// The storage node of that name; of several lives of it the one that is heard.
-    pub(super) fn named(&self, view: &FleetView, name: &str, now: MonotonicMs) -> Option<NodeId> {
-        let named = view.storage.iter().filter(|(_, row)| row.member.name.as_deref() == Some(name));
-        let silence = |id: &NodeId| self.seen.nodes.get(id).map(|seen| now.since(seen.at));
-        let unheard = topazyard_types::DurationMs(u64::MAX);
-        named.min_by_key(|(id, _)| silence(id).unwrap_or(unheard)).map(|(id, _)| *id)
+    /// The storage node of that name. If several ids share the name, as after a lost disk, the one
+    /// heard from last.
+    pub(super) fn storage_by_name(
+        &self,
+        fleet: &FleetSnapshot,
+        name: &str,
+        now: MonotonicMs,
+    ) -> Option<NodeId> {
+        let named =
+            fleet.storage.iter().filter(|(_, row)| row.member.name.as_deref() == Some(name));
+        let silence =
+            |id: &NodeId| self.reports.by_node.get(id).map(|report| now.since(report.received_at));
+        let never = topazyard_types::DurationMs(u64::MAX);
+        named.min_by_key(|(id, _)| silence(id).unwrap_or(never)).map(|(id, _)| *id)
     }
 
-    fn add_storage(&self, id: NodeId) -> Judged {
+    fn add_storage(&self, id: NodeId) -> CommandResult {
         let row = match self.storage(id) {
             Ok(row) => row,
             Err(missing) => {
@@ -402,20 +441,20 @@
             }
         };
         let row = StorageRow { stage: StorageStage::Active, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
-    fn retire_storage(&self, id: NodeId) -> Judged {
+    fn retire_storage(&self, id: NodeId) -> CommandResult {
         let row = self.storage(id)?;
-        let view = FleetView::read(self.replica.copy().rows());
-        if crate::planner::hosted(&view, id) > 0 {
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        if crate::planner::hosted_copies(&fleet, id) > 0 {
             return Err(ApiError::not_run(Code::HoldsCopies).at("node"));
         }
-        // Its row stays as long as it runs: without one it would be taken for a new node.
+        // The row stays while the node runs: without it the node would be registered as a new one.
         let row = StorageRow { stage: StorageStage::Retired, ..row };
-        let done = serde_json::json!({ "node": id, "stage": row.stage });
-        Ok((vec![RowChange::put(storage_key(id), &row)], done))
+        let result = serde_json::json!({ "node": id, "stage": row.stage });
+        Ok((vec![RowChange::put(storage_key(id), &row)], result))
     }
 
     fn set_weight(
@@ -423,16 +462,18 @@
         epoch: topazyard_types::Epoch,
         pool: &topazyard_types::PoolName,
         live_percent: u8,
-    ) -> Judged {
+    ) -> CommandResult {
         if epoch < self.replica.epoch() {
             return Err(ApiError::not_run(Code::StaleBase).at("epoch"));
         }
         let in_force: Option<InForceRow> = self.replica.copy().get(IN_FORCE);
-        let bundle =
-            in_force.and_then(|row| serde_json::from_str::<topazyard_spec::Bundle>(&row.text).ok());
+        let configuration = in_force
+            .and_then(|row| serde_json::from_str::<topazyard_spec::Configuration>(&row.text).ok());
         let missing = || ApiError::not_run(Code::NotFound).at("pool");
-        let bundle = bundle.filter(|bundle| bundle.pool(pool).is_some()).ok_or_else(missing)?;
-        let bounds = &bundle.weights;
+        let configuration = configuration
+            .filter(|configuration| configuration.pool(pool).is_some())
+            .ok_or_else(missing)?;
+        let bounds = &configuration.weights;
         let live_percent =
             live_percent.clamp(bounds.live_floor_percent, bounds.live_ceiling_percent);
         let change = RowChange::put(weight_key(pool), &WeightRow { live_percent });
--- a/programs/topazyard-control/src/machine/feed.rs
+++ b/programs/topazyard-control/src/machine/feed.rs
@@ -1,32 +1,34 @@
-//! The feed: followers are answered once the replica has confirmed after they asked.
+//! The feed. A follower gets a response once the replica has confirmed its state after the request.
 //!
-//! No answer is larger than [`PART_BYTES`]. A follower that lacks more gets a snapshot, part by part
-//! as it asks for them. The snapshot is encoded once and serves all followers until more was changed
-//! since than one answer holds.
+//! No response is larger than [`PART_BYTES`]. A follower that lacks more receives a snapshot, one
+//! part per request. The snapshot is encoded once and serves all followers until the changes since
+//! then no longer fit in one response.
 
-use super::{ControlMachine, Out, Waiting};
+use super::{ControlMachine, Effects, Waiting};
 use topazyard_replication::Snapshot;
 use topazyard_replication::snapshot::{PART_BYTES, Row};
-use topazyard_types::{DurationMs, MonotonicMs, NodeId, Place};
+use topazyard_types::{DurationMs, LogPosition, MonotonicMs, NodeId};
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Matter, PartWanted};
-use topazyard_wire::state::is_fed;
+use topazyard_wire::message::feed::{FeedMessage, PartRequest, UpdateContent};
+use topazyard_wire::state::is_in_feed;
 use topazyard_wire::{Effect, RowChange};
 
-/// After how long without a return a follower that still asks counts as one that hears nothing.
-const DEAF_AFTER: DurationMs = DurationMs(1_000);
-/// How many snapshots are kept: followers that fetch the one before the newest may end with it.
-const SNAPSHOTS: usize = 2;
+/// Time without a response after which a follower that still sends requests counts as one that
+/// receives nothing.
+const RESPONSE_TIMEOUT: DurationMs = DurationMs(1_000);
+/// How many snapshots are kept. A follower that fetches the one before the newest can still
+/// complete it.
+const MAX_SNAPSHOTS: usize = 2;
 
-/// The snapshots that followers fetch, the newest last.
+/// The snapshots that followers fetch, newest last.
 pub(crate) type Snapshots = std::collections::VecDeque<Snapshot>;
 
-fn weight_of_changes(changes: &[RowChange]) -> usize {
+fn size_of_changes(changes: &[RowChange]) -> usize {
     let value = |change: &RowChange| change.value.as_ref().map_or(0, |value| value.len());
     changes.iter().map(|change| change.key.len() + value(change)).sum()
 }
 
-fn weight_of_rows(rows: &[Row]) -> usize {
+fn size_of_rows(rows: &[Row]) -> usize {
     rows.iter().map(|(key, value)| key.len() + value.len()).sum()
 }
 
@@ -37,93 +39,106 @@
         from: std::net::SocketAddr,
         message: FeedMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
-        let FeedMessage::Ask { nonce, after, part, heard, health } = message else { return };
+        let FeedMessage::Request { nonce, after, part, last_response_age, health } = message else {
+            return;
+        };
         if self.replica.is_serving() {
-            // Who speaks but hears nothing counts as silent: it can do no duty.
-            if heard.is_some_and(|age| age < DEAF_AFTER) {
-                self.seen.take(sender, health, now);
+            // A node that sends but receives nothing counts as silent, since it can't perform any
+            // role.
+            if last_response_age.is_some_and(|age| age < RESPONSE_TIMEOUT) {
+                self.reports.receive(sender, health, now);
             }
             self.submit(Vec::new(), Waiting::Follower { to: from, nonce, after, part });
             return;
         }
         let record = self.witness.record();
         let primary = record.map(|r| r.primary).filter(|primary| primary.id != self.me.id);
-        let message = FeedMessage::Elsewhere {
+        let message = FeedMessage::Redirect {
             nonce,
             epoch: record.map(|record| record.epoch).unwrap_or_default(),
             primary: primary.map(|primary| primary.address),
         };
-        out.push(Effect::Send { to: from, message: Message::Feed(message) });
+        effects.push(Effect::Send { to: from, message: Message::Feed(message) });
     }
 
-    pub(super) fn send_news(
+    pub(super) fn send_update(
         &mut self,
         to: std::net::SocketAddr,
         nonce: u64,
-        after: Place,
-        part: Option<PartWanted>,
-        out: &mut Out,
+        after: LogPosition,
+        part: Option<PartRequest>,
+        effects: &mut Effects,
     ) {
-        let (place, matter) = self.news(after, part);
-        let message = FeedMessage::News { nonce, place, matter };
-        out.push(Effect::Send { to, message: Message::Feed(message) });
+        let (position, content) = self.update_after(after, part);
+        let message = FeedMessage::Update { nonce, position, content };
+        effects.push(Effect::Send { to, message: Message::Feed(message) });
     }
 
-    /// What a follower is answered, and the place that it reaches by it.
-    fn news(&mut self, after: Place, part: Option<PartWanted>) -> (Place, Matter) {
-        if let Some((place, matter)) = part.and_then(|part| self.next_part(after, part)) {
-            return (place, matter);
+    /// The update for a follower, and the position that the follower reaches by it.
+    fn update_after(
+        &mut self,
+        after: LogPosition,
+        part: Option<PartRequest>,
+    ) -> (LogPosition, UpdateContent) {
+        if let Some((position, content)) = part.and_then(|part| self.next_part(after, part)) {
+            return (position, content);
         }
-        let place = self.replica.copy().place();
-        if let Some(changes) = self.few_changes_after(after) {
-            return (place, Matter::Changes(changes));
+        let position = self.replica.copy().position();
+        if let Some(changes) = self.bounded_changes_after(after) {
+            return (position, UpdateContent::Changes(changes));
         }
-        let rows = self.fed_rows();
-        if weight_of_rows(&rows) <= PART_BYTES {
-            return (place, Matter::View(rows));
+        let rows = self.feed_rows();
+        if size_of_rows(&rows) <= PART_BYTES {
+            return (position, UpdateContent::Snapshot(rows));
         }
-        let first = |snapshot: &Snapshot| Some((snapshot.place(), Matter::Part(snapshot.part(0)?)));
-        let found = self.fitting_snapshot(after).and_then(first);
+        let first = |snapshot: &Snapshot| {
+            Some((snapshot.position(), UpdateContent::Part(snapshot.part(0)?)))
+        };
+        let found = self.usable_snapshot(after).and_then(first);
         found.unwrap_or_else(|| {
-            let snapshot = Snapshot::of(place, &rows);
-            let answer = first(&snapshot);
+            let snapshot = Snapshot::of(position, &rows);
+            let response = first(&snapshot);
             self.keep_snapshot(snapshot);
-            answer.unwrap_or((place, Matter::View(rows)))
+            response.unwrap_or((position, UpdateContent::Snapshot(rows)))
         })
     }
 
-    /// The part that a follower lacks next of a snapshot that is still kept.
-    fn next_part(&self, after: Place, wanted: PartWanted) -> Option<(Place, Matter)> {
-        let is_meant = |snapshot: &&Snapshot| snapshot.place() == wanted.place;
-        let snapshot = self.snapshots.iter().find(is_meant)?;
-        let part = snapshot.part(wanted.part)?;
-        (wanted.place > after).then_some((wanted.place, Matter::Part(part)))
+    /// The next part that a follower lacks of a snapshot that is still kept.
+    fn next_part(
+        &self,
+        after: LogPosition,
+        request: PartRequest,
+    ) -> Option<(LogPosition, UpdateContent)> {
+        let is_requested = |snapshot: &&Snapshot| snapshot.position() == request.position;
+        let snapshot = self.snapshots.iter().find(is_requested)?;
+        let part = snapshot.part(request.part)?;
+        (request.position > after).then_some((request.position, UpdateContent::Part(part)))
     }
 
-    /// The changes after a place, if they are all remembered and fit in one answer.
-    fn few_changes_after(&self, after: Place) -> Option<Vec<RowChange>> {
+    /// The changes after a position, if all of them are remembered and fit in one response.
+    fn bounded_changes_after(&self, after: LogPosition) -> Option<Vec<RowChange>> {
         let mut changes = self.replica.copy().changes_after(after)?;
-        changes.retain(|change| is_fed(&change.key));
-        (weight_of_changes(&changes) <= PART_BYTES).then_some(changes)
+        changes.retain(|change| is_in_feed(&change.key));
+        (size_of_changes(&changes) <= PART_BYTES).then_some(changes)
     }
 
-    /// The newest snapshot, if it brings a follower on and so far that one answer does the rest.
-    fn fitting_snapshot(&self, after: Place) -> Option<&Snapshot> {
-        let newest = self.snapshots.back().filter(|snapshot| snapshot.place() > after)?;
-        self.few_changes_after(newest.place()).map(|_| newest)
+    /// The newest snapshot, if it advances the follower and the changes since fit in one response.
+    fn usable_snapshot(&self, after: LogPosition) -> Option<&Snapshot> {
+        let newest = self.snapshots.back().filter(|snapshot| snapshot.position() > after)?;
+        self.bounded_changes_after(newest.position()).map(|_| newest)
     }
 
     fn keep_snapshot(&mut self, snapshot: Snapshot) {
         self.snapshots.push_back(snapshot);
-        if self.snapshots.len() > SNAPSHOTS {
+        if self.snapshots.len() > MAX_SNAPSHOTS {
             self.snapshots.pop_front();
         }
     }
 
-    fn fed_rows(&self) -> Vec<Row> {
-        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_fed(key));
+    fn feed_rows(&self) -> Vec<Row> {
+        let rows = self.replica.copy().rows().iter().filter(|(key, _)| is_in_feed(key));
         rows.map(|(key, value)| (key.clone(), value.clone())).collect()
     }
 }
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -1,214 +1,215 @@
-//! The control node's machine.
+//! The state machine of a control node.
 
-mod claim;
+mod bootstrap;
+mod bootstrap_record;
 mod commands;
 pub mod configurations;
-mod confirm;
-mod core;
+mod engine_list;
+mod epoch_change;
 mod feed;
-mod founding;
-mod genesis;
 mod health;
 mod leaving;
-mod listing;
-mod operate;
+mod operations;
 mod orders;
+mod peers;
 mod queries;
+mod quorum_reads;
 mod timeouts;
 mod tuning;
 
 use topazyard_membership::Membership;
 use topazyard_replication::invariants::{check_acknowledged_on_enough, report};
-use topazyard_replication::{Copy, Replica, ReplicaOutput, Ticket, Witness};
+use topazyard_replication::{Copy, Replica, ReplicaOutput, Witness, WriteTicket};
 use topazyard_types::{MonotonicMs, NodeId, ShardId};
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::invariants::Invariant;
-use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardWish};
-use topazyard_wire::message::membership::Duty;
-use topazyard_wire::message::operate::{Operate, OperateOutcome};
+use topazyard_wire::message::control::{CoreMessage, CoreNode, EpochRecord, ShardChangeRequest};
+use topazyard_wire::message::membership::MemberRole;
+use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::{Message, replica::ReplicaMessage};
 use topazyard_wire::{Effect, Group, Input, Machine, RowChange, WriteToken};
 
-/// What may be asked of a control node from within its process.
+/// Calls made to a control node's machine from within its process.
 #[derive(Debug)]
 pub enum ControlCall {
-    /// An operator's call.
-    Operate(Operate),
-    /// What engines said of their load.
+    /// An operator's command or query.
+    Operate(OperatorRequest),
+    /// The load reported by engines.
     Loads(Vec<crate::tuner::EngineLoad>),
-    /// The platform's whole list of engines, if it could be read.
+    /// The platform's complete list of engines, or none if it could not be read.
     Engines(Option<Vec<topazyard_spec::Engine>>),
-    /// The process is about to end: returned once that was said.
+    /// The process is about to shut down. Returns once the node has been replaced or can't be.
     Leave,
-    /// The settings name other control nodes now.
+    /// The settings now name these control nodes as seeds.
     Seeds(Vec<std::net::SocketAddr>),
-    /// How does this node itself fare?
+    /// Returns the health of this node.
     Health,
 }
 
-/// How a control node itself fares, whether or not it leads.
+/// Health of a control node, whether or not it is the primary.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ControlHealth {
-    /// Its id.
+    /// The node's id.
     pub node: NodeId,
-    /// The newest epoch that it knows.
+    /// The newest epoch known to this node.
     pub epoch: Option<topazyard_types::Epoch>,
     /// The primary of that epoch.
     pub primary: Option<std::net::SocketAddr>,
     /// Whether this node serves as the primary.
     pub serving: bool,
-    /// How its disk fares.
+    /// State of the node's disk.
     pub disk: topazyard_wire::disk::DiskState,
-    /// How long the oldest write not yet synced has taken.
+    /// Age of the oldest write that is not yet synced.
     pub write_wait_ms: topazyard_types::DurationMs,
-    /// Configurations acknowledged here as primary since the start, repeats among them.
+    /// Configurations acknowledged by this node as primary since it started, repeats included.
     pub configurations_acknowledged: u64,
-    /// Configurations refused here as primary since the start.
+    /// Configurations refused by this node as primary since it started.
     pub configurations_refused: u64,
-    /// Orders that wait here or were passed on.
+    /// Orders queued on this node or forwarded to the primary.
     pub orders_waiting: usize,
 }
 
-/// What a control node begins outside.
+/// Tasks that a control node starts outside its machine.
 #[derive(Debug)]
 pub enum ControlTask {
-    /// Ask engines for their load and report it.
-    AskLoads(Vec<topazyard_spec::Engine>),
-    /// Read the platform's list of engines and report it.
+    /// Fetch the load of these engines and report it with [`ControlCall::Loads`].
+    FetchLoads(Vec<topazyard_spec::Engine>),
+    /// Read the platform's list of engines and report it with [`ControlCall::Engines`].
     ListEngines,
 }
 
-/// The effects of a control node.
-pub(crate) type Out = Vec<Effect<OperateOutcome, ControlTask>>;
+/// The effects of one step of a control node.
+pub(crate) type Effects = Vec<Effect<OperatorOutcome, ControlTask>>;
 
-/// One control node.
+/// The state machine of one control node.
 #[derive(Debug, Clone)]
 pub struct ControlMachine {
     pub(crate) me: CoreNode,
-    pub(crate) life: topazyard_types::Life,
+    pub(crate) boot_id: topazyard_types::BootId,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
     pub(crate) bounds: topazyard_spec::Bounds,
     pub(crate) timeouts: timeouts::Timeouts,
     pub(crate) membership: Membership,
     pub(crate) witness: Witness,
     pub(crate) replica: Replica,
-    pub(crate) core: core::CoreView,
-    pub(crate) claim: Option<claim::Claim>,
-    /// The epoch this node asked for, after which it answers nothing in the one before.
-    pub(crate) claimed: topazyard_types::Epoch,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
-    pub(crate) operate: operate::OperateQueue,
+    pub(crate) peers: peers::Peers,
+    pub(crate) epoch_change: Option<epoch_change::EpochChange>,
+    /// The newest epoch that this node has requested. It serves nothing in any earlier epoch.
+    pub(crate) requested_epoch: topazyard_types::Epoch,
+    pub(crate) waiting: std::collections::BTreeMap<WriteTicket, Waiting>,
+    pub(crate) last_ticket: WriteTicket,
+    pub(crate) operations: operations::OperationQueue,
     order_bounds: orders::OrderBounds,
     configurations: configurations::Configurations,
     snapshots: feed::Snapshots,
-    pub(crate) seen: health::Seen,
-    confirming: confirm::Confirming,
-    /// The last wish for each shard, with who made it, until it can be looked at.
-    wishes: std::collections::BTreeMap<ShardId, (NodeId, ShardWish)>,
+    pub(crate) reports: health::NodeReports,
+    quorum_reads: quorum_reads::QuorumReads,
+    /// The latest change request for each shard and the node that sent it, until it can be handled.
+    change_requests: std::collections::BTreeMap<ShardId, (NodeId, ShardChangeRequest)>,
     tuning: tuning::Tuning,
-    listing: listing::Listing,
-    /// The proposal of a new fleet's first record, while this node asks for it.
-    pub(crate) founding: Option<topazyard_replication::Proposal>,
+    engine_list: engine_list::EngineListReader,
+    /// The proposal of a new fleet's first epoch record, while this node is proposing it.
+    pub(crate) bootstrap: Option<topazyard_replication::Proposal>,
     leaving: Option<leaving::Leaving>,
     pub(crate) serving_since: Option<MonotonicMs>,
     after_write: std::collections::BTreeMap<u64, Vec<AfterWrite>>,
     last_write: u64,
     last_plan: MonotonicMs,
-    /// When no storage node was heard at all: then it is this node that is cut off.
-    last_alone: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disked::Remembered,
+    /// When no storage node was reachable at all: then this node is the one that is isolated.
+    last_isolated: Option<MonotonicMs>,
+    known_control_nodes: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
 
-/// What must wait until a write of this node's own rows is synced.
+/// What to do once a write of this node's own rows is synced.
 #[derive(Debug, Clone)]
 pub(crate) enum AfterWrite {
-    /// Say this.
-    Say(std::net::SocketAddr, CoreMessage),
-    /// Go on with the claim.
-    BeginClaim,
+    /// Send a message.
+    Send(std::net::SocketAddr, CoreMessage),
+    /// Continue an epoch change by filling the learners.
+    FillLearners,
 }
 
-/// Who waits for a ticket.
+/// What is waiting for a write ticket to be committed.
 #[derive(Debug, Clone)]
 pub(crate) enum Waiting {
     /// A follower of the feed.
     Follower {
         to: std::net::SocketAddr,
         nonce: u64,
-        after: topazyard_types::Place,
-        part: Option<topazyard_wire::message::feed::PartWanted>,
+        after: topazyard_types::LogPosition,
+        part: Option<topazyard_wire::message::feed::PartRequest>,
     },
-    /// A command whose outcome is known once it is committed.
+    /// A command, with the outcome to return once it is committed.
     Command {
-        origin: operate::Origin,
-        outcome: OperateOutcome,
-        /// Whether it puts a configuration in force.
+        origin: operations::Origin,
+        outcome: OperatorOutcome,
+        /// Whether it activates a configuration.
         is_configuration: bool,
     },
-    /// A query, answered from the committed state.
-    Query(operate::Origin, topazyard_wire::message::operate::Query),
-    /// The planner; nobody waits.
+    /// A query, executed on the committed state.
+    Query(operations::Origin, topazyard_wire::message::operate::Query),
+    /// The planner, which needs no response.
     Planner,
 }
 
 impl ControlMachine {
-    /// A control node as it starts.
-    pub fn new(mut start: DiskStart, now: MonotonicMs) -> (Self, Out) {
+    /// Starts a control node from the rows loaded from its disk.
+    pub fn new(mut start: DiskStart, now: MonotonicMs) -> (Self, Effects) {
         let me = CoreNode { id: start.member.id, address: start.member.address };
-        // A disk that holds anything of a fleet is no beginning.
+        // A disk that already holds rows of a fleet must not bootstrap a new one.
         let held = |group| start.loaded.get(&group).is_some_and(|rows| !rows.is_empty());
-        let is_new = start.may_found && !held(Group::Control) && !held(Group::Witness);
-        let copy = Copy::loaded(start.loaded.remove(&Group::Control).unwrap_or_default());
+        let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
+        let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
-        let remembered = start.remembered();
-        let ask = start.known_control();
-        let life = topazyard_types::Life(start.chance);
+        let known_control_nodes = start.known_control_nodes();
+        let control_addresses = start.control_addresses();
+        let boot_id = topazyard_types::BootId(start.random_seed);
         let mut machine = Self {
             me,
-            life,
-            membership: Membership::new(start.member, ask, start.chance),
+            boot_id,
+            membership: Membership::new(start.member, control_addresses, start.random_seed),
             seeds: start.seeds,
-            timeouts: timeouts::Timeouts::within(&start.bounds),
+            timeouts: timeouts::Timeouts::from_bounds(&start.bounds),
             bounds: start.bounds,
-            witness: Witness::loaded(&witness_rows),
-            replica: Replica::new(Group::Control, true, copy, life),
-            core: core::CoreView::default(),
-            claim: None,
-            claimed: witness_rows
-                .get(claim::CLAIMED_KEY)
+            witness: Witness::from_rows(&witness_rows),
+            replica: Replica::new(Group::Control, true, copy, boot_id),
+            peers: peers::Peers::default(),
+            epoch_change: None,
+            requested_epoch: witness_rows
+                .get(epoch_change::REQUESTED_EPOCH_KEY)
                 .and_then(|value| topazyard_wire::rows::decode(value))
                 .unwrap_or_default(),
             waiting: std::collections::BTreeMap::new(),
             last_ticket: 0,
-            operate: operate::OperateQueue::new(life),
-            order_bounds: orders::OrderBounds::within(&start.resources),
+            operations: operations::OperationQueue::new(boot_id),
+            order_bounds: orders::OrderBounds::from_resources(&start.resources),
             configurations: configurations::Configurations::default(),
             snapshots: feed::Snapshots::new(),
-            seen: health::Seen::default(),
-            confirming: confirm::Confirming::new(life),
-            wishes: std::collections::BTreeMap::new(),
+            reports: health::NodeReports::default(),
+            quorum_reads: quorum_reads::QuorumReads::new(boot_id),
+            change_requests: std::collections::BTreeMap::new(),
             tuning: tuning::Tuning::default(),
-            listing: listing::Listing::default(),
-            founding: None,
+            engine_list: engine_list::EngineListReader::default(),
+            bootstrap: None,
             leaving: None,
             serving_since: None,
             after_write: std::collections::BTreeMap::new(),
             last_write: 0,
             last_plan: MonotonicMs(0),
-            last_alone: None,
-            remembered,
+            last_isolated: None,
+            known_control_nodes,
             disk: topazyard_wire::disk::DiskWatch::default(),
         };
-        let mut out = Vec::new();
-        machine.keep_right_to_found(is_new, &mut out);
-        machine.settle_role(now, &mut out);
-        machine.watch_writes(&out, now);
-        (machine, out)
+        let mut effects = Vec::new();
+        machine.persist_bootstrap_eligibility(is_new, &mut effects);
+        machine.assume_role(now, &mut effects);
+        machine.track_writes(&effects, now);
+        (machine, effects)
     }
 
-    /// How many machines may be lost at once: as many backups confirm each commit.
+    /// How many machines may be lost at once, which is the number of backups that confirm each
+    /// commit.
     pub(crate) fn backups(&self) -> usize {
         usize::from(self.bounds.lost_machines.max(self.bounds.lost_zones))
     }
@@ -218,22 +219,22 @@
         self.replica.is_serving()
     }
 
-    /// What this node holds of the control state.
+    /// This node's copy of the control state.
     pub fn copy(&self) -> &Copy {
         self.replica.copy()
     }
 
-    /// The newest record of the control state's holders that this node knows.
+    /// The newest epoch record known to this node.
     pub fn record(&self) -> Option<&EpochRecord> {
         self.witness.record()
     }
 
-    pub(crate) fn next_ticket(&mut self) -> Ticket {
+    pub(crate) fn next_ticket(&mut self) -> WriteTicket {
         self.last_ticket += 1;
         self.last_ticket
     }
 
-    /// Submits changes to the replica on somebody's behalf.
+    /// Submits changes to the replica on behalf of `waiting`.
     pub(crate) fn submit(&mut self, changes: Vec<RowChange>, waiting: Waiting) {
         let ticket = self.next_ticket();
         if self.replica.submit(ticket, changes) {
@@ -241,24 +242,24 @@
         }
     }
 
-    /// Writes rows of this node's own and does something once they are synced.
-    pub(crate) fn write_own(
+    /// Writes rows that belong to this node alone and runs `then` once they are synced.
+    pub(crate) fn write_own_rows(
         &mut self,
         group: Group,
         changes: Vec<RowChange>,
         then: Vec<AfterWrite>,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         self.last_write += 1;
         let token = WriteToken { group, number: self.last_write };
         if !then.is_empty() {
             self.after_write.insert(self.last_write, then);
         }
-        out.push(Effect::Write { token, changes });
+        effects.push(Effect::Write { token, changes });
     }
 
     /// Checks, before anything is acknowledged, that all members of the epoch have synced it.
-    fn check_acknowledges(&self) {
+    fn check_acknowledged(&self) {
         let epoch = self.replica.epoch();
         let Some(record) = self.witness.record().filter(|record| record.epoch == epoch) else {
             return;
@@ -270,31 +271,33 @@
         });
     }
 
-    /// Deals with what the replica put out.
-    pub(crate) fn take_replica(
+    /// Carries out the outputs of the replica.
+    pub(crate) fn handle_replica_outputs(
         &mut self,
         outputs: Vec<ReplicaOutput>,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         for output in outputs {
             match output {
                 ReplicaOutput::Send(to, message) => {
-                    out.push(Effect::Send { to, message: Message::Replica(message) });
+                    effects.push(Effect::Send { to, message: Message::Replica(message) });
+                }
+                ReplicaOutput::Write(token, changes) => {
+                    effects.push(Effect::Write { token, changes })
                 }
-                ReplicaOutput::Write(token, changes) => out.push(Effect::Write { token, changes }),
                 ReplicaOutput::Committed(tickets) => {
-                    self.check_acknowledges();
+                    self.check_acknowledged();
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
-                            self.settle(waiting, now, out);
+                            self.complete(waiting, now, effects);
                         }
                     }
                 }
-                ReplicaOutput::Lost(tickets) => {
+                ReplicaOutput::OutcomeUnknown(tickets) => {
                     for ticket in tickets {
                         if let Some(waiting) = self.waiting.remove(&ticket) {
-                            self.lose(&waiting, now, out);
+                            self.fail(&waiting, now, effects);
                         }
                     }
                 }
@@ -304,52 +307,52 @@
                         self.serving_since = Some(now);
                         let text =
                             format!("control primary serves in epoch {}", self.replica.epoch());
-                        out.push(Effect::Note { grave: false, text });
+                        effects.push(Effect::Log { is_error: false, text });
                     }
                 }
-                ReplicaOutput::LearnersReady => self.propose(now, out),
+                ReplicaOutput::LearnersReady => self.propose(now, effects),
             }
         }
     }
 
-    /// Answers one whose ticket is committed.
-    fn settle(&mut self, waiting: Waiting, now: MonotonicMs, out: &mut Out) {
+    /// Responds to a waiter whose ticket is committed.
+    fn complete(&mut self, waiting: Waiting, now: MonotonicMs, effects: &mut Effects) {
         match waiting {
             Waiting::Follower { to, nonce, after, part } => {
-                self.send_news(to, nonce, after, part, out);
+                self.send_update(to, nonce, after, part, effects);
             }
             Waiting::Command { origin, outcome, is_configuration } => {
                 if is_configuration {
-                    self.configurations.answered(&outcome, self.version_in_force());
+                    self.configurations.record_outcome(&outcome, self.version_in_force());
                 }
-                self.answer(origin, outcome, now, out);
+                self.respond(origin, outcome, now, effects);
             }
             Waiting::Query(origin, query) => {
                 let outcome = self.query(&query, now);
-                self.answer(origin, outcome, now, out);
+                self.respond(origin, outcome, now, effects);
             }
             Waiting::Planner => {}
         }
     }
 
-    /// Tells one whose ticket was lost that nothing is known.
-    fn lose(&mut self, waiting: &Waiting, now: MonotonicMs, out: &mut Out) {
+    /// Reports to a waiter that the outcome of its ticket is unknown.
+    fn fail(&mut self, waiting: &Waiting, now: MonotonicMs, effects: &mut Effects) {
         use topazyard_wire::api::{ApiError, Code};
         match waiting {
             Waiting::Command { origin, .. } => {
                 let unknown = ApiError::may_have_run(Code::OutcomeUnknown);
-                self.answer(*origin, OperateOutcome::Refused(unknown), now, out);
+                self.respond(*origin, OperatorOutcome::Refused(unknown), now, effects);
             }
             Waiting::Query(origin, _) => {
                 let refused = ApiError::not_run(Code::NoPrimary);
-                self.answer(*origin, OperateOutcome::Refused(refused), now, out);
+                self.respond(*origin, OperatorOutcome::Refused(refused), now, effects);
             }
-            // A follower asks again.
+            // A follower retries by itself.
             Waiting::Follower { .. } | Waiting::Planner => {}
         }
     }
 
-    /// The shard's record.
+    /// The record of a shard.
     pub(crate) fn shard(
         &self,
         shard: ShardId,
@@ -363,41 +366,42 @@
         from: std::net::SocketAddr,
         message: ReplicaMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        effects: &mut Effects,
     ) {
         if message.group != Group::Control {
             return;
         }
         let known = self.witness.record().map(|record| record.epoch).unwrap_or_default();
         if message.epoch > known && message.body.is_for_backups() {
-            // A backup confirms only once the record that names it is on its disk: else another
-            // that asks for the same epoch could still copy over what was answered on its word.
+            // A backup confirms only after the record that names it is on its disk. Otherwise
+            // another node that requests the same epoch could still overwrite data that was
+            // acknowledged on the strength of that confirmation.
             return;
         }
-        self.follow_claim_if_due(sender, &message, now, out);
-        let from = topazyard_replication::replica::From { id: sender, address: from };
+        self.follow_epoch_change_if_due(sender, &message, now, effects);
+        let from = topazyard_replication::replica::Sender { id: sender, address: from };
         let outputs = self.replica.receive(from, message, now);
-        self.take_replica(outputs, now, out);
+        self.handle_replica_outputs(outputs, now, effects);
     }
 
-    /// Counts the writes that are handed to the disk.
-    fn watch_writes(&mut self, out: &Out, now: MonotonicMs) {
-        for effect in out {
+    /// Tracks the writes that are handed to the disk.
+    fn track_writes(&mut self, effects: &Effects, now: MonotonicMs) {
+        for effect in effects {
             if let Effect::Write { token, .. } = effect {
-                self.disk.begun(*token, now);
+                self.disk.write_started(*token, now);
             }
         }
     }
 
-    /// Says in the log when the disk is full, stalls or is well again.
-    fn note_disk(&mut self, now: MonotonicMs, out: &mut Out) {
-        if let Some(state) = self.disk.news(now) {
-            out.push(Effect::Note { grave: false, text: state.to_string() });
+    /// Logs when the disk becomes full, stalls or recovers.
+    fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        if let Some(state) = self.disk.take_state_change(now) {
+            effects.push(Effect::Log { is_error: false, text: state.to_string() });
         }
     }
 
-    /// How this node itself fares, whether or not it leads.
-    fn health(&self, now: MonotonicMs) -> OperateOutcome {
+    /// Health of this node, whether or not it is the primary.
+    fn health(&self, now: MonotonicMs) -> OperatorOutcome {
         let record = self.witness.record();
         let health = ControlHealth {
             node: self.me.id,
@@ -405,63 +409,65 @@
             primary: record.map(|record| record.primary.address),
             serving: self.replica.is_serving(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now),
+            write_wait_ms: self.disk.oldest_write_age(now),
             configurations_acknowledged: self.configurations.acknowledged,
             configurations_refused: self.configurations.refused,
-            orders_waiting: self.operate.waiting(),
+            orders_waiting: self.operations.waiting(),
         };
-        OperateOutcome::Done(serde_json::json!(health).to_string())
+        OperatorOutcome::Done(serde_json::json!(health).to_string())
     }
 
-    /// Remembers where others are, so that stale seeds don't strand this node.
-    fn remember_addresses(&mut self, out: &mut Out) {
-        if !self.disk.takes_more() {
+    /// Persists the addresses of other control nodes, so that stale seeds don't isolate this node.
+    fn remember_addresses(&mut self, effects: &mut Effects) {
+        if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(Duty::Control)) {
-            self.write_own(Group::Node, vec![row], Vec::new(), out);
+        if let Some(row) =
+            self.known_control_nodes.update(self.membership.addresses(MemberRole::Control))
+        {
+            self.write_own_rows(Group::Node, vec![row], Vec::new(), effects);
         }
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        self.note_disk(now, out);
+    fn tick(&mut self, now: MonotonicMs, effects: &mut Effects) {
+        self.log_disk_state(now, effects);
         let outgoing = self.membership.tick(now);
-        out.extend(topazyard_membership::effects(outgoing));
-        self.remember_addresses(out);
-        self.core_tick(now, out);
-        self.claim_tick(now, out);
-        self.leaving_tick(now, out);
-        self.confirm_tick(now, out);
+        effects.extend(topazyard_membership::effects(outgoing));
+        self.remember_addresses(effects);
+        self.heartbeat_tick(now, effects);
+        self.epoch_change_tick(now, effects);
+        self.leaving_tick(now, effects);
+        self.quorum_read_tick(now, effects);
         let outputs = self.replica.tick(now);
-        self.take_replica(outputs, now, out);
-        self.operate_tick(now, out);
-        self.tuning_tick(now, out);
-        self.listing_tick(now, out);
+        self.handle_replica_outputs(outputs, now, effects);
+        self.operations_tick(now, effects);
+        self.tuning_tick(now, effects);
+        self.engine_list_tick(now, effects);
         if !self.replica.is_serving() {
             self.serving_since = None;
             self.snapshots.clear();
         }
-        if now.since(self.last_plan) >= crate::planner::EVERY {
+        if now.since(self.last_plan) >= crate::planner::PLAN_INTERVAL {
             self.last_plan = now;
-            self.probe_the_silent(now);
+            self.probe_suspected(now);
             self.plan(now);
         }
     }
 
-    /// Lets the planner change placement, if nothing else is under way.
+    /// Lets the planner change placement if no other change is pending.
     fn plan(&mut self, now: MonotonicMs) {
         let Some(serving_since) = self.serving_since else { return };
         if self.replica.has_changes_pending() {
             return;
         }
-        let view = topazyard_wire::state::FleetView::read(self.replica.copy().rows());
-        let standings = self.storage_standings(&view, serving_since, now);
-        let speaks =
-            |id: &NodeId| standings.heard.contains_key(id) && !standings.silent.contains(id);
-        if !view.storage.is_empty() && !view.storage.keys().any(speaks) {
-            self.last_alone = Some(now);
+        let fleet = topazyard_wire::state::FleetSnapshot::read(self.replica.copy().rows());
+        let status = self.storage_status(&fleet, serving_since, now);
+        let is_responsive =
+            |id: &NodeId| status.reachable.contains_key(id) && !status.suspected.contains(id);
+        if !fleet.storage.is_empty() && !fleet.storage.keys().any(is_responsive) {
+            self.last_isolated = Some(now);
         }
-        let changes = crate::planner::plan(&view, &standings);
+        let changes = crate::planner::plan(&fleet, &status);
         if !changes.is_empty() {
             self.submit(changes, Waiting::Planner);
         }
@@ -470,73 +476,81 @@
 
 impl Machine for ControlMachine {
     type Call = ControlCall;
-    type Return = OperateOutcome;
+    type Response = OperatorOutcome;
     type Task = ControlTask;
 
-    fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Effects {
+        let mut effects = Vec::new();
         if let Input::Written(token) = &input {
-            self.disk.synced(*token);
+            self.disk.write_synced(*token);
         }
         match input {
-            Input::Tick => self.tick(now, &mut out),
-            Input::Disk(state) => self.disk.take_state(state, now),
+            Input::Tick => self.tick(now, &mut effects),
+            Input::Disk(state) => self.disk.set_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
-                let outputs = self.replica.written(token.number);
-                self.take_replica(outputs, now, &mut out);
+                let outputs = self.replica.write_synced(token.number);
+                self.handle_replica_outputs(outputs, now, &mut effects);
             }
             Input::Written(token) => {
                 for then in self.after_write.remove(&token.number).unwrap_or_default() {
                     match then {
-                        AfterWrite::Say(to, message) => {
-                            out.push(Effect::Send { to, message: Message::Core(message) });
+                        AfterWrite::Send(to, message) => {
+                            effects.push(Effect::Send { to, message: Message::Core(message) });
                         }
-                        AfterWrite::BeginClaim => self.copy_to_learners(now, &mut out),
+                        AfterWrite::FillLearners => self.fill_learners(now, &mut effects),
                     }
                 }
             }
             Input::Call { call, request: ControlCall::Operate(request) } => {
-                self.take_operate(operate::Origin::Local(call), request, now, &mut out);
+                self.handle_request(operations::Origin::Local(call), request, now, &mut effects);
+            }
+            Input::Call { request: ControlCall::Loads(loads), .. } => {
+                self.receive_loads(loads, now)
             }
-            Input::Call { request: ControlCall::Loads(loads), .. } => self.take_loads(loads, now),
             Input::Call { request: ControlCall::Engines(list), .. } => {
-                self.take_list(list, now, &mut out);
+                self.receive_engine_list(list, now, &mut effects);
             }
             Input::Call { call, request: ControlCall::Leave } => {
-                self.begin_leaving(call, now, &mut out);
+                self.begin_shutdown(call, now, &mut effects);
             }
             Input::Call { call, request: ControlCall::Health } => {
-                out.push(Effect::Return { call, value: self.health(now) });
+                effects.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
-                self.membership.take_seeds(seeds);
+                self.membership.add_seeds(seeds);
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
                     let outgoing = self.membership.receive(from, message, now);
-                    out.extend(topazyard_membership::effects(outgoing));
+                    effects.extend(topazyard_membership::effects(outgoing));
+                }
+                Message::Core(message) => {
+                    self.receive_core(sender, from, message, now, &mut effects)
                 }
-                Message::Core(message) => self.receive_core(sender, from, message, now, &mut out),
                 Message::Replica(message) => {
-                    self.receive_replica(sender, from, message, now, &mut out)
+                    self.receive_replica(sender, from, message, now, &mut effects)
+                }
+                Message::Feed(message) => {
+                    self.receive_feed(sender, from, message, now, &mut effects)
+                }
+                Message::ShardChangeRequest(request) => {
+                    self.receive_change_request(sender, request)
                 }
-                Message::Feed(message) => self.receive_feed(sender, from, message, now, &mut out),
-                Message::Wish(wish) => self.take_wish(sender, wish),
                 Message::Operate(message) => {
-                    self.receive_operate(sender, from, message, now, &mut out);
+                    self.receive_operator_message(sender, from, message, now, &mut effects);
                 }
                 Message::Confirm(message) => {
-                    self.receive_confirm(sender, from, message, now, &mut out);
+                    self.receive_quorum_read(sender, from, message, now, &mut effects);
                 }
-                Message::Counter(_) | Message::Batch(_) | Message::Told(..) => {}
+                Message::Counter(_) | Message::Batch(_) | Message::ShardRecord(..) => {}
             },
         }
-        self.fulfil_wishes(now);
-        self.run_commands(now, &mut out);
-        let outputs = self.replica.proceed(now);
-        self.take_replica(outputs, now, &mut out);
-        self.watch_writes(&out, now);
-        out
+        self.apply_change_requests(now);
+        self.run_commands(now, &mut effects);
+        let outputs = self.replica.start_next_batch(now);
+        self.handle_replica_outputs(outputs, now, &mut effects);
+        self.track_writes(&effects, now);
+        effects
     }
 }
--- a/programs/topazyard-control/src/machine/queries.rs
+++ b/programs/topazyard-control/src/machine/queries.rs
@@ -1,23 +1,24 @@
 //! What each query reads from the committed state.
 
 use super::ControlMachine;
-use topazyard_types::{MonotonicMs, SpecVersion};
+use topazyard_types::{ConfigurationVersion, MonotonicMs};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::message::feed::Health;
-use topazyard_wire::message::operate::{OperateOutcome, Query};
+use topazyard_wire::message::operate::{OperatorOutcome, Query};
 use topazyard_wire::state::{
-    FleetView, IN_FORCE, InForceRow, SPECS, SpecRow, StorageStage, spec_key,
+    CONFIGURATIONS, ConfigurationRow, FleetSnapshot, IN_FORCE, InForceRow, StorageStage,
+    configuration_key,
 };
 
 impl ControlMachine {
-    pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperateOutcome {
+    pub(super) fn query(&self, query: &Query, now: MonotonicMs) -> OperatorOutcome {
         let found = match query {
-            Query::ReadSpec(version) => self.read_spec(*version),
+            Query::ReadConfiguration(version) => self.read_configuration(*version),
             Query::ReadSource => return self.read_source(),
-            Query::ListSpecs => Some(self.list_specs()),
+            Query::ListConfigurations => Some(self.list_configurations()),
             Query::ListEngines => {
-                let view = FleetView::read(self.replica.copy().rows());
-                Some(serde_json::json!({ "engines": view.engines.values().collect::<Vec<_>>() }))
+                let fleet = FleetSnapshot::read(self.replica.copy().rows());
+                Some(serde_json::json!({ "engines": fleet.engines.values().collect::<Vec<_>>() }))
             }
             Query::ListStorage => Some(self.list_storage(now)),
             Query::Retirement(name) => return self.retirement(name, now),
@@ -25,48 +26,52 @@
             Query::Load => self.load(),
         };
         match found {
-            Some(value) => OperateOutcome::Done(value.to_string()),
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
+            Some(value) => OperatorOutcome::Done(value.to_string()),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
         }
     }
 
-    /// How far a retirement has come: `active` or `completed`.
-    fn retirement(&self, name: &str, now: MonotonicMs) -> OperateOutcome {
-        let view = FleetView::read(self.replica.copy().rows());
-        let row = self.named(&view, name, now).and_then(|id| view.storage.get(&id));
+    /// The state of a retirement: `active` or `completed`.
+    fn retirement(&self, name: &str, now: MonotonicMs) -> OperatorOutcome {
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let row = self.storage_by_name(&fleet, name, now).and_then(|id| fleet.storage.get(&id));
         match row.map(|row| row.stage) {
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
-            Some(StorageStage::Retired) => OperateOutcome::Done(r#"{"state":"completed"}"#.into()),
-            Some(_) => OperateOutcome::Done(r#"{"state":"active"}"#.into()),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("node")),
+            Some(StorageStage::Retired) => OperatorOutcome::Done(r#"{"state":"completed"}"#.into()),
+            Some(_) => OperatorOutcome::Done(r#"{"state":"active"}"#.into()),
         }
     }
 
-    /// The source of the spec in force, as it came.
-    fn read_source(&self) -> OperateOutcome {
+    /// The source of the configuration in force, as submitted.
+    fn read_source(&self) -> OperatorOutcome {
         let copy = self.replica.copy();
         let in_force = copy.get::<InForceRow>(IN_FORCE);
-        let row = in_force.and_then(|row| copy.get::<SpecRow>(&spec_key(row.version)));
+        let row =
+            in_force.and_then(|row| copy.get::<ConfigurationRow>(&configuration_key(row.version)));
         let source = row.and_then(|row| String::from_utf8(row.source?.to_vec()).ok());
         match source {
-            Some(source) => OperateOutcome::Done(source),
-            None => OperateOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
+            Some(source) => OperatorOutcome::Done(source),
+            None => OperatorOutcome::Refused(ApiError::not_run(Code::NotFound).at("version")),
         }
     }
 
-    fn read_spec(&self, version: Option<SpecVersion>) -> Option<serde_json::Value> {
+    fn read_configuration(
+        &self,
+        version: Option<ConfigurationVersion>,
+    ) -> Option<serde_json::Value> {
         let copy = self.replica.copy();
         let version = match version {
             Some(version) => version,
             None => copy.get::<InForceRow>(IN_FORCE)?.version,
         };
-        let row: SpecRow = copy.get(&spec_key(version))?;
-        let bundle: serde_json::Value = serde_json::from_str(&row.text).ok()?;
+        let row: ConfigurationRow = copy.get(&configuration_key(version))?;
+        let configuration: serde_json::Value = serde_json::from_str(&row.text).ok()?;
         let mut value = Self::describe(&row);
-        value["bundle"] = bundle;
+        value["bundle"] = configuration;
         Some(value)
     }
 
-    fn describe(row: &SpecRow) -> serde_json::Value {
+    fn describe(row: &ConfigurationRow) -> serde_json::Value {
         serde_json::json!({
             "version": row.version,
             "base": row.base,
@@ -75,25 +80,25 @@
         })
     }
 
-    fn list_specs(&self) -> serde_json::Value {
+    fn list_configurations(&self) -> serde_json::Value {
         let copy = self.replica.copy();
         let in_force: Option<InForceRow> = copy.get(IN_FORCE);
-        let specs: Vec<_> = copy
-            .with_prefix(SPECS)
-            .filter_map(|(_, value)| topazyard_wire::rows::decode::<SpecRow>(value))
+        let configurations: Vec<_> = copy
+            .with_prefix(CONFIGURATIONS)
+            .filter_map(|(_, value)| topazyard_wire::rows::decode::<ConfigurationRow>(value))
             .map(|row| Self::describe(&row))
             .collect();
-        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": specs })
+        serde_json::json!({ "in_force": in_force.map(|row| row.version), "specs": configurations })
     }
 
     fn list_storage(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetView::read(self.replica.copy().rows());
-        let nodes: Vec<_> = view
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
+        let nodes: Vec<_> = fleet
             .storage
             .iter()
             .map(|(id, row)| {
-                let seen = self.seen.nodes.get(id);
-                let write_wait_ms = seen.and_then(|seen| match &seen.health {
+                let report = self.reports.by_node.get(id);
+                let write_wait_ms = report.and_then(|report| match &report.health {
                     Health::Storage { write_wait_ms, .. } => Some(*write_wait_ms),
                     Health::Edge { .. } => None,
                 });
@@ -103,14 +108,14 @@
                     "address": row.member.address,
                     "zone": row.member.zone,
                     "stage": row.stage,
-                    "shards": crate::planner::hosted(&view, *id),
-                    "heard_ms_ago": seen.map(|seen| now.since(seen.at)),
-                    "disk": self.seen.disk(*id),
+                    "shards": crate::planner::hosted_copies(&fleet, *id),
+                    "heard_ms_ago": report.map(|report| now.since(report.received_at)),
+                    "disk": self.reports.disk(*id),
                     "write_wait_ms": write_wait_ms,
                 })
             })
             .collect();
-        let shards: Vec<_> = view
+        let shards: Vec<_> = fleet
             .shards
             .iter()
             .map(|(shard, record)| {
@@ -134,31 +139,31 @@
     }
 
     fn fleet_state(&self, now: MonotonicMs) -> serde_json::Value {
-        let view = FleetView::read(self.replica.copy().rows());
+        let fleet = FleetSnapshot::read(self.replica.copy().rows());
         let members: Vec<_> = self
             .membership
             .remembered()
             .map(|known| {
                 serde_json::json!({
-                    "node": known.news.member.id,
-                    "name": known.news.member.name,
-                    "address": known.news.member.address,
-                    "http": known.news.member.http,
-                    "duty": known.news.member.duty,
-                    "zone": known.news.member.zone,
-                    "standing": known.news.standing,
-                    "incarnation": known.news.incarnation,
+                    "node": known.update.member.id,
+                    "name": known.update.member.name,
+                    "address": known.update.member.address,
+                    "http": known.update.member.http,
+                    "duty": known.update.member.role,
+                    "zone": known.update.member.zone,
+                    "standing": known.update.status,
+                    "incarnation": known.update.incarnation,
                 })
             })
             .collect();
         let relays: Vec<_> = self
-            .seen
-            .nodes
+            .reports
+            .by_node
             .iter()
-            .filter_map(|(id, seen)| match &seen.health {
+            .filter_map(|(id, report)| match &report.health {
                 Health::Edge { ready, waiting, refused } => Some(serde_json::json!({
                     "node": id, "ready": ready, "waiting": waiting, "refused": refused,
-                    "heard_ms_ago": now.since(seen.at),
+                    "heard_ms_ago": now.since(report.received_at),
                 })),
                 Health::Storage { .. } => None,
             })
@@ -169,15 +174,15 @@
                 "epoch": record.epoch,
                 "primary": record.primary.address,
                 "backups": record.backups.iter().map(|b| b.address).collect::<Vec<_>>(),
-                "full": self.core.full_nodes(),
+                "full": self.peers.full_nodes(),
                 "witnesses": record.witnesses.iter().map(|w| w.address).collect::<Vec<_>>(),
             })),
-            "place": self.replica.copy().place(),
-            "spec": view.spec.as_ref().map(|(version, _)| version),
+            "place": self.replica.copy().position(),
+            "spec": fleet.configuration.as_ref().map(|(version, _)| version),
             "members": members,
             "relays": relays,
-            "engines": view.engines.values().collect::<Vec<_>>(),
-            "weights": view.weights.iter().map(|(pool, weight)| serde_json::json!({
+            "engines": fleet.engines.values().collect::<Vec<_>>(),
+            "weights": fleet.weights.iter().map(|(pool, weight)| serde_json::json!({
                 "pool": pool, "live_percent": weight.live_percent })).collect::<Vec<_>>(),
             "storage": self.list_storage(now),
         })
--- a/programs/topazyard-control/src/main.rs
+++ b/programs/topazyard-control/src/main.rs
@@ -1,8 +1,8 @@
-//! A control node.
+//! Entry point of a control node.
 
 use clap::Parser as _;
 
-/// Keeps the fleet's specs, engines, placement and weights
+/// Manages the fleet's configurations, engines, placement and weights
 #[derive(clap::Parser)]
 #[command(version)]
 struct Flags {
@@ -11,7 +11,7 @@
 }
 
 fn main() -> std::process::ExitCode {
-    topazyard_wire::driver::daemon(Flags::parse().settings, |settings| {
-        topazyard_control::run(settings, topazyard_control::OwnInterface)
+    topazyard_wire::driver::run_daemon(Flags::parse().settings, |settings| {
+        topazyard_control::run(settings, topazyard_control::DefaultInterface)
     })
 }
--- a/programs/topazyard-control/tests/metrics.rs
+++ b/programs/topazyard-control/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control node tells in its metrics.
+//! The metrics of a control node.
 
 mod fleet;
 
@@ -6,25 +6,25 @@
 use topazyard_control::ControlCall;
 use topazyard_control::machine::ControlHealth;
 use topazyard_control::metrics::ControlFigures;
-use topazyard_types::SpecVersion;
-use topazyard_wire::message::operate::{Command, OperateOutcome};
+use topazyard_types::ConfigurationVersion;
+use topazyard_wire::message::operate::{Command, OperatorOutcome};
 
 fn order(base: u64, version: u64) -> Command {
     let text = serde_json::json!({ "pools": [{ "name": "main" }], "routes": [
         { "name": "r", "host": "a.example", "path_prefix": "/", "kind": "safe",
           "pools": [{ "pool": "main", "weight": 1 }], "timeout_ms": 5000, "max_attempts": 2 }
     ] });
-    let (base, version) = (SpecVersion(base), SpecVersion(version));
-    Command::TakeSpec { base, version, text: text.to_string(), source: "order".into() }
+    let (base, version) = (ConfigurationVersion(base), ConfigurationVersion(version));
+    Command::ApplyConfiguration { base, version, text: text.to_string(), source: "order".into() }
 }
 
 fn text(fleet: &mut Fleet, number: usize) -> String {
-    fleet.nodes[number].returned = None;
-    fleet.tell(number, ControlCall::Health);
-    let Some(OperateOutcome::Done(told)) = fleet.nodes[number].returned.take() else {
+    fleet.nodes[number].outcome = None;
+    fleet.call(number, ControlCall::Health);
+    let Some(OperatorOutcome::Done(text)) = fleet.nodes[number].outcome.take() else {
         panic!("no health");
     };
-    let health: ControlHealth = serde_json::from_str(&told).expect("its health");
+    let health: ControlHealth = serde_json::from_str(&text).expect("its health");
     topazyard_wire::metrics::text(Some(ControlFigures(health))).unwrap()
 }
 
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn the_primary_counts_the_configurations_that_it_acknowledged_and_refused() {
+fn primary_counts_acknowledged_and_refused_configurations() {
     let mut fleet = Fleet::new(3, 3);
     fleet.storage = (1..=3).map(storage).collect();
     (0..3).for_each(|number| fleet.start(number));
     fleet.run(6_000);
     let primary = fleet.primary().expect("a primary");
     let backup = (0..3).find(|number| *number != primary).unwrap();
-    assert!(matches!(fleet.command(primary, order(0, 1)), Some(OperateOutcome::Done(_))));
-    assert!(matches!(fleet.command(backup, order(1, 2)), Some(OperateOutcome::Done(_))));
-    assert!(matches!(fleet.command(primary, order(0, 3)), Some(OperateOutcome::Refused(_))));
+    assert!(matches!(fleet.command(primary, order(0, 1)), Some(OperatorOutcome::Done(_))));
+    assert!(matches!(fleet.command(backup, order(1, 2)), Some(OperatorOutcome::Done(_))));
+    assert!(matches!(fleet.command(primary, order(0, 3)), Some(OperatorOutcome::Refused(_))));
     let of_primary = text(&mut fleet, primary);
     has(&of_primary, "topazyard_control_primary 1");
     has(&of_primary, "topazyard_control_configurations_acknowledged_total 2");
--- a/programs/topazyard-edge-agent/src/machine.rs
+++ b/programs/topazyard-edge-agent/src/machine.rs
@@ -4,10 +4,10 @@
 
 use topazyard_membership::Membership;
 use topazyard_types::{CallId, DurationMs, MonotonicMs};
-use topazyard_wire::driver::disked::Remembered;
+use topazyard_wire::driver::disk_start::KnownControlNodes;
 use topazyard_wire::message::Message;
-use topazyard_wire::message::feed::{FeedMessage, Health, PartWanted};
-use topazyard_wire::message::membership::{Duty, Member};
+use topazyard_wire::message::feed::{FeedMessage, Health, PartRequest};
+use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Group, Input, Machine, WriteToken};
 
 /// The same while it is not known who leads.
@@ -58,11 +58,11 @@
     /// Control nodes to begin with.
     pub seeds: Vec<std::net::SocketAddr>,
     /// What its data folder remembers, if it has one.
-    pub remembered: Option<Remembered>,
+    pub remembered: Option<KnownControlNodes>,
     /// The relay beside it.
     pub relay: std::net::SocketAddr,
     /// Seeds its chances.
-    pub chance: u64,
+    pub random_seed: u64,
 }
 
 /// An asking that was passed on.
@@ -70,9 +70,9 @@
 struct Passed {
     nonce: u64,
     relay_nonce: u64,
-    after: topazyard_types::Place,
-    part: Option<PartWanted>,
-    heard: Option<topazyard_types::DurationMs>,
+    after: topazyard_types::LogPosition,
+    part: Option<PartRequest>,
+    last_response_age: Option<topazyard_types::DurationMs>,
     health: Health,
     at: MonotonicMs,
 }
@@ -90,7 +90,7 @@
     last_nonce: u64,
     last_write: u64,
     last_synced: u64,
-    remembered: Option<Remembered>,
+    remembered: Option<KnownControlNodes>,
     relay_heard: Option<MonotonicMs>,
     /// The process's wish to end, until its relay has ended.
     leaving: Option<CallId>,
@@ -101,26 +101,26 @@
     ///
     /// ```
     /// use topazyard_edge_agent::{AgentMachine, Start};
-    /// use topazyard_wire::message::membership::{Duty, Member};
+    /// use topazyard_wire::message::membership::{MemberRole, Member};
     /// let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
     /// let member = Member { id: topazyard_types::NodeId(1), name: None, address: at(1),
-    ///     http: Some(at(2)), duty: Duty::Edge, zone: "north".into() };
+    ///     http: Some(at(2)), role: MemberRole::Edge, zone: "north".into() };
     /// let start = Start { member, seeds: vec![at(3), at(4), at(5)], remembered: None,
-    ///     relay: at(6), chance: 1 };
+    ///     relay: at(6), random_seed: 1 };
     /// AgentMachine::new(start);
     /// ```
     pub fn new(start: Start) -> Self {
         let known = start.remembered.as_ref().map(|kept| kept.with_seeds(&start.seeds));
         let sources = known.unwrap_or(start.seeds);
         Self {
-            membership: Membership::new(start.member, sources.clone(), start.chance),
+            membership: Membership::new(start.member, sources.clone(), start.random_seed),
             relay: start.relay,
             sources,
             next_source: 0,
             leader: None,
             passed: None,
             turned_away: None,
-            last_nonce: topazyard_types::Life(start.chance).first_number(),
+            last_nonce: topazyard_types::BootId(start.random_seed).first_number(),
             last_write: 0,
             last_synced: 0,
             remembered: start.remembered,
@@ -149,11 +149,11 @@
             passed.nonce = self.last_nonce;
         }
         passed.at = now;
-        let message = FeedMessage::Ask {
+        let message = FeedMessage::Request {
             nonce: passed.nonce,
             after: passed.after,
             part: passed.part,
-            heard: passed.heard,
+            last_response_age: passed.last_response_age,
             health: passed.health.clone(),
         };
         for to in to {
@@ -169,7 +169,7 @@
         out: &mut Out,
     ) {
         match message {
-            FeedMessage::Ask { nonce, after, part, heard, health } => {
+            FeedMessage::Request { nonce, after, part, last_response_age, health } => {
                 if from != self.relay {
                     return;
                 }
@@ -181,7 +181,7 @@
                     relay_nonce: nonce,
                     after,
                     part,
-                    heard,
+                    last_response_age,
                     health,
                     at: now,
                 });
@@ -190,15 +190,15 @@
                 }
                 self.pass_on(now, out);
             }
-            FeedMessage::News { nonce, place, matter } => {
+            FeedMessage::Update { nonce, position, content } => {
                 if let Some(passed) = self.passed.take_if(|passed| passed.nonce == nonce) {
                     self.leader = Some(from);
                     let nonce = passed.relay_nonce;
-                    let message = Message::Feed(FeedMessage::News { nonce, place, matter });
+                    let message = Message::Feed(FeedMessage::Update { nonce, position, content });
                     out.push(Effect::Send { to: self.relay, message });
                 }
             }
-            FeedMessage::Elsewhere { nonce, primary, .. } => {
+            FeedMessage::Redirect { nonce, primary, .. } => {
                 if self.passed.as_ref().is_some_and(|passed| passed.nonce == nonce) {
                     self.leader = primary.filter(|primary| *primary != from);
                     if self.leader.is_some() {
@@ -216,11 +216,11 @@
     fn take_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
         let new = seeds.iter().filter(|seed| !self.sources.contains(seed)).copied();
         self.sources.extend(new.collect::<Vec<_>>());
-        self.membership.take_seeds(seeds);
+        self.membership.add_seeds(seeds);
     }
 
     fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
-        for address in self.membership.addresses(Duty::Control) {
+        for address in self.membership.addresses(MemberRole::Control) {
             if !self.sources.contains(&address) {
                 self.sources.push(address);
             }
@@ -228,7 +228,8 @@
         // One write at a time, so that nothing piles up behind a disk that is full or stalls.
         let is_synced = self.last_synced == self.last_write;
         let remembered = self.remembered.as_mut().filter(|_| is_synced);
-        let row = remembered.and_then(|kept| kept.learn(self.membership.addresses(Duty::Control)));
+        let row =
+            remembered.and_then(|kept| kept.update(self.membership.addresses(MemberRole::Control)));
         if let Some(row) = row {
             self.last_write += 1;
             let token = WriteToken { group: Group::Node, number: self.last_write };
@@ -273,14 +274,14 @@
         }
         if let Some(call) = self.leaving.take() {
             let value = self.health(now);
-            out.push(Effect::Return { call, value });
+            out.push(Effect::Respond { call, value });
         }
     }
 }
 
 impl Machine for AgentMachine {
     type Call = AgentCall;
-    type Return = AgentHealth;
+    type Response = AgentHealth;
     type Task = topazyard_wire::machine::NoTask;
 
     fn step(&mut self, input: Input<AgentCall>, now: MonotonicMs) -> Out {
@@ -302,7 +303,7 @@
                 self.leave_after_relay(now, &mut out);
             }
             Input::Call { call, request: AgentCall::Health } => {
-                out.push(Effect::Return { call, value: self.health(now) });
+                out.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Written(token) => self.last_synced = token.number,
             Input::Frame { .. } | Input::Disk(_) => {}
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -1,12 +1,12 @@
 //! Batch calls.
 
 use super::Handle;
-use crate::machine::{RelayCall, RelayReturn};
+use crate::machine::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, ModelName, Tokens};
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 use topazyard_wire::message::batch::{
-    BatchCall, BatchReturn, BatchStanding, Item, ItemEnd, ItemReturn,
+    BatchCall, BatchResponse, BatchStatus, Item, ItemEnd, ItemResult,
 };
 
 /// The largest batch taken, in bytes.
@@ -41,17 +41,17 @@
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let body = topazyard_wire::http::inward::read_body(body, MOST_BYTES).await?;
+    let body = topazyard_wire::http::inbound::read_body(body, MOST_BYTES).await?;
     let parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
     let call = match (head.method.as_str(), &parts[1..]) {
         ("POST", []) => {
             let batch = id_for(&head.headers)?;
-            let items = items_of(&body)?;
-            return answer(handle.call(RelayCall::Submit(batch, items)).await);
+            let items = parse_items(&body)?;
+            return answer(handle.call(RelayCall::SubmitBatch(batch, items)).await);
         }
         ("GET", [id]) => BatchCall::Read(batch_of(id)?),
         ("GET", [id, "returns"]) => {
-            BatchCall::Returns { batch: batch_of(id)?, after: after_of(head.uri.query())? }
+            BatchCall::ItemResults { batch: batch_of(id)?, after: after_of(head.uri.query())? }
         }
         ("POST", [id, "items", item, "recall"]) => {
             let malformed = |_| ApiError::not_run(Code::Malformed).at("item");
@@ -89,7 +89,7 @@
 /// The items of a batch as it is handed in.
 ///
 /// ```
-/// let items = topazyard_relay::front::batches::items_of(
+/// let items = topazyard_relay::front::batches::parse_items(
 ///     br#"{"items":[{"model":"m","body":{"inputs":"one two"}}]}"#).unwrap();
 /// assert_eq!(items[0].body.as_ref(), br#"{"inputs":"one two"}"#);
 /// assert!(!items[0].repeatable);
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// The field at fault.
-pub fn items_of(body: &[u8]) -> Result<Vec<Item>, ApiError> {
+pub fn parse_items(body: &[u8]) -> Result<Vec<Item>, ApiError> {
     let batch: BatchBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let place = format!("line {} column {}", error.line(), error.column());
         ApiError { message: error.to_string(), ..ApiError::not_run(Code::Malformed).at(place) }
@@ -105,55 +105,55 @@
     let items = batch.items.iter().enumerate();
     let items = items.map(|(index, item)| {
         let text = item.body.get().as_bytes();
-        let cost = super::read::cost_of(text, item.token_count.map(Tokens))
+        let cost = super::prompt_request::estimate_cost(text, item.token_count.map(Tokens))
             .map_err(|error| ApiError { field: Some(format!("items[{index}].body")), ..error })?;
         Ok(Item {
             model: item.model.clone(),
             body: bytes::Bytes::copy_from_slice(text),
             repeatable: item.repeatable,
             cost,
-            directions: None,
+            routing: None,
         })
     });
     items.collect()
 }
 
 fn answer(
-    outcome: Result<RelayReturn, topazyard_wire::driver::CallError>,
+    outcome: Result<RelayResponse, topazyard_wire::driver::CallError>,
 ) -> Result<hyper::Response<Body>, ApiError> {
     match outcome {
-        Ok(RelayReturn::Batch(value)) => shown(value),
-        Ok(RelayReturn::Refused(error)) => Err(error),
+        Ok(RelayResponse::Batch(value)) => shown(value),
+        Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::may_have_run(Code::OutcomeUnknown)),
     }
 }
 
-fn shown(value: BatchReturn) -> Result<hyper::Response<Body>, ApiError> {
+fn shown(value: BatchResponse) -> Result<hyper::Response<Body>, ApiError> {
     use topazyard_wire::http::json;
     match value {
-        BatchReturn::Accepted(standing) => Ok(json(201, &shown_standing(&standing))),
-        BatchReturn::Standing(standing) => Ok(json(200, &shown_standing(&standing))),
-        BatchReturn::Returns(returns) => {
+        BatchResponse::Accepted(standing) => Ok(json(201, &shown_standing(&standing))),
+        BatchResponse::Status(standing) => Ok(json(200, &shown_standing(&standing))),
+        BatchResponse::ItemResults(returns) => {
             let shown: Vec<_> = returns.iter().map(shown_return).collect();
             Ok(json(200, &serde_json::json!({ "returns": shown })))
         }
-        BatchReturn::Recalled => Ok(json(200, &serde_json::json!({ "recalled": true }))),
-        BatchReturn::TooLate { returned } => {
+        BatchResponse::Recalled => Ok(json(200, &serde_json::json!({ "recalled": true }))),
+        BatchResponse::TooLate { returned } => {
             let state = if returned { "returned" } else { "started" };
             Ok(json(200, &serde_json::json!({ "recalled": false, "item": state })))
         }
-        BatchReturn::Unknown => Err(ApiError::not_run(Code::NotFound).at("batch")),
-        BatchReturn::CeilingReached => Err(ApiError::not_run(Code::BatchCeiling)),
-        BatchReturn::Leased(_)
-        | BatchReturn::Results { .. }
-        | BatchReturn::Body(_)
-        | BatchReturn::MayStart(_)
-        | BatchReturn::Noted
-        | BatchReturn::NotHere => Err(ApiError::not_run(Code::NoShard)),
+        BatchResponse::Unknown => Err(ApiError::not_run(Code::NotFound).at("batch")),
+        BatchResponse::CeilingReached => Err(ApiError::not_run(Code::BatchCeiling)),
+        BatchResponse::Leased(_)
+        | BatchResponse::RoutedResults { .. }
+        | BatchResponse::Body(_)
+        | BatchResponse::MayStart(_)
+        | BatchResponse::Acknowledged
+        | BatchResponse::NotPrimary => Err(ApiError::not_run(Code::NoShard)),
     }
 }
 
-fn shown_standing(standing: &BatchStanding) -> serde_json::Value {
+fn shown_standing(standing: &BatchStatus) -> serde_json::Value {
     serde_json::json!({
         "batch": standing.batch.to_string(),
         "items": standing.items,
@@ -168,9 +168,9 @@
     body.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn shown_return(item_return: &ItemReturn) -> serde_json::Value {
+fn shown_return(item_return: &ItemResult) -> serde_json::Value {
     let (outcome, status, body) = match &item_return.end {
-        ItemEnd::Whole { status, body } => ("whole", Some(*status), Some(body)),
+        ItemEnd::Complete { status, body } => ("whole", Some(*status), Some(body)),
         ItemEnd::OutcomeUnknown => ("outcome_unknown", None, None),
         ItemEnd::Recalled => ("recalled", None, None),
         ItemEnd::Ended => ("ended", None, None),
--- a/programs/topazyard-relay/src/lib.rs
+++ b/programs/topazyard-relay/src/lib.rs
@@ -1,5 +1,5 @@
-//! The edge: HTTP for clients, admission, prefix affinity, streaming, and batch items run under
-//! leases.
+//! The edge node of the fleet: HTTP for clients, admission control, prefix affinity, streaming, and
+//! batch items run under leases.
 
 pub mod drain;
 pub mod front;
@@ -8,5 +8,5 @@
 pub mod prompt;
 pub mod run;
 
-pub use machine::{RelayCall, RelayMachine, RelayReturn, RelayTask, Start};
+pub use machine::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
 pub use run::{Front, run};
--- a/programs/topazyard-relay/src/metrics.rs
+++ b/programs/topazyard-relay/src/metrics.rs
@@ -1,10 +1,10 @@
 //! What a relay tells of itself to whoever fetches its metrics.
 
-use crate::front::{Handle, ended, loads};
+use crate::front::{Handle, engine_loads, outcomes};
 use crate::machine::RelayHealth;
-use crate::{RelayCall, RelayReturn};
-use topazyard_wire::http::inward::{Drain, Stage};
-use topazyard_wire::metrics::{Figures, Writer};
+use crate::{RelayCall, RelayResponse};
+use topazyard_wire::http::inbound::{Drain, Stage};
+use topazyard_wire::metrics::{MetricSource, Writer};
 
 /// A relay's figures at one moment.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 async fn fetch(handle: Handle, drain: Drain) -> Option<RelayFigures> {
     let stage = *drain.borrow();
     match handle.call(RelayCall::Health).await {
-        Ok(RelayReturn::Health(health)) => Some(RelayFigures::new(*health, stage)),
+        Ok(RelayResponse::Health(health)) => Some(RelayFigures::new(*health, stage)),
         _ => None,
     }
 }
@@ -33,11 +33,16 @@
 impl RelayFigures {
     /// The figures of a relay that fares so.
     pub fn new(health: RelayHealth, stage: Stage) -> Self {
-        Self { health, stage, ended: ended::counts(), malformed_loads: loads::malformed() }
+        Self {
+            health,
+            stage,
+            ended: outcomes::counts(),
+            malformed_loads: engine_loads::malformed_count(),
+        }
     }
 }
 
-impl Figures for RelayFigures {
+impl MetricSource for RelayFigures {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         self.write_requests(to)?;
         self.write_drain(to)?;
@@ -47,7 +52,7 @@
             let help = "Age of the last confirmation of the feed";
             to.fraction("relay_feed_age_seconds", help, seconds(age.0))?;
         }
-        let version = health.spec.map_or(0, |version| version.0);
+        let version = health.configuration.map_or(0, |version| version.0);
         to.gauge("relay_configuration_version", "Version in force, 0 before the first", version)?;
         to.gauge("relay_engines", "Engines that may be used", health.engines as u64)
     }
@@ -61,12 +66,12 @@
             ("holding", health.holding),
             ("items", health.items),
             ("batch_calls", health.batch_calls),
-            ("ends_to_tell", health.ends_to_tell),
+            ("ends_to_tell", health.unacknowledged_run_ends),
         ];
         let under_way = under_way.map(|(at, count)| (at, count as u64));
         let help = "Work under way, by what it is";
         to.gauges("relay_under_way", help, "work", under_way)?;
-        to.counter("relay_requests_taken", "Requests that were let in", health.allowed)?;
+        to.counter("relay_requests_taken", "Requests that were let in", health.admitted)?;
         let refused = health.refused.iter().map(|(code, count)| (code, *count));
         to.counters("relay_requests_refused", "Requests refused, by code", "code", refused)?;
         let help =
--- a/programs/topazyard-relay/tests/loopback/core.rs
+++ b/programs/topazyard-relay/tests/loopback/core.rs
@@ -1,16 +1,16 @@
 //! The core as a relay sees it: the agent beside it, the counter's primary and a shard's.
 
 use topazyard_types::{
-    BatchId, EngineName, Epoch, FleetId, ItemNumber, NodeId, Place, Sequence, ShardId, SpecVersion,
-    Tokens,
+    BatchId, ConfigurationVersion, EngineName, Epoch, FleetId, ItemNumber, LogPosition, NodeId,
+    Sequence, ShardId, Tokens,
 };
 use topazyard_wire::message::batch::{
-    BatchBody, BatchCall, BatchMessage, BatchReturn, Directions, Item, LeasedItem, Progress, Run,
-    RunEnd,
+    BatchBody, BatchCall, BatchMessage, BatchResponse, Item, ItemRouting, LeasedItem, Progress,
+    Run, RunEnd,
 };
 use topazyard_wire::message::control::{CoreNode, ShardRecord};
 use topazyard_wire::message::counter::{CounterBody, CounterMessage};
-use topazyard_wire::message::feed::{FeedMessage, Matter};
+use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 use topazyard_wire::message::{FRAME_VERSION, Frame, Message};
 use topazyard_wire::state::{IN_FORCE, InForceRow, engine_key, route_key, shard_key};
 
@@ -27,67 +27,71 @@
 }
 
 /// The primary of the shard with that batch: it leases what was handed in, and tells how it ended.
-pub struct Shard {
+pub struct ShardStub {
     /// The ids of items that are handed in.
-    pub handed_in: tokio::sync::mpsc::UnboundedReceiver<String>,
+    pub submitted: tokio::sync::mpsc::UnboundedReceiver<String>,
     /// Where the end of each run is told.
-    pub tell_end: tokio::sync::mpsc::UnboundedSender<RunEnd>,
+    pub run_ends: tokio::sync::mpsc::UnboundedSender<RunEnd>,
     /// The last lease.
-    pub leases: u64,
+    pub last_lease: u64,
 }
 
-impl Shard {
-    fn answer(&mut self, call: BatchCall) -> BatchReturn {
+impl ShardStub {
+    fn answer(&mut self, call: BatchCall) -> BatchResponse {
         match call {
             BatchCall::Lease { .. } => {
-                let handed_in = std::iter::from_fn(|| self.handed_in.try_recv().ok());
-                let ids: Vec<String> = handed_in.collect();
-                BatchReturn::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
+                let submitted = std::iter::from_fn(|| self.submitted.try_recv().ok());
+                let ids: Vec<String> = submitted.collect();
+                BatchResponse::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
             }
             BatchCall::Finish(_, end) => {
-                let _ = self.tell_end.send(end);
-                BatchReturn::Noted
+                let _ = self.run_ends.send(end);
+                BatchResponse::Acknowledged
             }
-            _ => BatchReturn::Noted,
+            _ => BatchResponse::Acknowledged,
         }
     }
 
     fn lease(&mut self, id: String) -> LeasedItem {
-        self.leases += 1;
-        let directions =
-            Directions { id, path: "/batch/1".to_owned(), headers: Vec::new(), prefix: Vec::new() };
+        self.last_lease += 1;
+        let routing = ItemRouting {
+            id,
+            path: "/batch/1".to_owned(),
+            headers: Vec::new(),
+            prefix: Vec::new(),
+        };
         let item = Item {
             model: "".into(),
             body: bytes::Bytes::from_static(b"item"),
             repeatable: true,
             cost: Tokens(1),
-            directions: Some(directions),
+            routing: Some(routing),
         };
-        let run = Run { batch: batch(), item: ItemNumber(0), lease: self.leases };
+        let run = Run { batch: batch(), item: ItemNumber(0), lease: self.last_lease };
         let route = Some(("batch".into(), HOST.to_owned()));
         LeasedItem { run, item, route, progress: Progress::default() }
     }
 }
 
 /// The agent beside the relay, the counter's primary, which grants all, and a shard's.
-pub async fn be_core(
+pub async fn run_core(
     listener: tokio::net::TcpListener,
     address: Address,
     engines: Vec<(EngineName, Address)>,
-    mut shard: Shard,
+    mut shard: ShardStub,
 ) {
     let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
-    tokio::spawn(topazyard_wire::link::inward::listen(listener, FLEET, move |frame| {
+    tokio::spawn(topazyard_wire::link::inbound::listen(listener, FLEET, move |frame| {
         let _ = sender.send(frame);
     }));
     let mut links = topazyard_wire::link::Links::default();
     while let Some(frame) = frames.recv().await {
         let Frame { address: to, message, .. } = frame;
         let message = match message {
-            Message::Feed(FeedMessage::Ask { nonce, .. }) => {
-                let place = Place { epoch: Epoch(1), sequence: Sequence(1) };
-                let matter = Matter::View(rows(address, &engines));
-                Message::Feed(FeedMessage::News { nonce, place, matter })
+            Message::Feed(FeedMessage::Request { nonce, .. }) => {
+                let position = LogPosition { epoch: Epoch(1), sequence: Sequence(1) };
+                let content = UpdateContent::Snapshot(rows(address, &engines));
+                Message::Feed(FeedMessage::Update { nonce, position, content })
             }
             Message::Counter(CounterMessage { epoch, body }) => {
                 let body = match body {
@@ -101,7 +105,7 @@
                 Message::Counter(CounterMessage { epoch, body })
             }
             Message::Batch(BatchMessage { body: BatchBody::Call(call), call: number, .. }) => {
-                let body = BatchBody::Return(shard.answer(call));
+                let body = BatchBody::Response(shard.answer(call));
                 let shard = batch().shard;
                 Message::Batch(BatchMessage { shard, epoch: Epoch(1), call: number, body })
             }
@@ -116,7 +120,7 @@
 fn rows(core: Address, engines: &[(EngineName, Address)]) -> Vec<(String, bytes::Bytes)> {
     use topazyard_wire::rows::encode;
     let text = r#"{"pools":[{"name":"main","limit_tokens":100000}]}"#.to_owned();
-    let in_force = InForceRow { version: SpecVersion(1), text };
+    let in_force = InForceRow { version: ConfigurationVersion(1), text };
     let shard = ShardRecord {
         epoch: Epoch(1),
         primary: CoreNode { id: NodeId(1), address: core },
--- a/programs/topazyard-storage/src/batches/routed/read.rs
+++ b/programs/topazyard-storage/src/batches/routed/read.rs
@@ -3,41 +3,41 @@
 use super::rows;
 use topazyard_replication::Copy;
 use topazyard_types::{BatchId, ItemNumber};
-use topazyard_wire::message::batch::{BatchStanding, ItemEnd, ItemReturn};
+use topazyard_wire::message::batch::{BatchStatus, ItemEnd, ItemResult};
 
-/// The most bytes of bodies in one page of results.
-const MOST_BYTES: usize = 900_000;
-/// What a result weighs beside its body, in bytes.
-const BESIDE_BODY: usize = 128;
+/// Maximum size of the bodies in one page of results, in bytes.
+const MAX_PAGE_BYTES: usize = 900_000;
+/// Size accounted for a result in a page in addition to its body, in bytes.
+const OVERHEAD_BYTES: usize = 128;
 
-/// How a batch stands.
-pub fn standing(copy: &Copy, batch: BatchId) -> Option<BatchStanding> {
+/// Status of a batch.
+pub fn status(copy: &Copy, batch: BatchId) -> Option<BatchStatus> {
     let row = rows::batch_of(copy, batch.number)?;
-    let waiting = if row.ended { 0 } else { row.items - row.listed };
-    Some(BatchStanding {
+    let waiting = if row.ended { 0 } else { row.items - row.result_count };
+    Some(BatchStatus {
         batch,
         items: row.items,
-        returned: row.listed,
+        returned: row.result_count,
         waiting,
         running: 0,
         ended: row.ended,
     })
 }
 
-/// The number of a batch's items, and its results after a position in order: at least one if
-/// there is one.
-pub fn results(copy: &Copy, batch: BatchId, after: u32) -> Option<(u32, Vec<ItemReturn>)> {
+/// The number of items of a batch, and its results after a position in order; at least one if there
+/// is any.
+pub fn results(copy: &Copy, batch: BatchId, after: u32) -> Option<(u32, Vec<ItemResult>)> {
     let row = rows::batch_of(copy, batch.number)?;
     let mut bytes = 0;
     let mut found = Vec::new();
-    for position in after.saturating_add(1)..=row.listed {
+    for position in after.saturating_add(1)..=row.result_count {
         let Some(result) = rows::result_of(copy, batch.number, position) else { break };
-        bytes += BESIDE_BODY;
-        if let ItemEnd::Whole { body, .. } = &result.end {
-            // Line feeds and the like take two bytes where they are shown.
+        bytes += OVERHEAD_BYTES;
+        if let ItemEnd::Complete { body, .. } = &result.end {
+            // Control characters and quotes are escaped in JSON and take up to six bytes.
             bytes += body.len() + body.iter().filter(|b| **b < b' ' || **b == b'"').count() * 5;
         }
-        if bytes > MOST_BYTES && !found.is_empty() {
+        if bytes > MAX_PAGE_BYTES && !found.is_empty() {
             break;
         }
         found.push(result);
@@ -50,7 +50,7 @@
     let row = rows::batch_of(copy, batch.number)?;
     let items = (0..row.items).filter_map(|n| rows::item_of(copy, batch.number, ItemNumber(n)));
     let is_named = |item: &topazyard_wire::message::batch::Item| {
-        item.directions.as_ref().is_some_and(|d| d.id == id)
+        item.routing.as_ref().is_some_and(|d| d.id == id)
     };
     items.into_iter().find(is_named).map(|item| item.body)
 }
--- a/programs/topazyard-storage/src/batches/routed/rows.rs
+++ b/programs/topazyard-storage/src/batches/routed/rows.rs
@@ -1,10 +1,10 @@
-//! The rows of batches of routed items. An item's row is gone once it has its result or its batch
-//! has ended; what has a row waits.
+//! The rows of batches of routed items. An item's row is deleted once the item has its result or
+//! its batch has ended, so every item row stands for a waiting item.
 
 use super::RoutedBatchRow;
 use topazyard_types::ItemNumber;
 use topazyard_wire::RowChange;
-use topazyard_wire::message::batch::{Item, ItemReturn};
+use topazyard_wire::message::batch::{Item, ItemResult};
 
 const ROUTED_BATCHES: &str = "batch/";
 
@@ -28,18 +28,19 @@
     RowChange::put(item_key(number, item), value)
 }
 
-pub(super) fn item_gone(number: u64, item: ItemNumber) -> RowChange {
-    RowChange::gone(item_key(number, item))
+pub(super) fn delete_item(number: u64, item: ItemNumber) -> RowChange {
+    RowChange::delete(item_key(number, item))
 }
 
-pub(super) fn result(number: u64, value: &ItemReturn) -> RowChange {
+pub(super) fn result(number: u64, value: &ItemResult) -> RowChange {
     RowChange::put(result_key(number, value.position), value)
 }
 
-/// Takes every row of a batch away that has all its results or has ended.
-pub(super) fn all_gone(number: u64, listed: u32) -> Vec<RowChange> {
-    let results = (1..=listed).map(|position| RowChange::gone(result_key(number, position)));
-    results.chain([RowChange::gone(batch_key(number))]).collect()
+/// Deletes all rows of a batch that has ended or has all its results.
+pub(super) fn delete_all(number: u64, result_count: u32) -> Vec<RowChange> {
+    let results =
+        (1..=result_count).map(|position| RowChange::delete(result_key(number, position)));
+    results.chain([RowChange::delete(batch_key(number))]).collect()
 }
 
 pub(super) fn batches(
@@ -67,6 +68,6 @@
     copy: &topazyard_replication::Copy,
     number: u64,
     position: u32,
-) -> Option<ItemReturn> {
+) -> Option<ItemResult> {
     copy.get(&result_key(number, position))
 }
--- a/programs/topazyard-storage/src/counter/rows.rs
+++ b/programs/topazyard-storage/src/counter/rows.rs
@@ -1,4 +1,4 @@
-//! The counter's rows, by which its backup follows.
+//! The counter's rows, which are replicated to its backups.
 
 use super::Report;
 use topazyard_types::{HoldId, NodeId, ShardId};
@@ -16,8 +16,8 @@
     RowChange::put(hold_key(relay, hold.id), &(relay, hold))
 }
 
-pub(super) fn no_hold(relay: NodeId, id: HoldId) -> RowChange {
-    RowChange::gone(hold_key(relay, id))
+pub(super) fn delete_hold(relay: NodeId, id: HoldId) -> RowChange {
+    RowChange::delete(hold_key(relay, id))
 }
 
 pub(super) fn report(shard: ShardId, report: &Report) -> RowChange {
--- a/programs/topazyard-storage/src/machine/hosted.rs
+++ b/programs/topazyard-storage/src/machine/hosted.rs
@@ -1,94 +1,95 @@
-//! One shard's copy at this node.
+//! A shard hosted at this node.
 
 use crate::batches::Batches;
 use crate::counter::Counter;
-use topazyard_replication::{Doubt, Replica, Ticket};
+use topazyard_replication::{Replica, Uncommitted, WriteTicket};
 use topazyard_types::{BatchId, Epoch, MonotonicMs, NodeId, Sequence, Tokens};
-use topazyard_wire::message::batch::{BatchReturn, Item};
-use topazyard_wire::message::control::ShardWish;
+use topazyard_wire::message::batch::{BatchResponse, Item};
+use topazyard_wire::message::control::ShardChangeRequest;
 use topazyard_wire::message::counter::CounterBody;
 
-/// After how long without its backup's confirmation a primary wants to know what control says.
-const BACKUP_LATE: topazyard_types::DurationMs = topazyard_types::DurationMs(200);
+/// Time without a backup's confirmation after which a primary polls control quickly.
+const CONTROL_POLL_DELAY: topazyard_types::DurationMs = topazyard_types::DurationMs(200);
 
-/// What a shard's primary works with.
+/// The state with which a shard's primary serves calls.
 #[derive(Debug)]
-pub(crate) enum Work {
-    /// It is not serving.
+pub(crate) enum ServingState {
+    /// This node does not serve the shard.
     None,
-    /// The counter.
+    /// The token counter.
     Counter(Counter),
-    /// Batches.
+    /// The shard's batches.
     Batches(Batches),
 }
 
-/// A shard's copy, and what its primary works with.
+/// A shard's replica at this node, and the primary's state.
 #[derive(Debug)]
 pub(crate) struct Hosted {
     pub(crate) replica: Replica,
-    pub(crate) work: Work,
-    pub(crate) waiting: std::collections::BTreeMap<Ticket, Waiting>,
-    pub(crate) last_ticket: Ticket,
-    /// A wish for another record, with when it was last sent; none while it is being synced.
-    pub(crate) wish: Option<(ShardWish, Option<MonotonicMs>)>,
-    pub(crate) raising: Raising,
-    /// Submissions of batches that were refused here: a late frame of one must not be taken.
-    pub(crate) refused: std::collections::VecDeque<(NodeId, u64)>,
-    /// Reads asked aside, until control confirms that this copy still counts.
-    pub(crate) asides: Vec<Aside>,
-    /// The record that a quorum read of control confirmed last, with when it was asked for.
+    pub(crate) serving_state: ServingState,
+    pub(crate) waiters: std::collections::BTreeMap<WriteTicket, CommitWaiter>,
+    pub(crate) last_ticket: WriteTicket,
+    /// The requested change of the record, and when the request was last sent; no time while this
+    /// node's stop is still being synced.
+    pub(crate) change_request: Option<(ShardChangeRequest, Option<MonotonicMs>)>,
+    pub(crate) pending_submissions: PendingSubmissions,
+    /// Submissions that were refused here: a delayed frame of one must not be accepted later.
+    pub(crate) refused_submissions: std::collections::VecDeque<(NodeId, u64)>,
+    /// Reads that wait for control to confirm that this copy's record is current.
+    pub(crate) replica_reads: Vec<ReplicaRead>,
+    /// The epoch that a quorum read of control last confirmed, and when that was requested.
     pub(crate) record_confirmed: Option<(Epoch, MonotonicMs)>,
-    /// What the other backups said they have synced in this epoch.
+    /// The sequences that the other backups reported as synced in this epoch.
     pub(crate) synced_by: std::collections::BTreeMap<NodeId, Sequence>,
 }
 
-/// A read asked aside.
+/// A read to be answered from this copy, although this node may not be the primary.
 #[derive(Debug)]
-pub(crate) struct Aside {
+pub(crate) struct ReplicaRead {
     pub(crate) caller: BatchCaller,
-    pub(crate) answer: BatchAnswer,
-    pub(crate) since: MonotonicMs,
+    pub(crate) response: PendingResponse,
+    pub(crate) received_at: MonotonicMs,
 }
 
-/// Who waits for a ticket.
+/// Who awaits the commit of a write ticket.
 #[derive(Debug)]
-pub(crate) enum Waiting {
+pub(crate) enum CommitWaiter {
     /// Nobody.
     Nobody,
-    /// A relay or a shard primary that asked the counter.
+    /// A relay or shard primary that called the counter, and the response.
     Counter(std::net::SocketAddr, CounterBody),
-    /// A relay that asked about batches.
-    Batch(BatchCaller, BatchAnswer),
+    /// A relay that called a batch shard, and the response.
+    Batch(BatchCaller, PendingResponse),
 }
 
-/// A relay's call on batches.
+/// Where to send the response to a relay's batch call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BatchCaller {
     pub(crate) to: std::net::SocketAddr,
     pub(crate) call: u64,
 }
 
-/// What a relay's call returns once its ticket is committed.
+/// The response to a relay's call, resolved once its write ticket is committed.
 #[derive(Debug, Clone)]
-pub(crate) enum BatchAnswer {
-    /// This.
-    Ready(BatchReturn),
-    /// How the batch stands then; as accepted, or as read.
-    Standing(BatchId, bool),
-    /// Its returns after a position.
-    Returns(BatchId, u32),
+pub(crate) enum PendingResponse {
+    /// Already known.
+    Ready(BatchResponse),
+    /// The batch's status; true if as the response to a submission.
+    Status(BatchId, bool),
     /// A batch's results after a position.
     Results(BatchId, u32),
+    /// A routed batch's results after a position.
+    RoutedResults(BatchId, u32),
     /// The body of a batch's item.
     Body(BatchId, String),
 }
 
-/// Submissions that wait for room below the ceiling, one asked for at a time.
+/// Submissions that wait for capacity below the ceiling; one request is open at a time.
 #[derive(Debug, Default)]
-pub(crate) struct Raising {
+pub(crate) struct PendingSubmissions {
     pub(crate) queue: std::collections::VecDeque<Submission>,
-    /// The report that asks for the first one's room, and since when.
-    pub(crate) asked: Option<(u64, MonotonicMs)>,
+    /// The report that requests capacity for the first submission, and when it was sent.
+    pub(crate) requested: Option<(u64, MonotonicMs)>,
     pub(crate) last_number: u64,
     pub(crate) last_report: MonotonicMs,
 }
@@ -99,88 +100,89 @@
     pub(crate) batch: BatchId,
     pub(crate) items: Vec<Item>,
     pub(crate) ceiling: Tokens,
-    pub(crate) since: MonotonicMs,
-    /// When its relay last spoke of it.
-    pub(crate) heard: MonotonicMs,
+    pub(crate) received_at: MonotonicMs,
+    /// When its relay last sent it.
+    pub(crate) last_heard: MonotonicMs,
 }
 
 impl Hosted {
     pub(crate) fn new(replica: Replica) -> Self {
         Self {
             replica,
-            work: Work::None,
-            waiting: std::collections::BTreeMap::new(),
+            serving_state: ServingState::None,
+            waiters: std::collections::BTreeMap::new(),
             last_ticket: 0,
-            wish: None,
-            raising: Raising::default(),
-            refused: std::collections::VecDeque::new(),
-            asides: Vec::new(),
+            change_request: None,
+            pending_submissions: PendingSubmissions::default(),
+            refused_submissions: std::collections::VecDeque::new(),
+            replica_reads: Vec::new(),
             record_confirmed: None,
             synced_by: std::collections::BTreeMap::new(),
         }
     }
 
-    /// Calls that wait for a commit.
+    /// Number of calls that await a commit.
     pub(crate) fn calls_waiting(&self) -> usize {
-        self.waiting.values().filter(|waiting| !matches!(waiting, Waiting::Nobody)).count()
+        self.waiters.values().filter(|waiter| !matches!(waiter, CommitWaiter::Nobody)).count()
     }
 
     pub(crate) fn counter(&self) -> Option<&Counter> {
-        match &self.work {
-            Work::Counter(counter) => Some(counter),
+        match &self.serving_state {
+            ServingState::Counter(counter) => Some(counter),
             _ => None,
         }
     }
 
     pub(crate) fn batches(&self) -> Option<&Batches> {
-        match &self.work {
-            Work::Batches(batches) => Some(batches),
+        match &self.serving_state {
+            ServingState::Batches(batches) => Some(batches),
             _ => None,
         }
     }
 
-    /// Submits changes on somebody's behalf.
-    pub(crate) fn submit(&mut self, changes: Vec<topazyard_wire::RowChange>, waiting: Waiting) {
+    /// Submits changes for replication; `waiter` is notified when they are committed.
+    pub(crate) fn submit(&mut self, changes: Vec<topazyard_wire::RowChange>, waiter: CommitWaiter) {
         self.last_ticket += 1;
         if self.replica.submit(self.last_ticket, changes) {
-            self.waiting.insert(self.last_ticket, waiting);
+            self.waiters.insert(self.last_ticket, waiter);
         }
     }
 
-    /// Whether something here waits for the next word of control.
+    /// Whether something here waits for the next update from control.
     pub(crate) fn waits_for_control(&self, now: MonotonicMs) -> bool {
-        let late = |since| now.since(since) >= BACKUP_LATE;
+        let late = |since| now.since(since) >= CONTROL_POLL_DELAY;
         let unsettled = self.replica.is_primary() && !self.replica.is_serving();
         let unsettled = unsettled || self.replica.backup_silent_since().is_some_and(late);
-        self.wish.is_some() || unsettled || !self.asides.is_empty()
+        self.change_request.is_some() || unsettled || !self.replica_reads.is_empty()
     }
 
-    /// When the asking was sent by which it was last confirmed that this copy's record stands.
+    /// When the latest request was sent whose response confirmed this copy's record as current.
     pub(crate) fn confirmed_at(&self, by_feed: Option<MonotonicMs>) -> Option<MonotonicMs> {
         let by_quorum = self.record_confirmed.filter(|(epoch, _)| *epoch == self.replica.epoch());
         by_feed.max(by_quorum.map(|(_, at)| at))
     }
 
-    /// Whether all of these nodes said that they have synced what this follower holds.
+    /// Whether all these nodes reported that they have synced what this replica holds.
     pub(crate) fn all_have_synced(&self, mut nodes: impl Iterator<Item = NodeId>) -> bool {
-        let held = self.replica.copy().place().sequence;
-        nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= held))
+        let sequence = self.replica.copy().position().sequence;
+        nodes.all(|id| self.synced_by.get(&id).is_some_and(|synced| *synced >= sequence))
     }
 
-    /// Whether this node follows in step in that epoch and has synced the copy up to there.
+    /// Whether this node is a backup in sync in the epoch and has synced its copy up to the
+    /// sequence.
     pub(crate) fn has_synced(&self, epoch: Epoch, sequence: Sequence) -> bool {
-        let in_step = self.replica.epoch() == epoch && self.replica.was_in_step();
-        let is_whole = self.replica.doubt() != Doubt::All;
-        in_step
-            && is_whole
+        let in_sync = self.replica.epoch() == epoch && self.replica.was_in_sync();
+        let is_complete = self.replica.uncommitted() != Uncommitted::All;
+        in_sync
+            && is_complete
             && self.replica.is_synced()
-            && self.replica.copy().place().sequence >= sequence
+            && self.replica.copy().position().sequence >= sequence
     }
 
-    /// Whether this primary may work in its epoch.
+    /// Whether this node serves as the primary in the epoch.
     pub(crate) fn is_serving_in(&self, epoch: Epoch) -> bool {
         self.replica.epoch() == epoch
             && self.replica.is_serving()
-            && !matches!(self.work, Work::None)
+            && !matches!(self.serving_state, ServingState::None)
     }
 }
