--- a/review/stand-ins/tests/disks_lost.rs
+++ b/review/stand-ins/tests/disks_lost.rs
@@ -5,7 +5,7 @@
 
 use fleet::{Fleet, Record, Verdict, bulk_route, configuration, lock, lot_body};
 use fleet_soak::layout::Class;
-use fleet_soak::processes::Deed;
+use fleet_soak::processes::Action;
 use std::time::{Duration, Instant};
 
 const HOST: &str = "nony24.example";
@@ -51,7 +51,7 @@
         let relay = fleet.relays()[number % 3];
         let end =
             fleet.lot_call(relay, &format!("POST /pule252/{lot}"), HOST, &lot_body(&items)).await;
-        match end.answer().and_then(|answer| answer.status()) {
+        match end.response().and_then(|answer| answer.status()) {
             Some(202) => lots.push(lot),
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
@@ -85,11 +85,11 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = listed(fleet, &lots[0]).await?;
     record.say(format!("lot {} has {before} results on its first page", lots[0]));
-    for machine in fleet.layout.of(Class::Storage) {
+    for machine in fleet.layout.machines_of(Class::Storage) {
         let name = fleet.layout.name(machine);
         if fleet::with_trouble() {
             record.say(format!("{name} loses its disk"));
-            fleet.each(machine, Deed::Kill { wipe: true, down: DOWN }).await;
+            fleet.each(machine, Action::Kill { wipe: true, down: DOWN }).await;
             record.say(format!("{name} is started again, with an empty disk"));
         } else {
             tokio::time::sleep(DOWN).await;
--- a/review/stand-ins/tests/fleet.rs
+++ b/review/stand-ins/tests/fleet.rs
@@ -8,7 +8,7 @@
 use base64::Engine as _;
 use fleet_soak::http::{CallEnd, Message, call};
 use fleet_soak::layout::{Class, Layout, Role, Size};
-use fleet_soak::processes::{Deed, Places, Process};
+use fleet_soak::processes::{Action, RunPaths, Process};
 use serde_json::{Value, json};
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -143,7 +143,7 @@
         let layout = Layout::new(Size::Small, *network);
         let machines =
             layout.machines().map(|machine| SocketAddr::from((layout.advertised(machine), 7720)));
-        let all = machines.chain([layout.list(), layout.engine(0)]);
+        let all = machines.chain([layout.engine_list(), layout.engine(0)]);
         all.into_iter().all(|address| std::net::TcpListener::bind(address).is_ok())
     })
 }
@@ -178,7 +178,7 @@
             lock(&world).listed.push(entry.clone());
             tokio::spawn(serve_engine(listener, entry, world.clone(), begun));
         }
-        let list = tokio::net::TcpListener::bind(layout.list()).await;
+        let list = tokio::net::TcpListener::bind(layout.engine_list()).await;
         let list = list.map_err(|error| error.to_string())?;
         tokio::spawn(serve_list(list, world.clone()));
         match megabits {
@@ -194,7 +194,7 @@
         .map_err(|error| error.to_string())?;
         let (recorder, _) = tokio::sync::mpsc::unbounded_channel();
         let clock = fleet_soak::history::Clock::start();
-        let places = Places {
+        let places = RunPaths {
             has_metrics: fleet_soak::processes::has_metrics(&program),
             program,
             folder: folder.clone(),
@@ -233,18 +233,18 @@
     }
 
     /// Does something to all processes of a machine.
-    pub async fn each(&self, machine: usize, deed: Deed) {
+    pub async fn each(&self, machine: usize, action: Action) {
         for (_, process) in &self.processes[machine] {
-            process.suffer(deed).await;
+            process.apply(action).await;
         }
     }
 
     pub fn relays(&self) -> Vec<SocketAddr> {
-        self.layout.of(Class::Edge).map(|machine| self.layout.front(machine)).collect()
+        self.layout.machines_of(Class::Edge).map(|machine| self.layout.front(machine)).collect()
     }
 
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.layout.of(Class::Control).map(|machine| self.layout.control(machine)).collect()
+        self.layout.machines_of(Class::Control).map(|machine| self.layout.control(machine)).collect()
     }
 
     /// Sends a configuration to one control node after the other until one answers it.
@@ -258,7 +258,7 @@
                     text.len()
                 );
                 let (end, _) = call(control, request.as_bytes(), Duration::from_secs(1)).await;
-                if let Some(status) = end.answer().and_then(|answer| answer.status())
+                if let Some(status) = end.response().and_then(|answer| answer.status())
                     && status < 500
                 {
                     return Ok(status);
@@ -274,7 +274,7 @@
         for control in self.controls() {
             let request = b"GET /api/configuration HTTP/1.1\r\nHost: control\r\n\r\n";
             let (end, _) = call(control, request, Duration::from_secs(1)).await;
-            if let Some(answer) = end.answer().filter(|answer| answer.status() == Some(200)) {
+            if let Some(answer) = end.response().filter(|answer| answer.status() == Some(200)) {
                 return Some(answer.text());
             }
         }
@@ -299,7 +299,7 @@
         let mut last = String::new();
         for relay in self.relays() {
             let end = self.lot_call(relay, &format!("GET /api/lots/{id}?after=0"), host, "").await;
-            match end.answer() {
+            match end.response() {
                 Some(answer) if answer.status() == Some(200) => {
                     let value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
                     return Ok((200, value));
@@ -319,7 +319,7 @@
     /// Ends all processes and removes their files.
     pub async fn end(self) {
         for machine in 0..self.processes.len() {
-            self.each(machine, Deed::End).await;
+            self.each(machine, Action::End).await;
         }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/review/stand-ins/tests/narrow_links.rs
+++ b/review/stand-ins/tests/narrow_links.rs
@@ -23,7 +23,7 @@
         let is_narrow = layout.class(machine) == Class::Storage;
         let bits = if is_narrow { megabits * 1e6 } else { 1e9 };
         let free = Free::new(tokio::sync::Mutex::new(Instant::now()));
-        for port in layout.inner_ports(machine) {
+        for port in layout.frame_ports(machine) {
             let socket = tokio::net::TcpSocket::new_v4()?;
             socket.set_reuseaddr(true)?;
             socket.set_recv_buffer_size(WINDOW)?;
--- a/review/stand-ins/tests/route_name_reused.rs
+++ b/review/stand-ins/tests/route_name_reused.rs
@@ -49,7 +49,7 @@
     lock(&fleet.world).turns_away = true;
     let head = format!("POST {PREFIX}{LOT}");
     let end = fleet.lot_call(fleet.relays()[0], &head, HOST, &lot_body(&items())).await;
-    let status = end.answer().and_then(|answer| answer.status());
+    let status = end.response().and_then(|answer| answer.status());
     record.say(format!("lot {LOT} of {ITEMS} items with paths under {PREFIX}: {status:?}"));
     if status != Some(202) {
         return Err("the lot was not accepted".to_owned());
--- a/review/stand-ins/tests/route_renamed.rs
+++ b/review/stand-ins/tests/route_renamed.rs
@@ -53,7 +53,7 @@
     let relay = fleet.relays()[0];
     let head = format!("POST {PREFIX}{LOT}");
     let end = fleet.lot_call(relay, &head, HOST, &lot_body(&items(LOT))).await;
-    let status = end.answer().and_then(|answer| answer.status());
+    let status = end.response().and_then(|answer| answer.status());
     record.say(format!("lot {LOT} of {ITEMS} items: {status:?}"));
     if status != Some(202) {
         return Err("the lot was not accepted".to_owned());
@@ -75,7 +75,7 @@
     // A lot that comes now shows that the route works.
     let head = format!("POST {PREFIX}{SECOND_LOT}");
     let end = fleet.lot_call(relay, &head, HOST, &lot_body(&items(SECOND_LOT))).await;
-    let status = end.answer().and_then(|answer| answer.status());
+    let status = end.response().and_then(|answer| answer.status());
     record.say(format!("lot {SECOND_LOT} of {ITEMS} items: {status:?}; traffic has ended"));
     tokio::time::sleep(FINISH).await;
 
