--- a/review/stand-ins/tests/fleet.rs
+++ b/review/stand-ins/tests/fleet.rs
@@ -8,7 +8,7 @@
 use base64::Engine as _;
 use fleet_soak::http::{CallEnd, Message, call};
 use fleet_soak::layout::{Class, Layout, Role, Size};
-use fleet_soak::processes::{Action, RunPaths, Process};
+use fleet_soak::processes::{Action, Process, RunPaths};
 use serde_json::{Value, json};
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -244,7 +244,10 @@
     }
 
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.layout.machines_of(Class::Control).map(|machine| self.layout.control(machine)).collect()
+        self.layout
+            .machines_of(Class::Control)
+            .map(|machine| self.layout.control(machine))
+            .collect()
     }
 
     /// Sends a configuration to one control node after the other until one answers it.
