--- a/programs/topazyard-edge-agent/src/lib.rs
+++ b/programs/topazyard-edge-agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! Beside each relay: its place in the membership and its link to the control plane.
+//! The agent that runs next to each relay: a cluster member that connects its relay to the control
+//! plane.
 
 pub mod machine;
 pub mod metrics;
--- a/programs/topazyard-edge-agent/src/machine.rs
+++ b/programs/topazyard-edge-agent/src/machine.rs
@@ -1,6 +1,6 @@
-//! The agent's machine: it passes its relay's askings on to the control primary, wherever that
-//! is, and the returns back. Freshness is counted by the relay from its own asking, so an agent
-//! that was frozen can't make old news look fresh.
+//! The agent's state machine. It forwards the feed requests of its relay to the control primary,
+//! which it locates, and the updates back to the relay. The relay measures freshness from the time
+//! of its own request, so an agent that was paused can't make an old update look fresh.
 
 use topazyard_membership::Membership;
 use topazyard_types::{CallId, DurationMs, MonotonicMs};
@@ -10,94 +10,96 @@
 use topazyard_wire::message::membership::{Member, MemberRole};
 use topazyard_wire::{Effect, Group, Input, Machine, WriteToken};
 
-/// The same while it is not known who leads.
-const LOOKING_TIMEOUT: DurationMs = DurationMs(125);
-/// Control nodes asked at once while it is not known who leads.
-const ASKED_AT_ONCE: usize = 3;
-/// After how long another is asked where one knew of no primary.
-const TURNED_AWAY: DurationMs = DurationMs(50);
-/// After how long without a return another control node is asked.
-const TIMEOUT: DurationMs = DurationMs(250);
-/// After how long without an asking an agent that is to end counts its relay as ended: a relay asks
-/// every 200 ms, and after 450 ms where no answer came.
-const RELAY_ENDED: DurationMs = DurationMs(750);
-/// After how long without an asking the relay counts as gone, and its agent leaves the fleet.
-const RELAY_SILENT: DurationMs = DurationMs(3_000);
+/// Time without a response after which other control nodes are tried while the primary is unknown.
+const PRIMARY_SEARCH_TIMEOUT: DurationMs = DurationMs(125);
+/// Control nodes that receive a request in parallel while the primary is unknown.
+const PRIMARY_SEARCH_FANOUT: usize = 3;
+/// Delay until other control nodes are tried after one reported that it knows no primary.
+const NO_PRIMARY_RETRY_DELAY: DurationMs = DurationMs(50);
+/// Time without a response after which the known primary is given up.
+const PRIMARY_TIMEOUT: DurationMs = DurationMs(250);
+/// Time without a request after which a terminating agent considers its relay ended: a relay sends
+/// a request every 200 ms, and repeats one without a response after 450 ms.
+const RELAY_END_TIMEOUT: DurationMs = DurationMs(750);
+/// Time without a request after which the relay is considered lost and its agent no longer takes
+/// part in the membership.
+const RELAY_LOSS_TIMEOUT: DurationMs = DurationMs(3_000);
 
-type Out = Vec<Effect<AgentHealth, topazyard_wire::machine::NoTask>>;
+type Outputs = Vec<Effect<AgentHealth, topazyard_wire::machine::NoTask>>;
 
-/// What may be asked of an agent from within its process.
+/// A call to the agent's machine from its own process.
 #[derive(Debug)]
 pub enum AgentCall {
-    /// The settings name other control nodes now.
+    /// Adds the control nodes that the reloaded settings name.
     Seeds(Vec<std::net::SocketAddr>),
-    /// The process is about to end: returned once its relay has ended.
+    /// The process is about to end. The response follows once the relay has ended.
     Leave,
-    /// How does it fare?
+    /// Requests the agent's health.
     Health,
 }
 
-/// How an agent fares.
+/// Health of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentHealth {
-    /// How long ago its relay last asked.
+    /// Time since the relay's last request, none before the first.
     pub relay_heard_ago: Option<DurationMs>,
-    /// For how long the asking passed on last has waited for its answer.
+    /// How long the last forwarded request has waited for a response, none if it has one.
     pub unanswered_for: Option<DurationMs>,
-    /// Whether it knows the control primary.
+    /// Whether the control primary is known.
     pub knows_primary: bool,
-    /// Control nodes that it knows.
+    /// Number of known control nodes.
     pub control_nodes: usize,
 }
 
-/// From what an agent starts.
+/// What an agent starts with.
 #[derive(Debug)]
 pub struct Start {
-    /// Who and where it is; its HTTP is the relay's.
+    /// The agent's own membership entry, with the HTTP address of its relay.
     pub member: Member,
-    /// Control nodes to begin with.
+    /// Initial addresses of control nodes.
     pub seeds: Vec<std::net::SocketAddr>,
-    /// What its data folder remembers, if it has one.
+    /// Control nodes stored in the data folder, if there is one.
     pub remembered: Option<KnownControlNodes>,
-    /// The relay beside it.
+    /// Address of the agent's relay.
     pub relay: std::net::SocketAddr,
-    /// Seeds its chances.
+    /// Seed of the random number generator.
     pub random_seed: u64,
 }
 
-/// An asking that was passed on.
+/// A feed request of the relay that was forwarded and has no response yet.
 #[derive(Debug)]
-struct Passed {
+struct ForwardedRequest {
+    /// The nonce towards control; 0 until the request is first sent.
     nonce: u64,
     relay_nonce: u64,
     after: topazyard_types::LogPosition,
     part: Option<PartRequest>,
     last_response_age: Option<topazyard_types::DurationMs>,
     health: Health,
-    at: MonotonicMs,
+    sent_at: MonotonicMs,
 }
 
-/// One agent.
+/// The state of an agent.
 pub struct AgentMachine {
     membership: Membership,
     relay: std::net::SocketAddr,
-    sources: Vec<std::net::SocketAddr>,
-    next_source: usize,
-    leader: Option<std::net::SocketAddr>,
-    passed: Option<Passed>,
-    /// When a control node said that it knows of no primary.
-    turned_away: Option<MonotonicMs>,
+    control_nodes: Vec<std::net::SocketAddr>,
+    next_control_node: usize,
+    primary: Option<std::net::SocketAddr>,
+    forwarded: Option<ForwardedRequest>,
+    /// When a control node last reported that it knows no primary.
+    no_primary_at: Option<MonotonicMs>,
     last_nonce: u64,
     last_write: u64,
     last_synced: u64,
     remembered: Option<KnownControlNodes>,
-    relay_heard: Option<MonotonicMs>,
-    /// The process's wish to end, until its relay has ended.
-    leaving: Option<CallId>,
+    relay_last_heard: Option<MonotonicMs>,
+    /// The pending [`AgentCall::Leave`], which is responded to once the relay has ended.
+    leave_call: Option<CallId>,
 }
 
 impl AgentMachine {
-    /// An agent as it starts.
+    /// Creates an agent that knows the stored control nodes and the seeds.
     ///
     /// ```
     /// use topazyard_edge_agent::{AgentMachine, Start};
@@ -110,54 +112,55 @@
     /// AgentMachine::new(start);
     /// ```
     pub fn new(start: Start) -> Self {
-        let known = start.remembered.as_ref().map(|kept| kept.with_seeds(&start.seeds));
-        let sources = known.unwrap_or(start.seeds);
+        let stored = start.remembered.as_ref().map(|stored| stored.with_seeds(&start.seeds));
+        let control_nodes = stored.unwrap_or(start.seeds);
         Self {
-            membership: Membership::new(start.member, sources.clone(), start.random_seed),
+            membership: Membership::new(start.member, control_nodes.clone(), start.random_seed),
             relay: start.relay,
-            sources,
-            next_source: 0,
-            leader: None,
-            passed: None,
-            turned_away: None,
+            control_nodes,
+            next_control_node: 0,
+            primary: None,
+            forwarded: None,
+            no_primary_at: None,
             last_nonce: topazyard_types::BootId(start.random_seed).first_number(),
             last_write: 0,
             last_synced: 0,
             remembered: start.remembered,
-            relay_heard: None,
-            leaving: None,
+            relay_last_heard: None,
+            leave_call: None,
         }
     }
 
-    /// Sends what was asked last to the control node that is thought to lead.
-    fn pass_on(&mut self, now: MonotonicMs, out: &mut Out) {
-        let to = match self.leader {
-            Some(leader) => vec![leader],
+    /// Sends the pending request to the known primary, or to several control nodes in rotation
+    /// while the primary is unknown.
+    fn forward_request(&mut self, now: MonotonicMs, outputs: &mut Outputs) {
+        let to = match self.primary {
+            Some(primary) => vec![primary],
             None => {
-                let known = self.sources.len();
-                let first = self.next_source;
-                self.next_source = (first + ASKED_AT_ONCE) % known.max(1);
-                let asked = (first..).take(ASKED_AT_ONCE.min(known));
-                asked.filter_map(|at| self.sources.get(at % known).copied()).collect()
+                let known = self.control_nodes.len();
+                let first = self.next_control_node;
+                self.next_control_node = (first + PRIMARY_SEARCH_FANOUT) % known.max(1);
+                let indices = (first..).take(PRIMARY_SEARCH_FANOUT.min(known));
+                indices.filter_map(|index| self.control_nodes.get(index % known).copied()).collect()
             }
         };
-        let Some(passed) = &mut self.passed else { return };
-        self.turned_away = None;
-        // Asked again, it is the same asking: an answer that was on its way to it still fits.
-        if passed.nonce == 0 {
+        let Some(request) = &mut self.forwarded else { return };
+        self.no_primary_at = None;
+        // A resent request keeps its nonce, so that a response already in transit is accepted.
+        if request.nonce == 0 {
             self.last_nonce += 1;
-            passed.nonce = self.last_nonce;
+            request.nonce = self.last_nonce;
         }
-        passed.at = now;
+        request.sent_at = now;
         let message = FeedMessage::Request {
-            nonce: passed.nonce,
-            after: passed.after,
-            part: passed.part,
-            last_response_age: passed.last_response_age,
-            health: passed.health.clone(),
+            nonce: request.nonce,
+            after: request.after,
+            part: request.part,
+            last_response_age: request.last_response_age,
+            health: request.health.clone(),
         };
         for to in to {
-            out.push(Effect::Send { to, message: Message::Feed(message.clone()) });
+            outputs.push(Effect::Send { to, message: Message::Feed(message.clone()) });
         }
     }
 
@@ -166,115 +169,117 @@
         from: std::net::SocketAddr,
         message: FeedMessage,
         now: MonotonicMs,
-        out: &mut Out,
+        outputs: &mut Outputs,
     ) {
         match message {
             FeedMessage::Request { nonce, after, part, last_response_age, health } => {
                 if from != self.relay {
                     return;
                 }
-                self.relay_heard = Some(now);
-                // The relay asks again only when it gave the last asking up.
-                let unanswered = self.passed.is_some();
-                self.passed = Some(Passed {
+                self.relay_last_heard = Some(now);
+                // The relay sends another request only after it gave up on the last one.
+                let unanswered = self.forwarded.is_some();
+                self.forwarded = Some(ForwardedRequest {
                     nonce: 0,
                     relay_nonce: nonce,
                     after,
                     part,
                     last_response_age,
                     health,
-                    at: now,
+                    sent_at: now,
                 });
                 if unanswered {
-                    self.leader = None;
+                    self.primary = None;
                 }
-                self.pass_on(now, out);
+                self.forward_request(now, outputs);
             }
             FeedMessage::Update { nonce, position, content } => {
-                if let Some(passed) = self.passed.take_if(|passed| passed.nonce == nonce) {
-                    self.leader = Some(from);
-                    let nonce = passed.relay_nonce;
+                if let Some(request) = self.forwarded.take_if(|request| request.nonce == nonce) {
+                    self.primary = Some(from);
+                    let nonce = request.relay_nonce;
                     let message = Message::Feed(FeedMessage::Update { nonce, position, content });
-                    out.push(Effect::Send { to: self.relay, message });
+                    outputs.push(Effect::Send { to: self.relay, message });
                 }
             }
             FeedMessage::Redirect { nonce, primary, .. } => {
-                if self.passed.as_ref().is_some_and(|passed| passed.nonce == nonce) {
-                    self.leader = primary.filter(|primary| *primary != from);
-                    if self.leader.is_some() {
-                        self.pass_on(now, out);
+                if self.forwarded.as_ref().is_some_and(|request| request.nonce == nonce) {
+                    self.primary = primary.filter(|primary| *primary != from);
+                    if self.primary.is_some() {
+                        self.forward_request(now, outputs);
                     } else {
-                        // It knows of no primary: another may, and soon.
-                        self.turned_away = Some(now);
+                        // Another control node may know the primary: retry after a short delay.
+                        self.no_primary_at = Some(now);
                     }
                 }
             }
         }
     }
 
-    /// Asks the seeds named now, besides every control node that it knows of.
-    fn take_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
-        let new = seeds.iter().filter(|seed| !self.sources.contains(seed)).copied();
-        self.sources.extend(new.collect::<Vec<_>>());
+    /// Adds seeds to the known control nodes.
+    fn add_seeds(&mut self, seeds: Vec<std::net::SocketAddr>) {
+        let new = seeds.iter().filter(|seed| !self.control_nodes.contains(seed)).copied();
+        self.control_nodes.extend(new.collect::<Vec<_>>());
         self.membership.add_seeds(seeds);
     }
 
-    fn tick(&mut self, now: MonotonicMs, out: &mut Out) {
+    fn tick(&mut self, now: MonotonicMs, outputs: &mut Outputs) {
         for address in self.membership.addresses(MemberRole::Control) {
-            if !self.sources.contains(&address) {
-                self.sources.push(address);
+            if !self.control_nodes.contains(&address) {
+                self.control_nodes.push(address);
             }
         }
-        // One write at a time, so that nothing piles up behind a disk that is full or stalls.
+        // One write at a time, so that writes don't queue up on a full or stalled disk.
         let is_synced = self.last_synced == self.last_write;
         let remembered = self.remembered.as_mut().filter(|_| is_synced);
-        let row =
-            remembered.and_then(|kept| kept.update(self.membership.addresses(MemberRole::Control)));
+        let row = remembered
+            .and_then(|stored| stored.update(self.membership.addresses(MemberRole::Control)));
         if let Some(row) = row {
             self.last_write += 1;
             let token = WriteToken { group: Group::Node, number: self.last_write };
-            out.push(Effect::Write { token, changes: vec![row] });
+            outputs.push(Effect::Write { token, changes: vec![row] });
         }
-        let again = self.turned_away.is_some_and(|at| now.since(at) >= TURNED_AWAY);
-        let timeout = if self.leader.is_some() { TIMEOUT } else { LOOKING_TIMEOUT };
-        let late = self.passed.as_ref().is_some_and(|passed| now.since(passed.at) >= timeout);
-        if late || (again && self.passed.is_some()) {
-            self.leader = None;
-            self.pass_on(now, out);
+        let retry = self.no_primary_at.is_some_and(|at| now.since(at) >= NO_PRIMARY_RETRY_DELAY);
+        let timeout = if self.primary.is_some() { PRIMARY_TIMEOUT } else { PRIMARY_SEARCH_TIMEOUT };
+        let timed_out =
+            self.forwarded.as_ref().is_some_and(|request| now.since(request.sent_at) >= timeout);
+        if timed_out || (retry && self.forwarded.is_some()) {
+            self.primary = None;
+            self.forward_request(now, outputs);
         }
-        self.leave_after_relay(now, out);
-        // An agent answers for its relay: without one it doesn't return probes, nor sends any.
-        if self.relay_is_heard(now) {
+        self.leave_after_relay(now, outputs);
+        // The agent's membership stands for its relay: without one it neither sends probes nor
+        // responds to them.
+        if self.relay_is_reachable(now) {
             let outgoing = self.membership.tick(now);
-            out.extend(topazyard_membership::effects(outgoing));
+            outputs.extend(topazyard_membership::effects(outgoing));
         }
     }
 
     fn health(&self, now: MonotonicMs) -> AgentHealth {
         AgentHealth {
-            relay_heard_ago: self.relay_heard.map(|heard| now.since(heard)),
-            unanswered_for: self.passed.as_ref().map(|passed| now.since(passed.at)),
-            knows_primary: self.leader.is_some(),
-            control_nodes: self.sources.len(),
+            relay_heard_ago: self.relay_last_heard.map(|heard| now.since(heard)),
+            unanswered_for: self.forwarded.as_ref().map(|request| now.since(request.sent_at)),
+            knows_primary: self.primary.is_some(),
+            control_nodes: self.control_nodes.len(),
         }
     }
 
-    fn relay_is_heard(&self, now: MonotonicMs) -> bool {
-        self.relay_is_heard_within(RELAY_SILENT, now)
+    fn relay_is_reachable(&self, now: MonotonicMs) -> bool {
+        self.relay_is_heard_within(RELAY_LOSS_TIMEOUT, now)
     }
 
-    fn relay_is_heard_within(&self, limit: DurationMs, now: MonotonicMs) -> bool {
-        self.relay_heard.is_some_and(|heard| now.since(heard) < limit)
+    fn relay_is_heard_within(&self, timeout: DurationMs, now: MonotonicMs) -> bool {
+        self.relay_last_heard.is_some_and(|heard| now.since(heard) < timeout)
     }
 
-    /// Lets the process end once its relay has: a relay that drains needs the feed until then.
-    fn leave_after_relay(&mut self, now: MonotonicMs, out: &mut Out) {
-        if self.relay_is_heard_within(RELAY_ENDED, now) {
+    /// Lets the process end once its relay has ended: a draining relay needs the feed until then.
+    fn leave_after_relay(&mut self, now: MonotonicMs, outputs: &mut Outputs) {
+        if self.relay_is_heard_within(RELAY_END_TIMEOUT, now) {
             return;
         }
-        if let Some(call) = self.leaving.take() {
+        if let Some(call) = self.leave_call.take() {
             let value = self.health(now);
-            out.push(Effect::Respond { call, value });
+            outputs.push(Effect::Respond { call, value });
         }
     }
 }
@@ -284,30 +289,30 @@
     type Response = AgentHealth;
     type Task = topazyard_wire::machine::NoTask;
 
-    fn step(&mut self, input: Input<AgentCall>, now: MonotonicMs) -> Out {
-        let mut out = Vec::new();
+    fn step(&mut self, input: Input<AgentCall>, now: MonotonicMs) -> Outputs {
+        let mut outputs = Vec::new();
         match input {
-            Input::Tick => self.tick(now, &mut out),
+            Input::Tick => self.tick(now, &mut outputs),
             Input::Frame { from, message: Message::Membership(message), .. } => {
-                if self.relay_is_heard(now) {
+                if self.relay_is_reachable(now) {
                     let outgoing = self.membership.receive(from, message, now);
-                    out.extend(topazyard_membership::effects(outgoing));
+                    outputs.extend(topazyard_membership::effects(outgoing));
                 }
             }
             Input::Frame { from, message: Message::Feed(message), .. } => {
-                self.receive_feed(from, message, now, &mut out);
+                self.receive_feed(from, message, now, &mut outputs);
             }
-            Input::Call { request: AgentCall::Seeds(seeds), .. } => self.take_seeds(seeds),
+            Input::Call { request: AgentCall::Seeds(seeds), .. } => self.add_seeds(seeds),
             Input::Call { request: AgentCall::Leave, call } => {
-                self.leaving = Some(call);
-                self.leave_after_relay(now, &mut out);
+                self.leave_call = Some(call);
+                self.leave_after_relay(now, &mut outputs);
             }
             Input::Call { call, request: AgentCall::Health } => {
-                out.push(Effect::Respond { call, value: self.health(now) });
+                outputs.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Written(token) => self.last_synced = token.number,
             Input::Frame { .. } | Input::Disk(_) => {}
         }
-        out
+        outputs
     }
 }
--- a/programs/topazyard-edge-agent/src/main.rs
+++ b/programs/topazyard-edge-agent/src/main.rs
@@ -1,8 +1,8 @@
-//! The agent beside a relay.
+//! The program of the agent that runs next to a relay.
 
 use clap::Parser as _;
 
-/// Links the relay beside it to the control plane
+/// Connects a relay on the same machine to the control plane
 #[derive(clap::Parser)]
 #[command(version)]
 struct Flags {
--- a/programs/topazyard-edge-agent/src/metrics.rs
+++ b/programs/topazyard-edge-agent/src/metrics.rs
@@ -1,15 +1,15 @@
-//! What an agent tells of itself to whoever fetches its metrics.
+//! Metrics of an agent.
 
 use crate::machine::{AgentCall, AgentHealth, AgentMachine};
 use topazyard_types::DurationMs;
 use topazyard_wire::driver::Handle;
 use topazyard_wire::metrics::{MetricSource, Writer};
 
-/// An agent's figures at one moment.
+/// The metrics of an agent, from one health report.
 #[derive(Debug)]
 pub struct AgentFigures(pub AgentHealth);
 
-/// Serves them, if the settings say where.
+/// Serves the metrics if the settings name an address for them.
 pub(crate) async fn serve(address: Option<std::net::SocketAddr>, handle: &Handle<AgentMachine>) {
     let handle = handle.clone();
     let fetch = move || fetch(handle.clone());
--- a/programs/topazyard-edge-agent/src/run.rs
+++ b/programs/topazyard-edge-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! The program as a whole: its machine, its links and its HTTP.
+//! Runs the agent: its machine, its links and its metrics endpoint.
 
 use std::path::Path;
 use topazyard_wire::disk::{DiskError, OpenFile};
@@ -6,8 +6,8 @@
 use topazyard_wire::driver::disk_start::KnownControlNodes;
 use topazyard_wire::message::membership::{Member, MemberRole};
 
-/// Opens the data folder, if there is one. An agent only remembers addresses there: one whose disk
-/// is full does without.
+/// Opens the data folder, if there is one. An agent stores only addresses of control nodes there and
+/// runs without it when the disk is full.
 fn open_disk(folder: Option<&Path>) -> Result<Option<(KnownControlNodes, OpenFile)>, DiskError> {
     let Some(folder) = folder else { return Ok(None) };
     match topazyard_wire::disk::open(folder) {
@@ -16,17 +16,17 @@
             Ok(Some((KnownControlNodes::read(&disk.loaded), file)))
         }
         Err(error @ DiskError::Full(_)) => {
-            spdlog::warn!("nothing is remembered: {error}");
+            spdlog::warn!("addresses of control nodes are not stored: {error}");
             Ok(None)
         }
         Err(error) => Err(error),
     }
 }
 
-/// Runs the program on its settings until it ends.
+/// Runs the program with the given settings until it terminates.
 ///
 /// # Errors
-/// A setting that is missing, an address that is taken, or a disk that can't be used.
+/// A setting is missing, an address is in use, or the disk can't be used.
 pub fn run(settings: topazyard_spec::NodeSettings) -> Result<(), StartError> {
     let relay = settings.require_beside()?;
     topazyard_wire::log::start(settings.data.clone()).map_err(|_| StartError::Log)?;
@@ -46,64 +46,70 @@
         relay,
         random_seed: rand::random(),
     };
-    let place = topazyard_wire::driver::NodeIdentity {
+    let identity = topazyard_wire::driver::NodeIdentity {
         fleet: settings.fleet,
         node,
         address: settings.address,
     };
     topazyard_wire::driver::run_process(async move {
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
-        let make = |_| (crate::AgentMachine::new(start), Vec::new());
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.listen_address(), make, place, disk, tasks)?;
-        let leave_limit = leave_limit(&settings.bounds);
+        let new_machine = |_| (crate::AgentMachine::new(start), Vec::new());
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.listen_address(),
+            new_machine,
+            identity,
+            disk,
+            tasks,
+        )?;
+        let leave_timeout = leave_timeout(&settings.bounds);
         crate::metrics::serve(settings.metrics, &handle).await;
-        let follow = topazyard_wire::driver::follow_settings(settings, |told| {
-            handle.notify(crate::AgentCall::Seeds(told.seeds));
+        let settings_updates = topazyard_wire::driver::follow_settings(settings, |settings| {
+            handle.notify(crate::AgentCall::Seeds(settings.seeds));
         });
         tokio::select! {
             biased;
             () = topazyard_wire::driver::terminated() => {
-                leave(&handle, leave_limit).await;
+                leave(&handle, leave_timeout).await;
             }
-            () = follow => {}
+            () = settings_updates => {}
         }
         Ok(())
     })
 }
 
-/// The longest that an agent waits for its relay to end: the process ends by itself within the grace.
-fn leave_limit(bounds: &topazyard_spec::Bounds) -> std::time::Duration {
+/// Maximum time that an agent waits for its relay to end, so that the process itself ends within the
+/// grace period.
+fn leave_timeout(bounds: &topazyard_spec::Bounds) -> std::time::Duration {
     std::time::Duration::from_millis(bounds.grace.0 / 16 * 15)
 }
 
-/// Serves the relay, which is told to end at the same moment, until that has ended.
+/// Serves the relay until it has ended. It receives its SIGTERM at the same time as the agent.
 async fn leave(
     handle: &topazyard_wire::driver::Handle<crate::AgentMachine>,
-    limit: std::time::Duration,
+    timeout: std::time::Duration,
 ) {
     log_health("SIGTERM", handle).await;
-    if tokio::time::timeout(limit, handle.call(crate::AgentCall::Leave)).await.is_err() {
-        spdlog::warn!("the relay has not ended within {limit:?}");
+    if tokio::time::timeout(timeout, handle.call(crate::AgentCall::Leave)).await.is_err() {
+        spdlog::warn!("the relay did not end within {timeout:?}");
     }
     log_health("ends", handle).await;
 }
 
-/// How long a process that ends waits to hear how its machine stands.
-const HEALTH_LIMIT: std::time::Duration = std::time::Duration::from_millis(50);
+/// How long a terminating process waits for its machine's health.
+const HEALTH_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Logs what is under way at one moment of the process's end.
-async fn log_health(moment: &str, handle: &topazyard_wire::driver::Handle<crate::AgentMachine>) {
+/// Logs the agent's health at a phase of the shutdown.
+async fn log_health(phase: &str, handle: &topazyard_wire::driver::Handle<crate::AgentMachine>) {
     let health = handle.call(crate::AgentCall::Health);
-    let Ok(Ok(health)) = tokio::time::timeout(HEALTH_LIMIT, health).await else {
-        return spdlog::warn!("{moment}: the machine did not say how it stands");
+    let Ok(Ok(health)) = tokio::time::timeout(HEALTH_TIMEOUT, health).await else {
+        return spdlog::warn!("{phase}: the machine did not report its health in time");
     };
-    let ago = |duration: Option<topazyard_types::DurationMs>| {
+    let format_age = |duration: Option<topazyard_types::DurationMs>| {
         duration.map_or("never".to_owned(), |duration| format!("{} ms", duration.0))
     };
     spdlog::info!(
-        "{moment}: relay_heard_ago={} asking_waits={} knows_primary={}",
-        ago(health.relay_heard_ago),
+        "{phase}: relay_heard_ago={} asking_waits={} knows_primary={}",
+        format_age(health.relay_heard_ago),
         health.unanswered_for.is_some(),
         health.knows_primary,
     );
--- a/programs/topazyard-edge-agent/tests/metrics.rs
+++ b/programs/topazyard-edge-agent/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What an agent tells in its metrics.
+//! An agent's metrics.
 
 use topazyard_edge_agent::metrics::AgentFigures;
 use topazyard_edge_agent::{AgentCall, AgentHealth, AgentMachine, Start};
@@ -13,16 +13,16 @@
 }
 
 fn health(agent: &mut AgentMachine, now: u64) -> AgentHealth {
-    let asked = Input::Call { call: CallId(1), request: AgentCall::Health };
-    let health = agent.step(asked, MonotonicMs(now)).into_iter().find_map(|effect| match effect {
+    let call = Input::Call { call: CallId(1), request: AgentCall::Health };
+    let health = agent.step(call, MonotonicMs(now)).into_iter().find_map(|effect| match effect {
         Effect::Respond { value, .. } => Some(value),
         _ => None,
     });
-    health.expect("its health")
+    health.expect("a health report")
 }
 
 #[test]
-fn an_agent_tells_for_how_long_its_relay_waits() {
+fn metrics_show_how_long_the_relay_has_waited() {
     let member = Member {
         id: NodeId(1),
         name: None,
@@ -36,18 +36,18 @@
     let mut agent = AgentMachine::new(start);
     let before = topazyard_wire::metrics::text(Some(AgentFigures(health(&mut agent, 100_000))));
     assert!(!before.unwrap().contains("relay_heard"));
-    let asking = FeedMessage::Request {
+    let request = FeedMessage::Request {
         nonce: 5,
         after: Default::default(),
         part: None,
         last_response_age: None,
         health: Health::Edge { ready: true, waiting: 0, refused: 0 },
     };
-    let message = Message::Feed(asking);
-    let asked = Input::Frame { sender: NodeId(9), from: at(9), message };
-    agent.step(asked, MonotonicMs(100_000));
-    let waits = topazyard_wire::metrics::text(Some(AgentFigures(health(&mut agent, 100_750))));
-    let waits = waits.unwrap();
+    let message = Message::Feed(request);
+    let frame = Input::Frame { sender: NodeId(9), from: at(9), message };
+    agent.step(frame, MonotonicMs(100_000));
+    let metrics = topazyard_wire::metrics::text(Some(AgentFigures(health(&mut agent, 100_750))));
+    let metrics = metrics.unwrap();
     for sample in [
         "agent_knows_primary 0",
         "agent_control_nodes 3",
@@ -55,6 +55,6 @@
         "agent_unanswered_seconds 0.75",
     ] {
         let sample = format!("topazyard_{sample}");
-        assert!(waits.lines().any(|line| line == sample), "{sample} is missing in\n{waits}");
+        assert!(metrics.lines().any(|line| line == sample), "{sample} is missing in\n{metrics}");
     }
 }
--- a/programs/topazyard-edge-agent/tests/leaving.rs
+++ b/programs/topazyard-edge-agent/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! An agent that is about to end: it serves its relay until that has ended.
+//! Shutdown of an agent: it serves its relay until the relay has ended.
 
 use topazyard_edge_agent::{AgentCall, AgentMachine, Start};
 use topazyard_types::{CallId, LogPosition, MonotonicMs, NodeId};
@@ -8,8 +8,8 @@
 use topazyard_wire::{Effect, Input, Machine as _};
 
 const RELAY: u16 = 9;
-/// How often a relay asks for news.
-const ASK_EVERY_MS: u64 = 200;
+/// How often a relay requests updates.
+const REQUEST_INTERVAL_MS: u64 = 200;
 const TICK_MS: u64 = 25;
 
 fn at(port: u16) -> std::net::SocketAddr {
@@ -20,8 +20,8 @@
     machine: AgentMachine,
     now: MonotonicMs,
     nonce: u64,
-    /// Askings that were passed on to control nodes.
-    passed_on: usize,
+    /// Requests that were forwarded to control nodes.
+    forwarded: usize,
     may_end: bool,
 }
 
@@ -38,14 +38,14 @@
         let seeds = vec![at(11)];
         let start = Start { member, seeds, remembered: None, relay: at(RELAY), random_seed: 1 };
         let machine = AgentMachine::new(start);
-        Self { machine, now: MonotonicMs(100_000), nonce: 0, passed_on: 0, may_end: false }
+        Self { machine, now: MonotonicMs(100_000), nonce: 0, forwarded: 0, may_end: false }
     }
 
     fn step(&mut self, input: Input<AgentCall>) {
         for effect in self.machine.step(input, self.now) {
             match effect {
                 Effect::Send { message: Message::Feed(FeedMessage::Request { .. }), .. } => {
-                    self.passed_on += 1;
+                    self.forwarded += 1;
                 }
                 Effect::Respond { call: CallId(7), .. } => self.may_end = true,
                 _ => {}
@@ -53,9 +53,9 @@
         }
     }
 
-    fn relay_asks(&mut self) {
+    fn relay_requests(&mut self) {
         self.nonce += 1;
-        let ask = FeedMessage::Request {
+        let request = FeedMessage::Request {
             nonce: self.nonce,
             after: LogPosition::default(),
             part: None,
@@ -63,7 +63,7 @@
             health: Health::Edge { ready: false, waiting: 0, refused: 0 },
         };
         let sender = NodeId(u64::from(RELAY));
-        self.step(Input::Frame { sender, from: at(RELAY), message: Message::Feed(ask) });
+        self.step(Input::Frame { sender, from: at(RELAY), message: Message::Feed(request) });
     }
 
     fn leave(&mut self) {
@@ -78,19 +78,20 @@
     }
 }
 
-// Else a relay that drains for seconds serves by a configuration, engines and shards of long ago.
+// Otherwise a relay that drains for seconds serves with an outdated configuration, engine list and
+// shard table.
 #[test]
-fn an_agent_serves_its_relay_until_that_has_ended() {
+fn serves_its_relay_until_the_relay_has_ended() {
     let mut agent = Agent::new();
-    agent.relay_asks();
-    agent.run(ASK_EVERY_MS);
+    agent.relay_requests();
+    agent.run(REQUEST_INTERVAL_MS);
     agent.leave();
     for _ in 0..30 {
-        agent.passed_on = 0;
-        agent.relay_asks();
-        assert!(agent.passed_on > 0, "the asking goes on to control");
-        agent.run(ASK_EVERY_MS);
-        assert!(!agent.may_end, "its relay still asks");
+        agent.forwarded = 0;
+        agent.relay_requests();
+        assert!(agent.forwarded > 0, "the request is forwarded to control");
+        agent.run(REQUEST_INTERVAL_MS);
+        assert!(!agent.may_end, "the relay still sends requests");
     }
     // The relay has ended.
     agent.run(1_000);
@@ -98,13 +99,13 @@
 }
 
 #[test]
-fn an_agent_whose_relay_is_gone_ends_at_once() {
-    let mut never_asked = Agent::new();
-    never_asked.leave();
-    assert!(never_asked.may_end);
-    let mut silent = Agent::new();
-    silent.relay_asks();
-    silent.run(1_000);
-    silent.leave();
-    assert!(silent.may_end);
+fn ends_at_once_without_a_relay() {
+    let mut without_relay = Agent::new();
+    without_relay.leave();
+    assert!(without_relay.may_end);
+    let mut silent_relay = Agent::new();
+    silent_relay.relay_requests();
+    silent_relay.run(1_000);
+    silent_relay.leave();
+    assert!(silent_relay.may_end);
 }
