--- a/programs/topazyard-operator/src/bundle_file.rs
+++ b/programs/topazyard-operator/src/configuration_file.rs
@@ -1,27 +1,30 @@
-//! A bundle as a file in version control: checked without a fleet, compared with what is in force.
+//! Configuration files as kept in version control: checks them without a fleet and compares them
+//! with the configuration in force.
 
 use crate::OperatorError;
 
-/// A bundle read from a file, and its text.
-pub(crate) struct BundleFile {
+/// A configuration read from a file, with the text of the file.
+pub(crate) struct ConfigurationFile {
     pub(crate) text: String,
-    pub(crate) bundle: topazyard_spec::Configuration,
+    pub(crate) configuration: topazyard_spec::Configuration,
 }
 
-/// Reads and checks a file.
-pub(crate) fn read(file: &std::path::Path) -> Result<BundleFile, OperatorError> {
+/// Reads and checks a configuration file.
+pub(crate) fn read(file: &std::path::Path) -> Result<ConfigurationFile, OperatorError> {
     let text = crate::read_file(file)?;
-    let bundle = topazyard_spec::Configuration::read(&text).map_err(|error| faults(file, error))?;
-    Ok(BundleFile { text, bundle })
+    let configuration =
+        topazyard_spec::Configuration::read(&text).map_err(|error| faults(file, error))?;
+    Ok(ConfigurationFile { text, configuration })
 }
 
-/// Reads a partial change. Whether it can be made shows only beside the bundle that it changes.
+/// Reads a partial change. Whether it applies can only be checked against the configuration that it
+/// changes.
 pub(crate) fn read_patch(file: &std::path::Path) -> Result<topazyard_spec::Patch, OperatorError> {
     let text = crate::read_file(file)?;
     topazyard_spec::Patch::read(&text).map_err(|error| faults(file, error))
 }
 
-/// A bundle with a file's partial change made.
+/// Applies the partial change of a file to a configuration.
 pub(crate) fn patched(
     file: &std::path::Path,
     before: &topazyard_spec::Configuration,
@@ -30,7 +33,7 @@
     before.patched(patch).map_err(|error| faults(file, error))
 }
 
-/// What is wrong with a file, a line for each fault.
+/// Turns a read error into an operator error with one line for each fault.
 fn faults(file: &std::path::Path, error: topazyard_spec::ReadError) -> OperatorError {
     let text = match error {
         topazyard_spec::ReadError::Faults(faults) => {
@@ -42,31 +45,34 @@
     OperatorError::Faults(file.to_owned(), text)
 }
 
-/// What a control node's answer shows as a version's bundle.
-pub(crate) fn shown(answer: &serde_json::Value) -> Option<topazyard_spec::Configuration> {
-    topazyard_spec::Configuration::read(&answer["bundle"].to_string()).ok()
+/// The configuration in a control node's response for one version.
+pub(crate) fn configuration_in(
+    response: &serde_json::Value,
+) -> Option<topazyard_spec::Configuration> {
+    topazyard_spec::Configuration::read(&response["bundle"].to_string()).ok()
 }
 
-/// Every place in which two bundles differ, with defaults filled in on both sides.
+/// The differences between two configurations, with defaults filled in on both sides.
 pub(crate) fn differences(
     old: Option<&topazyard_spec::Configuration>,
     new: &topazyard_spec::Configuration,
 ) -> Vec<String> {
-    let value = |bundle| serde_json::to_value(bundle).unwrap_or_default();
+    let value = |configuration| serde_json::to_value(configuration).unwrap_or_default();
     let mut found = Vec::new();
     let old = old.map_or(serde_json::json!({}), value);
     compare("", &old, &value(new), &mut found);
     found
 }
 
-/// Lists of named things are compared by name, so that one more lane shows as one more.
-fn by_name(list: &[serde_json::Value]) -> Option<serde_json::Map<String, serde_json::Value>> {
+/// Maps a list of named items by name, so that an added item shows as one addition and not as a
+/// change of the list.
+fn map_by_name(list: &[serde_json::Value]) -> Option<serde_json::Map<String, serde_json::Value>> {
     list.iter().map(|value| Some((value["name"].as_str()?.to_owned(), value.clone()))).collect()
 }
 
 fn compare(place: &str, old: &serde_json::Value, new: &serde_json::Value, found: &mut Vec<String>) {
     use serde_json::Value::{Array, Object};
-    let named = |list: &[serde_json::Value]| by_name(list).map(Object);
+    let named = |list: &[serde_json::Value]| map_by_name(list).map(Object);
     match (old, new) {
         (Object(old), Object(new)) => {
             let none = serde_json::Value::Null;
@@ -78,7 +84,7 @@
             }
         }
         (Array(a), Array(b)) if a != b => match (named(a), named(b)) {
-            // The same things in another order: for lanes it counts.
+            // The same items in another order, which matters for model routes.
             (Some(old), Some(new)) if old == new => found.push(format!("{place}: another order")),
             (Some(old), Some(new)) => compare(place, &old, &new, found),
             _ => found.push(format!("{place}: {old} -> {new}")),
@@ -94,25 +100,26 @@
 mod tests {
     use super::differences;
 
-    fn bundle(lanes: &str) -> topazyard_spec::Configuration {
+    fn configuration(lanes: &str) -> topazyard_spec::Configuration {
         let text = format!(r#"{{"pools":[{{"name":"main"}}],"lanes":[{lanes}]}}"#);
-        topazyard_spec::Configuration::read(&text).expect("a sound bundle")
+        topazyard_spec::Configuration::read(&text).expect("a valid configuration")
     }
 
     const A: &str = r#"{"name":"a","kind":"live","models":["m"],"pool":"main"}"#;
     const B: &str = r#"{"name":"b","kind":"live","models":["n"],"pool":"main"}"#;
 
     #[test]
-    fn each_change_is_shown_once_and_defaults_are_none() {
-        let both = bundle(&format!("{A},{B}"));
+    fn changes_are_listed_once_and_defaults_are_ignored() {
+        let both = configuration(&format!("{A},{B}"));
         assert!(differences(Some(&both), &both).is_empty());
-        let spelled = A.replace("\"pool\"", "\"value\":1,\"pool\"");
-        assert!(differences(Some(&bundle(A)), &bundle(&spelled)).is_empty());
-        let added = differences(Some(&bundle(A)), &both);
+        let explicit = A.replace("\"pool\"", "\"value\":1,\"pool\"");
+        assert!(differences(Some(&configuration(A)), &configuration(&explicit)).is_empty());
+        let added = differences(Some(&configuration(A)), &both);
         assert!(matches!(added.as_slice(), [one] if one.starts_with("+ lanes.b")), "{added:?}");
-        let changed = differences(Some(&bundle(A)), &bundle(&A.replace("\"m\"", "\"n\"")));
+        let changed =
+            differences(Some(&configuration(A)), &configuration(&A.replace("\"m\"", "\"n\"")));
         assert_eq!(changed, [r#"lanes.a.models: ["m"] -> ["n"]"#]);
-        let turned = differences(Some(&both), &bundle(&format!("{B},{A}")));
-        assert_eq!(turned, ["lanes: another order"]);
+        let reordered = differences(Some(&both), &configuration(&format!("{B},{A}")));
+        assert_eq!(reordered, ["lanes: another order"]);
     }
 }
--- a/programs/topazyard-operator/src/main.rs
+++ b/programs/topazyard-operator/src/main.rs
@@ -1,93 +1,94 @@
 //! The operators' command line.
 
-mod bundle_file;
+mod configuration_file;
 
 use clap::Parser as _;
 
-/// Drives a topazyard fleet
+/// Operates a topazyard fleet
 #[derive(clap::Parser)]
 #[command(
     version,
     after_help = "Exit codes: 0 done, or nothing to do; 1 refused, or `spec diff` or \
-`spec patch --dry-run` found differences; 2 a wrong flag or a file that can't be used; 3 no control node could be reached, \
+`spec patch --dry-run` found differences; 2 invalid flag or unusable file; 3 no control node could be reached, \
 or the outcome is unknown"
 )]
 struct Flags {
-    /// HTTP addresses of control nodes, tried in turn; all but `spec check` need one
+    /// HTTP addresses of control nodes, tried in order; required except for `spec check`
     #[arg(long, value_delimiter = ',')]
     control: Vec<std::net::SocketAddr>,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(clap::Subcommand)]
-enum What {
-    /// Specs: submit, sign off, roll out, read back
+enum Command {
+    /// Submit, sign off, roll out and read configurations
     #[command(subcommand)]
-    Spec(Spec),
-    /// The platform's engine list
+    Spec(SpecCommand),
+    /// Replace or show the engine list
     #[command(subcommand)]
-    Engines(Engines),
-    /// Storage nodes
+    Engines(EnginesCommand),
+    /// Manage storage nodes
     #[command(subcommand)]
-    Storage(Storage),
-    /// Everything about the fleet
+    Storage(StorageCommand),
+    /// Show the state of the whole fleet
     Fleet,
 }
 
 #[derive(clap::Subcommand)]
-enum Spec {
-    /// Check a bundle without a fleet
+enum SpecCommand {
+    /// Check a configuration without contacting a fleet
     Check {
-        /// The bundle, as JSON
+        /// The configuration, as JSON
         file: std::path::PathBuf,
     },
-    /// Show in what a bundle differs from the one in force
+    /// Show how a configuration differs from the one in force
     Diff {
-        /// The bundle, as JSON
+        /// The configuration, as JSON
         file: std::path::PathBuf,
     },
-    /// Submit, sign off and roll out a bundle, unless it is in force already
+    /// Submit, sign off and roll out a configuration, unless it is already in force
     Apply {
-        /// The bundle, as JSON
+        /// The configuration, as JSON
         file: std::path::PathBuf,
-        /// Who signs
+        /// Name of the person who signs off
         #[arg(long)]
         by: String,
     },
-    /// Submit a bundle that builds on a version
+    /// Submit a configuration based on an existing version
     Submit {
-        /// The bundle, as JSON
+        /// The configuration, as JSON
         file: std::path::PathBuf,
-        /// The version it builds on; 0 for the first
+        /// The version it is based on; 0 for the first
         #[arg(long)]
         base: u64,
     },
-    /// Submit what a partial change makes of a version
+    /// Submit an existing version with a partial change applied
     Patch {
-        /// The change, as JSON: `fields` to set, and by list items to `upsert` and names to `remove`
+        /// The change, as JSON: `fields` to set, and for each list the items to `upsert` and the
+        /// names to `remove`
         file: std::path::PathBuf,
-        /// The version it builds on
+        /// The version it is based on
         #[arg(long)]
         base: u64,
-        /// Only check it, and show what it would change
+        /// Only check the change and show the differences
         #[arg(long)]
         dry_run: bool,
     },
-    /// Sign a version off
+    /// Sign off a version
     SignOff {
         /// The version
         version: u64,
-        /// Who signs
+        /// Name of the person who signs off
         #[arg(long)]
         by: String,
     },
-    /// Put a signed version in force
+    /// Put a signed-off version in force
     RollOut {
         /// The version
         version: u64,
     },
-    /// Read a version back, or the one in force
+    /// Show a version, by default the one in force
     Read {
         /// The version
         version: Option<u64>,
@@ -97,49 +98,49 @@
 }
 
 #[derive(clap::Subcommand)]
-enum Engines {
-    /// Replace the list
+enum EnginesCommand {
+    /// Replace the engine list
     Put {
         /// The list, as JSON
         file: std::path::PathBuf,
     },
-    /// Show the list
+    /// Show the engine list
     List,
 }
 
 #[derive(clap::Subcommand)]
-enum Storage {
-    /// Show nodes and shards
+enum StorageCommand {
+    /// Show storage nodes and shards
     List,
-    /// Move everything off a node
+    /// Move all shards off a node
     Empty {
-        /// The node's id
+        /// The id of the node
         node: u64,
     },
-    /// Let a node host shards again
+    /// Allow a node to host shards again
     Add {
-        /// The node's id
+        /// The id of the node
         node: u64,
     },
-    /// Forget an emptied node
+    /// Remove an emptied node from the fleet
     Retire {
-        /// The node's id
+        /// The id of the node
         node: u64,
     },
 }
 
-/// Why a command could not be sent, or what came of it.
+/// Why a command failed.
 #[derive(Debug, displaydoc::Display)]
 enum OperatorError {
-    /// the file {0:?} can't be read: {1}
+    /// can't read file {0:?}: {1}
     File(std::path::PathBuf, std::io::ErrorKind),
-    /// {0:?} has faults:\n{1}
+    /// {0:?} is invalid:\n{1}
     Faults(std::path::PathBuf, String),
-    /// no control node was named: --control
+    /// no control node given, use --control
     NoAddress,
     /// no control node could be reached
     NoControl,
-    /// the outcome is unknown: the connection broke after the command was sent
+    /// the outcome is unknown: the connection was lost after the command was sent
     Unknown,
     /// refused with status {0}: {1}
     Refused(u16, String),
@@ -157,64 +158,75 @@
     }
 }
 
-/// What is sent: method, path and body.
-type Call = (hyper::Method, String, String);
+/// An HTTP request: method, path and body.
+type ApiRequest = (hyper::Method, String, String);
 
 fn read_file(file: &std::path::Path) -> Result<String, OperatorError> {
     std::fs::read_to_string(file)
         .map_err(|error| OperatorError::File(file.to_owned(), error.kind()))
 }
 
-fn call_for(what: &What) -> Result<Call, OperatorError> {
+fn request_for(command: &Command) -> Result<ApiRequest, OperatorError> {
     use hyper::Method;
     let get = |path: &str| Ok((Method::GET, path.to_owned(), String::new()));
     let post = |path: String, body: String| Ok((Method::POST, path, body));
-    match what {
-        What::Spec(Spec::Submit { file, base }) => Ok(submit(&read_file(file)?, *base)),
-        What::Spec(Spec::Patch { file, base, .. }) => {
-            let patch = bundle_file::read_patch(file)?;
+    match command {
+        Command::Spec(SpecCommand::Submit { file, base }) => {
+            Ok(submit_request(&read_file(file)?, *base))
+        }
+        Command::Spec(SpecCommand::Patch { file, base, .. }) => {
+            let patch = configuration_file::read_patch(file)?;
             let body = serde_json::json!({ "base": base, "patch": patch }).to_string();
             Ok((Method::PATCH, "/specs".to_owned(), body))
         }
-        What::Spec(Spec::SignOff { version, by }) => {
+        Command::Spec(SpecCommand::SignOff { version, by }) => {
             let body = serde_json::json!({ "by": by }).to_string();
             post(format!("/specs/{version}/sign-off"), body)
         }
-        // Worked on before, since they take several calls or none.
-        What::Spec(Spec::Check { .. } | Spec::Diff { .. } | Spec::Apply { .. }) => get("/specs"),
-        What::Spec(Spec::RollOut { version }) => {
+        // Handled separately, since they take several requests or none.
+        Command::Spec(
+            SpecCommand::Check { .. } | SpecCommand::Diff { .. } | SpecCommand::Apply { .. },
+        ) => get("/specs"),
+        Command::Spec(SpecCommand::RollOut { version }) => {
             post(format!("/specs/{version}/roll-out"), String::new())
         }
-        What::Spec(Spec::Read { version: None }) => get("/specs/in-force"),
-        What::Spec(Spec::Read { version: Some(version) }) => get(&format!("/specs/{version}")),
-        What::Spec(Spec::List) => get("/specs"),
-        What::Engines(Engines::Put { file }) => {
+        Command::Spec(SpecCommand::Read { version: None }) => get("/specs/in-force"),
+        Command::Spec(SpecCommand::Read { version: Some(version) }) => {
+            get(&format!("/specs/{version}"))
+        }
+        Command::Spec(SpecCommand::List) => get("/specs"),
+        Command::Engines(EnginesCommand::Put { file }) => {
             Ok((Method::PUT, "/engines".to_owned(), read_file(file)?))
         }
-        What::Engines(Engines::List) => get("/engines"),
-        What::Storage(Storage::List) => get("/storage"),
-        What::Storage(Storage::Empty { node }) => {
+        Command::Engines(EnginesCommand::List) => get("/engines"),
+        Command::Storage(StorageCommand::List) => get("/storage"),
+        Command::Storage(StorageCommand::Empty { node }) => {
             post(format!("/storage/{node}/empty"), String::new())
         }
-        What::Storage(Storage::Add { node }) => post(format!("/storage/{node}/add"), String::new()),
-        What::Storage(Storage::Retire { node }) => {
+        Command::Storage(StorageCommand::Add { node }) => {
+            post(format!("/storage/{node}/add"), String::new())
+        }
+        Command::Storage(StorageCommand::Retire { node }) => {
             Ok((Method::DELETE, format!("/storage/{node}"), String::new()))
         }
-        What::Fleet => get("/fleet"),
+        Command::Fleet => get("/fleet"),
     }
 }
 
-/// Sends to the first control node that takes a connection. A command whose connection broke is
-/// not sent again: its outcome is unknown.
-async fn send(control: &[std::net::SocketAddr], call: &Call) -> Result<String, OperatorError> {
+/// Sends a request to the first control node that accepts a connection. A command whose connection
+/// was lost is not sent again, since its outcome is unknown.
+async fn send(
+    control: &[std::net::SocketAddr],
+    request: &ApiRequest,
+) -> Result<String, OperatorError> {
     use topazyard_wire::http::outbound::{OutboundError, exchange};
-    let (method, path, body) = call;
-    let limit = std::time::Duration::from_secs(10);
+    let (method, path, body) = request;
+    let timeout = std::time::Duration::from_secs(10);
     for address in control {
-        let asked = exchange(*address, method.clone(), path, body.clone().into(), limit);
-        match asked.await {
+        let response = exchange(*address, method.clone(), path, body.clone().into(), timeout);
+        match response.await {
             Ok((200, body)) => return Ok(String::from_utf8_lossy(&body).into_owned()),
-            // It surely did nothing; another node may know the primary.
+            // The command was certainly not executed; another node may know the primary.
             Ok((503, _)) | Err(OutboundError::NotConnected) => {}
             Ok((status, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
@@ -227,109 +239,119 @@
     Err(OperatorError::NoControl)
 }
 
-fn submit(bundle: &str, base: u64) -> Call {
-    let body = format!("{{\"base\":{base},\"bundle\":{bundle}}}");
+fn submit_request(configuration: &str, base: u64) -> ApiRequest {
+    let body = format!("{{\"base\":{base},\"bundle\":{configuration}}}");
     (hyper::Method::POST, "/specs".to_owned(), body)
 }
 
-/// Sends a command and reads its return.
-async fn ask(
+/// Sends a command and parses the response.
+async fn request(
     control: &[std::net::SocketAddr],
-    what: &What,
+    command: &Command,
 ) -> Result<serde_json::Value, OperatorError> {
-    let text = send(control, &call_for(what)?).await?;
+    let text = send(control, &request_for(command)?).await?;
     Ok(serde_json::from_str(&text).unwrap_or_default())
 }
 
-/// The spec in force, if there is one yet.
+/// The configuration in force, if there is one.
 async fn in_force(
     control: &[std::net::SocketAddr],
 ) -> Result<Option<serde_json::Value>, OperatorError> {
-    match ask(control, &What::Spec(Spec::Read { version: None })).await {
+    match request(control, &Command::Spec(SpecCommand::Read { version: None })).await {
         Ok(value) => Ok(Some(value)),
         Err(OperatorError::Refused(404, _)) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-/// What a partial change would change of a version, without submitting it.
-async fn try_patch(
+/// The differences that a partial change would make to a version, without submitting it.
+async fn dry_run_patch(
     control: &[std::net::SocketAddr],
     file: &std::path::Path,
     base: u64,
 ) -> Result<Vec<String>, OperatorError> {
-    let patch = bundle_file::read_patch(file)?;
-    let before = ask(control, &What::Spec(Spec::Read { version: Some(base) })).await?;
-    let before = bundle_file::shown(&before).ok_or(OperatorError::Unknown)?;
-    let after = bundle_file::patched(file, &before, &patch)?;
-    Ok(bundle_file::differences(Some(&before), &after))
+    let patch = configuration_file::read_patch(file)?;
+    let before =
+        request(control, &Command::Spec(SpecCommand::Read { version: Some(base) })).await?;
+    let before = configuration_file::configuration_in(&before).ok_or(OperatorError::Unknown)?;
+    let after = configuration_file::patched(file, &before, &patch)?;
+    Ok(configuration_file::differences(Some(&before), &after))
 }
 
-/// The text for what was found to differ, and its exit code.
-fn differing(found: &[String]) -> (String, u8) {
+/// The text that reports the differences, and the exit code.
+fn report_differences(found: &[String]) -> (String, u8) {
     match found.is_empty() {
         true => ("no difference".to_owned(), 0),
         false => (found.join("\n"), 1),
     }
 }
 
-/// Brings a bundle in force. Said again after a lost answer it goes on where it stood: a version
-/// that was submitted last, holds the same and is not in force yet is taken up.
+/// Puts a configuration in force. A repeat after a lost response resumes: if the newest version has
+/// the same content and is not in force yet, it is used instead of a new submission.
 async fn apply(
     control: &[std::net::SocketAddr],
     file: &std::path::Path,
     by: &str,
 ) -> Result<String, OperatorError> {
-    let wanted = bundle_file::read(file)?;
-    let present = in_force(control).await?;
-    let is_wanted = |answer: &serde_json::Value| {
-        bundle_file::shown(answer).is_some_and(|bundle| bundle == wanted.bundle)
+    let target = configuration_file::read(file)?;
+    let current = in_force(control).await?;
+    let is_target = |response: &serde_json::Value| {
+        configuration_file::configuration_in(response)
+            .is_some_and(|configuration| configuration == target.configuration)
     };
-    if let Some(present) = present.as_ref().filter(|present| is_wanted(present)) {
-        return Ok(format!("nothing to do: version {} is in force", present["version"]));
+    if let Some(current) = current.as_ref().filter(|current| is_target(current)) {
+        return Ok(format!("nothing to do: version {} is in force", current["version"]));
     }
-    let all = ask(control, &What::Spec(Spec::List)).await?;
-    let newest = all["specs"].as_array().and_then(|specs| specs.last()).cloned();
-    let newest = newest.and_then(|spec| spec["version"].as_u64()).unwrap_or(0);
-    let begun = match newest {
+    let all = request(control, &Command::Spec(SpecCommand::List)).await?;
+    let newest = all["specs"].as_array().and_then(|versions| versions.last()).cloned();
+    let newest = newest.and_then(|version| version["version"].as_u64()).unwrap_or(0);
+    let unfinished = match newest {
         0 => None,
-        _ => Some(ask(control, &What::Spec(Spec::Read { version: Some(newest) })).await?),
+        _ => Some(
+            request(control, &Command::Spec(SpecCommand::Read { version: Some(newest) })).await?,
+        ),
     };
-    let goes_on = begun.is_some_and(|spec| is_wanted(&spec) && spec["stage"] != "rolled_out");
-    let version = if goes_on {
+    let resumes =
+        unfinished.is_some_and(|version| is_target(&version) && version["stage"] != "rolled_out");
+    let version = if resumes {
         newest
     } else {
-        let text = send(control, &submit(&wanted.text, newest)).await?;
-        let told: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
-        told["version"].as_u64().ok_or(OperatorError::Unknown)?
+        let text = send(control, &submit_request(&target.text, newest)).await?;
+        let response: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
+        response["version"].as_u64().ok_or(OperatorError::Unknown)?
     };
-    ask(control, &What::Spec(Spec::SignOff { version, by: by.to_owned() })).await?;
-    ask(control, &What::Spec(Spec::RollOut { version })).await?;
+    request(control, &Command::Spec(SpecCommand::SignOff { version, by: by.to_owned() })).await?;
+    request(control, &Command::Spec(SpecCommand::RollOut { version })).await?;
     Ok(format!("version {version} is in force"))
 }
 
 async fn run(flags: &Flags) -> Result<(String, u8), OperatorError> {
-    if let What::Spec(Spec::Check { file }) = &flags.what {
-        let checked = bundle_file::read(file)?;
-        let (pools, lanes) = (checked.bundle.pools.len(), checked.bundle.lanes.len());
+    if let Command::Spec(SpecCommand::Check { file }) = &flags.command {
+        let checked = configuration_file::read(file)?;
+        let (pools, lanes) = (checked.configuration.pools.len(), checked.configuration.lanes.len());
         return Ok((format!("sound: {pools} pools, {lanes} lanes"), 0));
     }
     if flags.control.is_empty() {
         return Err(OperatorError::NoAddress);
     }
-    match &flags.what {
-        What::Spec(Spec::Diff { file }) => {
-            let wanted = bundle_file::read(file)?;
-            let present = in_force(&flags.control).await?;
-            let present = present.as_ref().and_then(bundle_file::shown);
-            Ok(differing(&bundle_file::differences(present.as_ref(), &wanted.bundle)))
+    match &flags.command {
+        Command::Spec(SpecCommand::Diff { file }) => {
+            let target = configuration_file::read(file)?;
+            let current = in_force(&flags.control).await?;
+            let current = current.as_ref().and_then(configuration_file::configuration_in);
+            Ok(report_differences(&configuration_file::differences(
+                current.as_ref(),
+                &target.configuration,
+            )))
+        }
+        Command::Spec(SpecCommand::Patch { file, base, dry_run: true }) => {
+            Ok(report_differences(&dry_run_patch(&flags.control, file, *base).await?))
         }
-        What::Spec(Spec::Patch { file, base, dry_run: true }) => {
-            Ok(differing(&try_patch(&flags.control, file, *base).await?))
+        Command::Spec(SpecCommand::Apply { file, by }) => {
+            Ok((apply(&flags.control, file, by).await?, 0))
         }
-        What::Spec(Spec::Apply { file, by }) => Ok((apply(&flags.control, file, by).await?, 0)),
-        what => {
-            let text = send(&flags.control, &call_for(what)?).await?;
+        command => {
+            let text = send(&flags.control, &request_for(command)?).await?;
             let value: Option<serde_json::Value> = serde_json::from_str(&text).ok();
             let pretty = value.and_then(|value| serde_json::to_string_pretty(&value).ok());
             Ok((pretty.unwrap_or(text), 0))
--- a/programs/topazyard-shell/src/main.rs
+++ b/programs/topazyard-shell/src/main.rs
@@ -1,4 +1,4 @@
-//! A shell for queries on the fleet's state.
+//! A shell that queries the state of a fleet.
 
 mod sql;
 mod tables;
@@ -6,44 +6,46 @@
 use clap::Parser as _;
 use std::io::Write as _;
 
-/// Asks control nodes about the fleet and shows tables
+/// Queries the state of a fleet and prints tables
 #[derive(clap::Parser)]
 #[command(version)]
 struct Flags {
-    /// HTTP addresses of control nodes, tried in turn
+    /// HTTP addresses of control nodes, tried in order
     #[arg(long, value_delimiter = ',', required = true)]
     control: Vec<std::net::SocketAddr>,
-    /// One query to answer, instead of reading queries from standard input: the name of a table, or
-    /// a SELECT
+    /// A single query, instead of queries from standard input: the name of a table or a SELECT
+    /// statement
     #[arg(long, short = 'c')]
     query: Option<String>,
 }
 
-/// Why a query has no answer.
+/// Why a query failed.
 #[derive(Debug, displaydoc::Display)]
 enum ShellError {
-    /// there is no table {0:?}; tables are: control, members, relays, engines, weights, nodes, shards, specs
-    NoTable(String),
+    /// unknown table {0:?}; tables are: control, members, relays, engines, weights, nodes, shards, specs
+    UnknownTable(String),
     /// no control node could be reached
     NoControl,
-    /// the query can't be answered: {0}
+    /// query failed: {0}
     Query(String),
-    /// only queries are taken here; topazyard-operator sends commands
-    NoQuery,
+    /// only queries are supported; use topazyard-operator for commands
+    NotAQuery,
 }
 
 impl std::error::Error for ShellError {}
 
-async fn ask(
+/// Fetches a path from the first control node that responds.
+async fn fetch(
     control: &[std::net::SocketAddr],
     path: &str,
 ) -> Result<serde_json::Value, ShellError> {
-    let limit = std::time::Duration::from_secs(5);
+    let timeout = std::time::Duration::from_secs(5);
     for address in control {
         let empty = bytes::Bytes::new();
         let get = hyper::Method::GET;
-        let asked = topazyard_wire::http::outbound::exchange(*address, get, path, empty, limit);
-        if let Ok((200, body)) = asked.await
+        let response =
+            topazyard_wire::http::outbound::exchange(*address, get, path, empty, timeout);
+        if let Ok((200, body)) = response.await
             && let Ok(value) = serde_json::from_slice(&body)
         {
             return Ok(value);
@@ -52,20 +54,23 @@
     Err(ShellError::NoControl)
 }
 
-/// Answers the name of a table with all of it, and a SELECT with what it chooses.
-async fn answer(control: &[std::net::SocketAddr], query: &str) -> Result<Vec<String>, ShellError> {
+/// Runs a query: the name of a table returns all of its rows, a SELECT the selected ones.
+async fn run_query(
+    control: &[std::net::SocketAddr],
+    query: &str,
+) -> Result<Vec<String>, ShellError> {
     if query.split_whitespace().nth(1).is_none() {
         let named = tables::TABLES.iter().find(|(name, ..)| *name == query);
-        let (_, path, way) = named.ok_or_else(|| ShellError::NoTable(query.to_owned()))?;
-        return Ok(tables::lines_of_objects(&tables::rows(&ask(control, path).await?, way)));
+        let (_, path, pointer) = named.ok_or_else(|| ShellError::UnknownTable(query.to_owned()))?;
+        return Ok(tables::lines_of_objects(&tables::rows(&fetch(control, path).await?, pointer)));
     }
-    let mut answers = std::collections::BTreeMap::new();
+    let mut responses = std::collections::BTreeMap::new();
     let mut all = Vec::new();
-    for (name, path, way) in tables::TABLES {
-        if !answers.contains_key(path) {
-            answers.insert(path, ask(control, path).await?);
+    for (name, path, pointer) in tables::TABLES {
+        if !responses.contains_key(path) {
+            responses.insert(path, fetch(control, path).await?);
         }
-        all.push((name, tables::rows(&answers[path], way)));
+        all.push((name, tables::rows(&responses[path], pointer)));
     }
     sql::select(query, &all)
 }
@@ -74,7 +79,7 @@
 async fn main() -> std::process::ExitCode {
     let flags = Flags::parse();
     if let Some(query) = &flags.query {
-        return match answer(&flags.control, query.trim()).await {
+        return match run_query(&flags.control, query.trim()).await {
             Ok(lines) => {
                 lines.iter().for_each(|line| println!("{line}"));
                 std::process::ExitCode::SUCCESS
@@ -96,7 +101,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        match answer(&flags.control, line.trim()).await {
+        match run_query(&flags.control, line.trim()).await {
             Ok(lines) => lines.iter().for_each(|line| println!("{line}")),
             Err(error) => println!("{error}"),
         }
--- a/programs/topazyard-shell/src/sql.rs
+++ b/programs/topazyard-shell/src/sql.rs
@@ -1,41 +1,41 @@
-//! SQL queries on the tables, by a library that runs them in memory.
+//! SQL queries on the tables, run by an in-memory SQL engine.
 
 use crate::ShellError;
 use gluesql_core::prelude::{Glue, Payload};
 
-/// Answers a SELECT on tables that were just read.
+/// Runs a SELECT on tables that were just fetched.
 pub fn select(
     query: &str,
     tables: &[(&str, Vec<serde_json::Value>)],
 ) -> Result<Vec<String>, ShellError> {
-    let refuse = |error: gluesql_core::prelude::Error| ShellError::Query(error.to_string());
+    let query_error = |error: gluesql_core::prelude::Error| ShellError::Query(error.to_string());
     let mut glue = Glue::new(gluesql_memory_storage::MemoryStorage::default());
     for (name, rows) in tables {
-        glue.execute(format!("CREATE TABLE {name}")).map_err(refuse)?;
+        glue.execute(format!("CREATE TABLE {name}")).map_err(query_error)?;
         for row in rows {
             let row = row.to_string().replace('\'', "''");
-            glue.execute(format!("INSERT INTO {name} VALUES ('{row}')")).map_err(refuse)?;
+            glue.execute(format!("INSERT INTO {name} VALUES ('{row}')")).map_err(query_error)?;
         }
     }
-    let mut shown = Vec::new();
-    for payload in glue.execute(query).map_err(refuse)? {
+    let mut output = Vec::new();
+    for payload in glue.execute(query).map_err(query_error)? {
         match payload {
             Payload::Select { labels, rows } => {
                 let rows: Vec<Vec<serde_json::Value>> =
                     rows.into_iter().map(|row| row.into_iter().map(json).collect()).collect();
-                shown.extend(crate::tables::lines(&labels, &rows));
+                output.extend(crate::tables::lines(&labels, &rows));
             }
             Payload::SelectMap(rows) => {
                 let rows: Vec<serde_json::Value> = rows
                     .into_iter()
                     .map(|row| row.into_iter().map(|(name, value)| (name, json(value))).collect())
                     .collect();
-                shown.extend(crate::tables::lines_of_objects(&rows));
+                output.extend(crate::tables::lines_of_objects(&rows));
             }
-            _ => return Err(ShellError::NoQuery),
+            _ => return Err(ShellError::NotAQuery),
         }
     }
-    Ok(shown)
+    Ok(output)
 }
 
 fn json(value: gluesql_core::prelude::Value) -> serde_json::Value {
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn rows_are_chosen_grouped_and_ordered() {
+    fn rows_are_filtered_grouped_and_ordered() {
         let query = "SELECT zone, SUM(shards) AS held FROM nodes GROUP BY zone ORDER BY zone";
         let lines = select(query, &tables());
         assert_eq!(
@@ -65,14 +65,14 @@
     }
 
     #[test]
-    fn what_is_no_query_is_refused_with_a_type() {
+    fn invalid_queries_and_commands_are_refused() {
         assert!(matches!(select("SELECT FRM", &tables()), Err(ShellError::Query(_))));
-        assert!(matches!(select("DELETE FROM nodes", &tables()), Err(ShellError::NoQuery)));
+        assert!(matches!(select("DELETE FROM nodes", &tables()), Err(ShellError::NotAQuery)));
         assert!(matches!(select("SELECT * FROM nowhere", &tables()), Err(ShellError::Query(_))));
     }
 
     #[test]
-    fn any_query_is_answered_or_refused() {
+    fn arbitrary_queries_do_not_panic() {
         let tables = tables();
         bolero::check!().with_type::<Vec<u8>>().with_iterations(300).for_each(|bytes| {
             let query = format!("SELECT {}", String::from_utf8_lossy(bytes));
--- a/programs/topazyard-shell/src/tables.rs
+++ b/programs/topazyard-shell/src/tables.rs
@@ -1,6 +1,6 @@
-//! The tables of fleet state: where each is found, and how rows are shown.
+//! The tables of the fleet state: where each is fetched from, and how rows are printed.
 
-/// All tables, with the path to ask and the way into its answer.
+/// Name of each table, the HTTP path to fetch, and the JSON pointer to its rows in the response.
 pub const TABLES: [(&str, &str, &str); 8] = [
     ("control", "/fleet", "/control"),
     ("members", "/fleet", "/members"),
@@ -12,9 +12,9 @@
     ("specs", "/specs", "/specs"),
 ];
 
-/// A table's rows within the answer that holds them.
-pub fn rows(answer: &serde_json::Value, way: &str) -> Vec<serde_json::Value> {
-    match answer.pointer(way) {
+/// The rows of a table in a response.
+pub fn rows(response: &serde_json::Value, pointer: &str) -> Vec<serde_json::Value> {
+    match response.pointer(pointer) {
         Some(serde_json::Value::Array(rows)) => rows.clone(),
         Some(row @ serde_json::Value::Object(_)) => vec![row.clone()],
         _ => Vec::new(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lines with aligned columns, the names first.
+/// Formats rows as lines with aligned columns, below a line with the column names.
 pub fn lines(names: &[String], rows: &[Vec<serde_json::Value>]) -> Vec<String> {
     if rows.is_empty() {
         return vec!["(no rows)".to_owned()];
@@ -47,7 +47,7 @@
     table.iter().map(line).collect()
 }
 
-/// Lines of rows that are objects, with the columns of the first.
+/// Formats rows that are objects, with the keys of the first as columns.
 pub fn lines_of_objects(rows: &[serde_json::Value]) -> Vec<String> {
     let first = rows.first().and_then(|row| row.as_object());
     let names: Vec<String> = first.map(|row| row.keys().cloned().collect()).unwrap_or_default();
@@ -60,7 +60,7 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn columns_line_up_and_missing_values_show() {
+    fn columns_are_aligned_and_null_is_shown() {
         let rows = [
             serde_json::json!({"name": "a", "address": "1"}),
             serde_json::json!({"name": "long", "address": null}),
