--- a/stand-ins/src/bin/stand-in-platform.rs
+++ b/stand-ins/src/bin/stand-in-platform.rs
@@ -1,9 +1,8 @@
-//! A stand-in platform: it tells control which engines there are, and asks every relay whether
-//! it is ready.
+//! A stand-in platform: sends the engine list to control and waits until every relay is ready.
 
 use clap::Parser as _;
 
-/// A stand-in platform
+/// Sends an engine list to control and waits until all relays are ready
 #[derive(clap::Parser)]
 struct Flags {
     /// HTTP addresses of control nodes
@@ -15,13 +14,13 @@
     /// Engines as NAME=IP:PORT=STATE
     #[arg(long, value_delimiter = ',')]
     engines: Vec<String>,
-    /// The pool all engines serve
+    /// The pool of all engines
     #[arg(long, default_value = "main")]
     pool: String,
-    /// The models all engines serve
+    /// The models that all engines serve
     #[arg(long, value_delimiter = ',', default_value = "m")]
     models: Vec<String>,
-    /// For how long to try until all relays are ready
+    /// Time limit until all relays are ready, in seconds
     #[arg(long, default_value_t = 30)]
     seconds: u64,
 }
@@ -29,20 +28,21 @@
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
     let flags = Flags::parse();
-    let until = std::time::Instant::now() + std::time::Duration::from_secs(flags.seconds);
-    let mut is_put = false;
-    while std::time::Instant::now() < until {
-        is_put = is_put || put_engines(&flags).await;
-        if is_put && all_ready(&flags).await {
+    let deadline = std::time::Instant::now() + std::time::Duration::from_secs(flags.seconds);
+    let mut list_sent = false;
+    while std::time::Instant::now() < deadline {
+        list_sent = list_sent || put_engines(&flags).await;
+        if list_sent && all_ready(&flags).await {
             println!("engines put, {} relays ready", flags.relays.len());
             return std::process::ExitCode::SUCCESS;
         }
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     }
-    eprintln!("engines put: {is_put}; not every relay became ready in time");
+    eprintln!("timed out: engine list sent: {list_sent}; not all relays are ready");
     std::process::ExitCode::FAILURE
 }
 
+/// Sends the engine list to the first control node that accepts it.
 async fn put_engines(flags: &Flags) -> bool {
     let engines: Vec<serde_json::Value> = flags
         .engines
@@ -67,6 +67,7 @@
     false
 }
 
+/// Whether every relay reports ready.
 async fn all_ready(flags: &Flags) -> bool {
     for relay in &flags.relays {
         if exchange(*relay, hyper::Method::GET, "/ready", String::new()).await != Some(200) {
@@ -76,13 +77,14 @@
     true
 }
 
+/// Sends a request and returns the status of the response.
 async fn exchange(
     to: std::net::SocketAddr,
     method: hyper::Method,
     path: &str,
     body: String,
 ) -> Option<u16> {
-    let limit = std::time::Duration::from_secs(5);
-    let asked = topazyard_wire::http::outbound::exchange(to, method, path, body.into(), limit);
-    asked.await.ok().map(|(status, _)| status)
+    let timeout = std::time::Duration::from_secs(5);
+    let response = topazyard_wire::http::outbound::exchange(to, method, path, body.into(), timeout);
+    response.await.ok().map(|(status, _)| status)
 }
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what topazyard meets from outside: engines, the platform and clients.
+//! Test doubles for the external systems that topazyard works with: engines, the platform and
+//! clients.
 
 pub mod loopback;
 pub mod prompt;
--- a/stand-ins/src/loopback.rs
+++ b/stand-ins/src/loopback.rs
@@ -1,22 +1,23 @@
-//! Addresses of loopback for tests that must name a port before it is listened on.
+//! Loopback addresses for tests that must know a port before a process listens on it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The first port that is handed out.
+/// The first port to allocate.
 const FIRST_PORT: u16 = 10_000;
 
-/// An address of loopback that nothing else uses, as one of [`free_addresses`].
+/// Allocates one unused loopback address, see [`free_addresses`].
 pub fn free_address() -> SocketAddr {
     let [address] = free_addresses();
     address
 }
 
-/// Addresses of loopback on ports in a row that nothing else uses.
+/// Allocates unused loopback addresses on consecutive ports.
 ///
-/// A port of 127.0.0.1 that was bound and given back may be taken by any connection outward before
-/// it is listened on. So each process has a host of its own in 127.64.0.0/10, which its id of 22
-/// bits names and from which nothing connects outward, and hands each of its ports out once.
+/// A port of 127.0.0.1 that was bound and released may be taken by any outbound connection before
+/// the process under test listens on it. Therefore each process has its own host in 127.64.0.0/10,
+/// derived from its process id of 22 bits. No outbound connection uses that host, and each of its
+/// ports is allocated only once.
 ///
 /// ```
 /// let [one, next] = stand_ins::loopback::free_addresses();
@@ -30,7 +31,7 @@
     std::array::from_fn(|index| SocketAddr::from((own_host(), first + index as u16)))
 }
 
-/// The host that this process alone uses.
+/// The loopback host that only this process uses.
 fn own_host() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 64 | high, middle, low)
--- a/stand-ins/src/prompt.rs
+++ b/stand-ins/src/prompt.rs
@@ -1,7 +1,7 @@
-//! Prompts that tell their returns apart: each has a text of its own, and the stand-in engine
-//! puts a digest of the body it ran into its return.
+//! Prompts whose responses can be checked: each prompt has a unique text, and the stand-in engine
+//! puts a digest of the request body into its response.
 
-/// The digest that the stand-in engine puts into its return.
+/// The digest of a request body that the stand-in engine puts into its response.
 ///
 /// ```
 /// assert_eq!(stand_ins::prompt::digest(b"a").len(), 64);
@@ -11,7 +11,7 @@
     sha2::Sha256::digest(body).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A prompt's body in the text-generation form.
+/// The request body of a prompt in the text-generation format.
 ///
 /// ```
 /// assert!(stand_ins::prompt::body(7, 5, 16).contains("max_new_tokens"));
@@ -25,7 +25,7 @@
     .to_string()
 }
 
-/// The events that a stream of a body has, in order.
+/// The events of the streamed response to a request body, in order.
 ///
 /// ```
 /// let events = stand_ins::prompt::events(b"a", 3);
--- a/stand-ins/src/tally.rs
+++ b/stand-ins/src/tally.rs
@@ -1,25 +1,28 @@
-//! What clients saw, added up.
+//! Outcome counts of client requests.
 
-/// Outcomes of a run of clients.
+/// Outcome counts of a run of clients.
 #[derive(Debug, Default, Clone, serde::Serialize)]
 pub struct Tally {
     /// Prompts sent.
     pub sent: u64,
-    /// Whole returns that were the engine's own for that body.
-    pub whole: u64,
-    /// Returns that looked whole and were wrong: another's, altered or short.
+    /// Complete responses that match the request.
+    #[serde(rename = "whole")]
+    pub complete: u64,
+    /// Responses that appear complete but differ from the expected one: that of another request,
+    /// altered or truncated.
     pub wrong: u64,
-    /// Returns that visibly broke off.
-    pub broken: u64,
-    /// Refusals by status.
+    /// Responses that were visibly interrupted, and requests without a response.
+    #[serde(rename = "broken")]
+    pub interrupted: u64,
+    /// Refused requests by HTTP status.
     pub refused: std::collections::BTreeMap<u16, u64>,
-    /// How long whole returns took, in milliseconds.
+    /// Durations of the complete responses, in milliseconds.
     #[serde(skip)]
     pub took_ms: Vec<u64>,
 }
 
 impl Tally {
-    /// A share of the times, such as 50 for the median.
+    /// A percentile of the durations, such as 50 for the median.
     ///
     /// ```
     /// let tally = stand_ins::tally::Tally { took_ms: vec![3, 1, 2], ..Default::default() };
@@ -28,16 +31,16 @@
     pub fn percentile_ms(&self, percent: usize) -> u64 {
         let mut sorted = self.took_ms.clone();
         sorted.sort_unstable();
-        let at = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
-        sorted.get(at).copied().unwrap_or(0)
+        let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
+        sorted.get(index).copied().unwrap_or(0)
     }
 
-    /// Adds what another task saw.
+    /// Adds the counts of another task.
     pub fn add(&mut self, other: Self) {
         self.sent += other.sent;
-        self.whole += other.whole;
+        self.complete += other.complete;
         self.wrong += other.wrong;
-        self.broken += other.broken;
+        self.interrupted += other.interrupted;
         for (status, count) in other.refused {
             *self.refused.entry(status).or_default() += count;
         }
