--- a/fleet-measure/src/knee.rs
+++ b/fleet-measure/src/knee.rs
@@ -1,43 +1,46 @@
-//! The knee of an engine's p99: where it begins to climb sharply as tokens in flight rise.
+//! Finds the knee of an engine's p99 latency: the number of tokens in flight beyond which the p99
+//! rises sharply.
 
-/// Ramps tokens in flight against one engine
+/// Increases the tokens in flight on one engine step by step
 #[derive(clap::Args)]
 pub struct Knee {
-    /// The engine's HTTP address
+    /// HTTP address of the engine
     #[arg(long)]
     engine: std::net::SocketAddr,
-    /// New tokens of each prompt
+    /// New tokens that each prompt requests
     #[arg(long, default_value_t = 256)]
     new_tokens: u64,
-    /// Prompts sent at each step and prompt in flight
+    /// Prompts that each client sends in each step
     #[arg(long, default_value_t = 6)]
     rounds: u64,
-    /// The most prompts in flight
-    #[arg(long, default_value_t = 128)]
-    most: u64,
+    /// Maximum number of clients, each with one prompt in flight
+    #[arg(long = "most", value_name = "MOST", default_value_t = 128)]
+    max_in_flight: u64,
 }
 
-/// How much the p99 may rise over its value at rest before the knee is said to be passed.
+/// Factor over the p99 of a single prompt in flight beyond which the knee counts as passed.
 const KNEE_FACTOR: f64 = 2.0;
 
-/// Steps up until the p99 has passed the knee, and says what 80 and 85 % of it are.
+/// Prints latencies for rising numbers of prompts in flight, the knee, and 80 and 85 % of it.
 pub async fn run(flags: Knee) {
     println!("| in flight | tokens in flight | p50 ms | p99 ms |");
     println!("|---|---|---|---|");
-    let mut at_rest = None;
+    let mut unloaded_p99 = None;
     let mut knee = 0;
     let mut in_flight = 1;
-    while in_flight <= flags.most {
-        let took = step(&flags, in_flight).await;
-        let share = |percent: usize| took[(took.len() * percent / 100).min(took.len() - 1)];
-        if took.is_empty() {
-            eprintln!("the engine at {} does not answer", flags.engine);
+    while in_flight <= flags.max_in_flight {
+        let latencies_ms = step(&flags, in_flight).await;
+        let percentile = |percent: usize| {
+            latencies_ms[(latencies_ms.len() * percent / 100).min(latencies_ms.len() - 1)]
+        };
+        if latencies_ms.is_empty() {
+            eprintln!("no successful response from the engine at {}", flags.engine);
             return;
         }
         let tokens = in_flight * (flags.new_tokens + 2);
-        println!("| {in_flight} | {tokens} | {} | {} |", share(50), share(99));
-        let first = *at_rest.get_or_insert(share(99).max(1));
-        if share(99) as f64 <= first as f64 * KNEE_FACTOR {
+        println!("| {in_flight} | {tokens} | {} | {} |", percentile(50), percentile(99));
+        let unloaded = *unloaded_p99.get_or_insert(percentile(99).max(1));
+        if percentile(99) as f64 <= unloaded as f64 * KNEE_FACTOR {
             knee = tokens;
         }
         in_flight = (in_flight * 3).div_ceil(2);
@@ -46,36 +49,38 @@
     println!("knee: {knee} tokens; 80 %: {}; 85 %: {}", knee * 80 / 100, knee * 85 / 100);
 }
 
+/// Runs one step with the given number of clients. Returns the sorted latencies of all successful
+/// prompts.
 async fn step(flags: &Knee, in_flight: u64) -> Vec<u64> {
     let mut tasks = tokio::task::JoinSet::new();
-    for lane in 0..in_flight {
+    for client in 0..in_flight {
         let (engine, rounds, new_tokens) = (flags.engine, flags.rounds, flags.new_tokens);
         tasks.spawn(async move {
-            let mut took = Vec::new();
+            let mut latencies_ms = Vec::new();
             for round in 0..rounds {
                 let body = serde_json::json!({
-                    "inputs": format!("{lane} {round}"),
+                    "inputs": format!("{client} {round}"),
                     "parameters": { "max_new_tokens": new_tokens },
                 });
-                let begun = std::time::Instant::now();
-                let limit = std::time::Duration::from_secs(60);
+                let sent_at = std::time::Instant::now();
+                let timeout = std::time::Duration::from_secs(60);
                 let post = hyper::Method::POST;
                 let body = body.to_string().into();
-                let answer = topazyard_wire::http::outbound::exchange(
+                let response = topazyard_wire::http::outbound::exchange(
                     engine,
                     post,
                     "/generate",
                     body,
-                    limit,
+                    timeout,
                 );
-                if matches!(answer.await, Ok((200, _))) {
-                    took.push(begun.elapsed().as_millis() as u64);
+                if matches!(response.await, Ok((200, _))) {
+                    latencies_ms.push(sent_at.elapsed().as_millis() as u64);
                 }
             }
-            took
+            latencies_ms
         });
     }
-    let mut took: Vec<u64> = tasks.join_all().await.into_iter().flatten().collect();
-    took.sort_unstable();
-    took
+    let mut latencies_ms: Vec<u64> = tasks.join_all().await.into_iter().flatten().collect();
+    latencies_ms.sort_unstable();
+    latencies_ms
 }
--- a/fleet-measure/src/main.rs
+++ b/fleet-measure/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures simulated and real fleets. Simulated figures are the same on every machine.
+//! Measures simulated and real fleets. Simulated fleets give the same figures on every machine.
 
 mod knee;
 mod processor;
@@ -11,25 +11,25 @@
 #[derive(clap::Parser)]
 #[command(version)]
 enum Flags {
-    /// Every scenario over some seeds: admitted share, times, recovery
+    /// Run every scenario with several seeds: share of complete responses, latency, recovery
     Scenarios {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 5)]
         seeds: u64,
     },
-    /// Tuned weights against fixed ones, in a crowd with many batches
+    /// Compare tuned weights with fixed ones, under a load peak with many batches
     Weights {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 5)]
         seeds: u64,
     },
-    /// Frames a node sends as the fleet grows
+    /// Count the frames that each node sends as the fleet grows
     Growth,
-    /// Ramps tokens in flight against one engine and finds the knee of the p99
+    /// Increase the tokens in flight on one engine and find the knee of its p99
     Knee(knee::Knee),
-    /// Processor time and memory of running processes
+    /// Show processor time and memory of running processes
     Processor(processor::Processor),
-    /// Sends prompts to real relays and shows how service goes, half second by half second
+    /// Send prompts to real relays and show the complete responses in each half second
     Watch(watch::Watch),
 }
 
@@ -38,22 +38,22 @@
         Flags::Scenarios { seeds } => simulated::scenarios(seeds),
         Flags::Weights { seeds } => simulated::weights(seeds),
         Flags::Growth => simulated::growth(),
-        Flags::Knee(flags) => return on_runtime(knee::run(flags)),
+        Flags::Knee(flags) => return block_on(knee::run(flags)),
         Flags::Processor(flags) => return processor::run(&flags),
-        Flags::Watch(flags) => return on_runtime(watch::run(flags)),
+        Flags::Watch(flags) => return block_on(watch::run(flags)),
     }
     std::process::ExitCode::SUCCESS
 }
 
-fn on_runtime(work: impl Future<Output = ()>) -> std::process::ExitCode {
+fn block_on(future: impl Future<Output = ()>) -> std::process::ExitCode {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     match runtime {
         Ok(runtime) => {
-            runtime.block_on(work);
+            runtime.block_on(future);
             std::process::ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("the runtime can't be started: {error}");
+            eprintln!("can't start the async runtime: {error}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/fleet-measure/tests/checks.rs
+++ b/fleet-measure/tests/checks.rs
@@ -1,19 +1,20 @@
-//! The repository's own checks can fail: each is run on a scratch repository with a planted fault.
+//! Tests of the scripts that check the repository: each must fail on a scratch repository with an
+//! injected fault.
 
 use std::os::unix::fs::PermissionsExt as _;
 
 struct Scratch(std::path::PathBuf);
 
 impl Scratch {
-    /// A repository that holds one of the scripts.
+    /// Creates a repository that contains one of the scripts.
     fn with(name: &str, script: &str) -> Self {
         let folder = format!("topazyard-checks-{name}-{}", std::process::id());
         let scratch = Self(std::env::temp_dir().join(folder));
         let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
         let text = std::fs::read_to_string(root.join("scripts").join(script)).unwrap();
         scratch.write(&format!("scripts/{script}"), &text);
-        let made = scratch.command("git").args(["init", "--quiet"]).status().unwrap();
-        assert!(made.success());
+        let status = scratch.command("git").args(["init", "--quiet"]).status().unwrap();
+        assert!(status.success());
         scratch
     }
 
@@ -30,13 +31,13 @@
         command
     }
 
-    /// Runs a script with `bin/` before other programs; gives whether it passed and all it said.
+    /// Runs a script with `bin/` first in the path. Returns whether it passed, and its output.
     fn run(&self, script: &str) -> (bool, String) {
         let path = std::env::var("PATH").unwrap();
         let path = format!("{}:{path}", self.0.join("bin").display());
         let output = self.command("bash").arg(script).env("PATH", path).output().unwrap();
-        let said = [output.stdout, output.stderr].concat();
-        (output.status.success(), String::from_utf8(said).unwrap())
+        let text = [output.stdout, output.stderr].concat();
+        (output.status.success(), String::from_utf8(text).unwrap())
     }
 }
 
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_platform_name_outside_its_places_is_refused() {
+fn platform_names_outside_their_folders_are_refused() {
     let scratch = Scratch::with("names", "check-names");
     scratch.write("programs/a/src/lib.rs", "// Topazyard-Token-Count is the product's own.\n");
     scratch.write("programs/a/tests/b.rs", "// Topazyard-Attempt-Id\n");
@@ -55,18 +56,17 @@
     scratch.write("deploy/d.rs", "// route_table\n");
     assert_eq!(scratch.run("scripts/check-names"), (true, String::new()));
 
-    for planted in
-        ["topazyard-attempt-id", "/api/Configuration", "TOPAZYARD_SETTINGS", "route_table"]
+    for name in ["topazyard-attempt-id", "/api/Configuration", "TOPAZYARD_SETTINGS", "route_table"]
     {
-        scratch.write("programs/a/src/deep/e.rs", &format!("\n// {planted}\n"));
-        let (passed, said) = scratch.run("scripts/check-names");
-        assert!(!passed, "{planted} was let through");
-        assert!(said.contains(&format!("programs/a/src/deep/e.rs:2:{planted}")), "{said}");
+        scratch.write("programs/a/src/deep/e.rs", &format!("\n// {name}\n"));
+        let (passed, output) = scratch.run("scripts/check-names");
+        assert!(!passed, "{name} was accepted");
+        assert!(output.contains(&format!("programs/a/src/deep/e.rs:2:{name}")), "{output}");
     }
 }
 
-/// Stands for cargo: it lists three tests, one of which fails. It fails too where that test is not
-/// left out.
+/// A replacement for cargo with three tests, one of which fails. A run of all tests fails unless that
+/// test is skipped.
 const CARGO: &str = r#"#!/usr/bin/env bash
 case "$*" in
   *--list*) printf 'one::is_red: test\none::is_red_too: test\ntwo::is_well: test\n' ;;
@@ -79,40 +79,46 @@
 "#;
 
 #[test]
-fn only_the_known_red_tests_may_fail() {
+fn only_tests_listed_as_known_red_may_fail() {
     let scratch = Scratch::with("red", "cargo-tests");
     scratch.write("bin/cargo", CARGO);
-    let (passed, said) = scratch.run("scripts/cargo-tests");
+    let (passed, output) = scratch.run("scripts/cargo-tests");
     assert!(
-        !passed && said.contains("all of them"),
-        "without the file nothing is left out: {said}"
+        !passed && output.contains("all of them"),
+        "without the file no test is skipped: {output}"
     );
 
     let line = "one::is_red | a real fault | issue 1";
     scratch.write("KNOWN-RED.txt", line);
-    let (passed, said) = scratch.run("scripts/cargo-tests");
-    assert!(passed && said.contains(&format!("known red: {line}")), "{said}");
+    let (passed, output) = scratch.run("scripts/cargo-tests");
+    assert!(passed && output.contains(&format!("known red: {line}")), "{output}");
 
     let line = "two::is_well | a fault that was mended | issue 2";
     scratch.write("KNOWN-RED.txt", &format!("{line}\n"));
-    let (passed, said) = scratch.run("scripts/cargo-tests");
-    assert!(passed && said.contains(&format!("no longer red: remove the line: {line}")), "{said}");
+    let (passed, output) = scratch.run("scripts/cargo-tests");
+    assert!(
+        passed && output.contains(&format!("no longer red: remove the line: {line}")),
+        "{output}"
+    );
 
     scratch.write("KNOWN-RED.txt", "one::is_red | a real fault | issue 1\n");
     scratch.write("bin/cargo", &CARGO.replace("${OTHERS:-0}", "101"));
-    let (passed, said) = scratch.run("scripts/cargo-tests");
-    assert!(!passed && said.contains("the others"), "another test's failure counts: {said}");
+    let (passed, output) = scratch.run("scripts/cargo-tests");
+    assert!(
+        !passed && output.contains("the others"),
+        "the failure of another test counts: {output}"
+    );
 }
 
 #[test]
-fn a_line_that_is_no_exact_test_is_refused() {
+fn lines_that_do_not_name_one_test_are_refused() {
     let scratch = Scratch::with("lines", "cargo-tests");
     scratch.write("bin/cargo", CARGO);
     for line in
         ["one::is | a part of a name | issue 1", "one::is_red | no issue", "one::is_red", ""]
     {
         scratch.write("KNOWN-RED.txt", &format!("{line}\n"));
-        let (passed, said) = scratch.run("scripts/cargo-tests");
-        assert!(!passed && said.contains("KNOWN-RED.txt: "), "{line}: {said}");
+        let (passed, output) = scratch.run("scripts/cargo-tests");
+        assert!(!passed && output.contains("KNOWN-RED.txt: "), "{line}: {output}");
     }
 }
