--- a/fleet-measure/src/simulated.rs
+++ b/fleet-measure/src/simulated.rs
@@ -24,8 +24,8 @@
     median(all.iter().map(pick).collect())
 }
 
-/// Prints a row for each scenario and deployment: medians over the seeds, and the longest time below
-/// half of the expected rate.
+/// Prints a row for each scenario and deployment: medians over the seeds, and the longest time
+/// below half of the expected rate.
 pub fn scenarios(seeds: u64) {
     println!(
         "| deployment | scenario | whole of sent | p50 ms | p99 ms | longest below half ms, median | worst |"
--- a/fleet-measure/tests/checks.rs
+++ b/fleet-measure/tests/checks.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// A replacement for cargo with three tests, one of which fails. A run of all tests fails unless that
-/// test is skipped.
+/// A replacement for cargo with three tests, one of which fails. A run of all tests fails unless
+/// that test is skipped.
 const CARGO: &str = r#"#!/usr/bin/env bash
 case "$*" in
   *--list*) printf 'one::is_red: test\none::is_red_too: test\ntwo::is_well: test\n' ;;
--- a/programs/topazyard-edge-agent/src/run.rs
+++ b/programs/topazyard-edge-agent/src/run.rs
@@ -6,8 +6,8 @@
 use topazyard_wire::driver::disk_start::KnownControlNodes;
 use topazyard_wire::message::membership::{Member, MemberRole};
 
-/// Opens the data folder, if there is one. An agent stores only addresses of control nodes there and
-/// runs without it when the disk is full.
+/// Opens the data folder, if there is one. An agent stores only addresses of control nodes there
+/// and runs without it when the disk is full.
 fn open_disk(folder: Option<&Path>) -> Result<Option<(KnownControlNodes, OpenFile)>, DiskError> {
     let Some(folder) = folder else { return Ok(None) };
     match topazyard_wire::disk::open(folder) {
@@ -77,8 +77,8 @@
     })
 }
 
-/// Maximum time that an agent waits for its relay to end, so that the process itself ends within the
-/// grace period.
+/// Maximum time that an agent waits for its relay to end, so that the process itself ends within
+/// the grace period.
 fn leave_timeout(bounds: &topazyard_spec::Bounds) -> std::time::Duration {
     std::time::Duration::from_millis(bounds.grace.0 / 16 * 15)
 }
--- a/programs/topazyard-edge-agent/tests/primary_search.rs
+++ b/programs/topazyard-edge-agent/tests/primary_search.rs
@@ -113,8 +113,8 @@
     }
 }
 
-// Otherwise an agent tries control nodes one after the other after a power loss, and waits a quarter
-// of a second for each.
+// Otherwise an agent tries control nodes one after the other after a power loss, and waits a
+// quarter of a second for each.
 #[test]
 fn unknown_primary_is_searched_at_three_nodes_in_parallel() {
     let mut agent = Agent::new(7);
--- a/stand-ins/src/bin/stand-in-clients.rs
+++ b/stand-ins/src/bin/stand-in-clients.rs
@@ -202,8 +202,8 @@
     false
 }
 
-/// Prints whether each item is listed once and whether positions are consecutive, and returns whether
-/// both hold.
+/// Prints whether each item is listed once and whether positions are consecutive, and returns
+/// whether both hold.
 fn check(results: &[serde_json::Value], items: u64) -> bool {
     let in_order = results
         .iter()
