--- a/programs/topazyard-relay/src/front/adapter.rs
+++ b/programs/topazyard-relay/src/front/adapter.rs
@@ -1,101 +1,103 @@
-//! What an outer adapter says of requests on routes, in its own names.
+//! The interface to an outer adapter, which defines the header names and formats of requests on
+//! routes.
 
 use crate::machine::EngineLoad;
 use crate::machine::requests::PromptPart;
 use topazyard_types::{DurationMs, EngineName, Tokens};
 
-/// What a request's head says, whatever the names.
+/// The metadata in a request's head, independent of header names.
 #[derive(Debug, Clone)]
 pub struct RequestMetadata {
-    /// How its client tells its requests apart; the engine's response carries it back.
+    /// The client's id for the request; the engine's response carries it too.
     pub request_id: hyper::header::HeaderValue,
-    /// How long the client waits, if it says so.
+    /// How long the client waits, if stated.
     pub timeout: Option<DurationMs>,
-    /// Prompt tokens and most tokens out, if stated.
+    /// Prompt tokens plus maximum output tokens, if stated.
     pub cost: Option<Tokens>,
-    /// The parts of its prompt, in order.
+    /// The parts of the prompt, in order.
     pub prefix: Vec<PromptPart>,
-    /// The last event that the client has, if it takes a stream up.
+    /// The last event that the client received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What is said to an engine beside what the client said.
+/// Values that the relay adds to the headers of a request to an engine.
 #[derive(Debug)]
 pub struct EngineHeaders<'a> {
-    /// The engine that is meant; any other turns the request away.
+    /// The engine that the request is for; any other engine turns the request away.
     pub engine: &'a EngineName,
-    /// How long the response is waited for.
+    /// How long the relay waits for the response.
     pub time_remaining: DurationMs,
-    /// The last event that is there already, if a stream is taken up.
+    /// The last event already received, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
-/// What the head of an engine's response says.
+/// The meaning of an engine's response, according to its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The request did not run and never will, at that engine.
+    /// The request did not run at that engine and never will.
     TurnedAway,
-    /// It is the response to that request.
+    /// The response to the request.
     Response,
-    /// It is a failure, and the request may have run.
+    /// A failure; the request may have run.
     Failure,
-    /// It belongs to no request that was sent here.
+    /// Not a response to the request.
     Mismatched,
 }
 
-/// what an engine says of its load can't be read
+/// malformed load in the headers of an engine's response
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub struct MalformedLoad;
 
 impl std::error::Error for MalformedLoad {}
 
-/// An outer adapter's names for requests on routes. It translates and decides nothing.
+/// An outer adapter's header names and formats for requests on routes. It only translates; all
+/// decisions are made in the relay.
 pub trait HttpAdapter: Send + Sync + 'static {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// The header that is malformed, by name.
+    /// A malformed header, by name.
     fn request_metadata(
         &self,
         head: &hyper::http::request::Parts,
     ) -> Result<RequestMetadata, topazyard_wire::ApiError>;
 
-    /// Says in the head whose request it is, where no client said it: that of a batch's item.
+    /// Sets the request id of a batch item, which no client set.
     fn set_request_id(
         &self,
         headers: &mut hyper::HeaderMap,
         request_id: &hyper::header::HeaderValue,
     );
 
-    /// Says in the head what is said to an engine.
+    /// Sets the relay's headers of a request to an engine.
     fn set_engine_headers(&self, headers: &mut hyper::HeaderMap, to: &EngineHeaders<'_>);
 
-    /// What the head of a response says that came where the response to that request is due. Only
-    /// one that carries the request's id speaks of it: on a connection that is used again, what is
-    /// read may have been sent before the request was.
+    /// Classifies a response received where the response to that request is expected. Only a
+    /// response with the request's id belongs to it: on a reused connection, the data read may have
+    /// been sent before the request was.
     fn classify_response(
         &self,
         head: &hyper::http::response::Parts,
         request_id: &hyper::header::HeaderValue,
     ) -> ResponseKind;
 
-    /// What the head of an engine's response says of its load, if anything.
+    /// The load that an engine reports in the head of a response, if any.
     ///
     /// # Errors
-    /// It says something that is no load.
+    /// The reported load is malformed.
     fn reported_load(
         &self,
         headers: &hyper::HeaderMap,
     ) -> Result<Option<EngineLoad>, MalformedLoad>;
 
-    /// A refusal as the client gets it.
+    /// The response that reports a refusal to the client.
     fn refusal_response(
         &self,
         error: &topazyard_wire::ApiError,
     ) -> hyper::Response<topazyard_wire::http::Body>;
 
-    /// Answers calls that are not requests on routes: handed-in batches and what is asked of them.
-    /// `route` is set where the call's path is that of a batch route.
+    /// Serves batch calls: submissions, and calls on submitted batches. `route` is set if the
+    /// call's path belongs to a batch route.
     fn serve_batch_call<'a>(
         &'a self,
         handle: &'a super::Handle,
@@ -106,9 +108,9 @@
         Box<dyn Future<Output = hyper::Response<topazyard_wire::http::Body>> + Send + 'a>,
     >;
 
-    /// Whether a path is one of the adapter's own calls on batches, not of a route.
+    /// Whether the path is one of the adapter's own batch calls rather than a route's.
     fn is_batch_path(&self, path: &str) -> bool;
 
-    /// Whether a path asks for readiness.
+    /// Whether the path is the readiness check's.
     fn is_ready_path(&self, path: &str) -> bool;
 }
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -1,4 +1,4 @@
-//! Batch calls.
+//! Batch calls of the product's own interface.
 
 use super::Handle;
 use crate::machine::{RelayCall, RelayResponse};
@@ -9,9 +9,10 @@
     BatchCall, BatchResponse, BatchStatus, Item, ItemEnd, ItemResult,
 };
 
-/// The largest batch taken, in bytes.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
-const LIMIT: DurationMs = DurationMs(5_000);
+/// Maximum size of a submitted batch.
+const MAX_BATCH_BYTES: usize = 16 * 1024 * 1024;
+/// Timeout of a call on a submitted batch.
+const CALL_TIMEOUT: DurationMs = DurationMs(5_000);
 
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -32,50 +33,51 @@
     token_count: Option<u64>,
 }
 
-/// Serves a call on batches.
+/// Serves a batch call.
 ///
 /// # Errors
-/// The error that the client gets.
+/// The error to send to the client.
 pub async fn serve(
     handle: Handle,
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let body = topazyard_wire::http::inbound::read_body(body, MOST_BYTES).await?;
+    let body = topazyard_wire::http::inbound::read_body(body, MAX_BATCH_BYTES).await?;
     let parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
     let call = match (head.method.as_str(), &parts[1..]) {
         ("POST", []) => {
-            let batch = id_for(&head.headers)?;
+            let batch = batch_id_for(&head.headers)?;
             let items = parse_items(&body)?;
-            return answer(handle.call(RelayCall::SubmitBatch(batch, items)).await);
-        }
-        ("GET", [id]) => BatchCall::Read(batch_of(id)?),
-        ("GET", [id, "returns"]) => {
-            BatchCall::ItemResults { batch: batch_of(id)?, after: after_of(head.uri.query())? }
+            return to_response(handle.call(RelayCall::SubmitBatch(batch, items)).await);
         }
+        ("GET", [id]) => BatchCall::Read(parse_batch_id(id)?),
+        ("GET", [id, "returns"]) => BatchCall::ItemResults {
+            batch: parse_batch_id(id)?,
+            after: parse_after(head.uri.query())?,
+        },
         ("POST", [id, "items", item, "recall"]) => {
             let malformed = |_| ApiError::not_run(Code::Malformed).at("item");
-            BatchCall::Recall(batch_of(id)?, ItemNumber(item.parse().map_err(malformed)?))
+            BatchCall::Recall(parse_batch_id(id)?, ItemNumber(item.parse().map_err(malformed)?))
         }
-        ("DELETE", [id]) => BatchCall::End(batch_of(id)?),
+        ("DELETE", [id]) => BatchCall::End(parse_batch_id(id)?),
         _ => return Err(ApiError::not_run(Code::NoSuchPath).at(head.uri.path())),
     };
-    answer(handle.call(RelayCall::Batch(call, LIMIT)).await)
+    to_response(handle.call(RelayCall::Batch(call, CALL_TIMEOUT)).await)
 }
 
-fn batch_of(text: &str) -> Result<BatchId, ApiError> {
+fn parse_batch_id(text: &str) -> Result<BatchId, ApiError> {
     text.parse().map_err(|_| ApiError::not_run(Code::NotFound).at("batch"))
 }
 
-fn after_of(query: Option<&str>) -> Result<u32, ApiError> {
+fn parse_after(query: Option<&str>) -> Result<u32, ApiError> {
     let Some(query) = query else { return Ok(0) };
-    let after = query.split('&').find_map(|replica| replica.strip_prefix("after="));
+    let after = query.split('&').find_map(|parameter| parameter.strip_prefix("after="));
     let malformed = |_| ApiError::not_run(Code::Malformed).at("after");
     after.map_or(Ok(0), |text| text.parse().map_err(malformed))
 }
 
-/// The batch's id: made from the idempotency key, or from one that nobody else has.
-fn id_for(headers: &hyper::HeaderMap) -> Result<BatchId, ApiError> {
+/// The batch's id, derived from the idempotency key, or from a random key if there is none.
+fn batch_id_for(headers: &hyper::HeaderMap) -> Result<BatchId, ApiError> {
     let name = "Idempotency-Key";
     let Some(value) = headers.get(name) else {
         return Ok(BatchId::from_key(&format!("{:032x}", rand::random::<u128>())));
@@ -86,7 +88,7 @@
     }
 }
 
-/// The items of a batch as it is handed in.
+/// Parses the items of a submitted batch.
 ///
 /// ```
 /// let items = topazyard_relay::front::batches::parse_items(
@@ -96,11 +98,11 @@
 /// ```
 ///
 /// # Errors
-/// The field at fault.
+/// The malformed field.
 pub fn parse_items(body: &[u8]) -> Result<Vec<Item>, ApiError> {
     let batch: BatchBody<'_> = serde_json::from_slice(body).map_err(|error| {
-        let place = format!("line {} column {}", error.line(), error.column());
-        ApiError { message: error.to_string(), ..ApiError::not_run(Code::Malformed).at(place) }
+        let position = format!("line {} column {}", error.line(), error.column());
+        ApiError { message: error.to_string(), ..ApiError::not_run(Code::Malformed).at(position) }
     })?;
     let items = batch.items.iter().enumerate();
     let items = items.map(|(index, item)| {
@@ -118,24 +120,24 @@
     items.collect()
 }
 
-fn answer(
+fn to_response(
     outcome: Result<RelayResponse, topazyard_wire::driver::CallError>,
 ) -> Result<hyper::Response<Body>, ApiError> {
     match outcome {
-        Ok(RelayResponse::Batch(value)) => shown(value),
+        Ok(RelayResponse::Batch(value)) => batch_response(value),
         Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::may_have_run(Code::OutcomeUnknown)),
     }
 }
 
-fn shown(value: BatchResponse) -> Result<hyper::Response<Body>, ApiError> {
+fn batch_response(value: BatchResponse) -> Result<hyper::Response<Body>, ApiError> {
     use topazyard_wire::http::json;
     match value {
-        BatchResponse::Accepted(standing) => Ok(json(201, &shown_standing(&standing))),
-        BatchResponse::Status(standing) => Ok(json(200, &shown_standing(&standing))),
-        BatchResponse::ItemResults(returns) => {
-            let shown: Vec<_> = returns.iter().map(shown_return).collect();
-            Ok(json(200, &serde_json::json!({ "returns": shown })))
+        BatchResponse::Accepted(status) => Ok(json(201, &status_json(&status))),
+        BatchResponse::Status(status) => Ok(json(200, &status_json(&status))),
+        BatchResponse::ItemResults(results) => {
+            let results: Vec<_> = results.iter().map(result_json).collect();
+            Ok(json(200, &serde_json::json!({ "returns": results })))
         }
         BatchResponse::Recalled => Ok(json(200, &serde_json::json!({ "recalled": true }))),
         BatchResponse::TooLate { returned } => {
@@ -153,14 +155,14 @@
     }
 }
 
-fn shown_standing(standing: &BatchStatus) -> serde_json::Value {
+fn status_json(status: &BatchStatus) -> serde_json::Value {
     serde_json::json!({
-        "batch": standing.batch.to_string(),
-        "items": standing.items,
-        "returned": standing.returned,
-        "waiting": standing.waiting,
-        "running": standing.running,
-        "ended": standing.ended,
+        "batch": status.batch.to_string(),
+        "items": status.items,
+        "returned": status.returned,
+        "waiting": status.waiting,
+        "running": status.running,
+        "ended": status.ended,
     })
 }
 
@@ -168,8 +170,8 @@
     body.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn shown_return(item_return: &ItemResult) -> serde_json::Value {
-    let (outcome, status, body) = match &item_return.end {
+fn result_json(result: &ItemResult) -> serde_json::Value {
+    let (outcome, status, body) = match &result.end {
         ItemEnd::Complete { status, body } => ("whole", Some(*status), Some(body)),
         ItemEnd::OutcomeUnknown => ("outcome_unknown", None, None),
         ItemEnd::Recalled => ("recalled", None, None),
@@ -177,8 +179,8 @@
         ItemEnd::Abandoned => ("abandoned", None, None),
     };
     serde_json::json!({
-        "position": item_return.position,
-        "item": item_return.item,
+        "position": result.position,
+        "item": result.item,
         "outcome": outcome,
         "status": status,
         "body": body.and_then(|body| std::str::from_utf8(body).ok()),
--- a/programs/topazyard-relay/src/front/connections.rs
+++ b/programs/topazyard-relay/src/front/connections.rs
@@ -1,59 +1,61 @@
-//! Connections to engines, kept between requests. Each thread owns its own.
+//! Pool of keep-alive connections to engines. Each thread has its own pool.
 //!
-//! A connection carries one request at a time. It is kept only if the response was whole and said
-//! nothing against it, and for less long than the engine says that it keeps it.
+//! A connection carries one request at a time. It is returned to the pool only after a complete
+//! response whose headers allow it, and stays there for less time than the engine announces.
 
 use crate::machine::Target;
 use topazyard_types::{DurationMs, EngineName};
 use topazyard_wire::http::Body;
 
-/// The most idle connections that a thread keeps to one engine.
-const MOST_IDLE: usize = 4;
-/// For how long a connection is kept where the engine doesn't say it.
-const UNSAID_IDLE: DurationMs = DurationMs(800);
-/// An idle connection is used for this part of the time that the engine keeps it, in percent: one
-/// that is closed while a request is on its way costs that request.
-const USED_PERCENT: u64 = 60;
-/// How long an engine may take to accept a connection.
+/// Maximum idle connections per engine and thread.
+const MAX_IDLE_PER_ENGINE: usize = 4;
+/// How long an idle connection is kept if the engine announces no timeout.
+const DEFAULT_IDLE_TIMEOUT: DurationMs = DurationMs(800);
+/// Share of the engine's announced idle timeout within which a connection is reused. If the engine
+/// closes the connection while a request is in flight, that request is lost.
+const IDLE_TIMEOUT_PERCENT: u64 = 60;
+/// Timeout for connecting to an engine.
 pub const CONNECT_TIMEOUT: DurationMs = DurationMs(300);
 
-/// A connection that is ready for a request.
+/// An open connection to an engine that is ready for a request.
 pub struct EngineConnection {
     sender: hyper::client::conn::http1::SendRequest<Body>,
     engine: EngineName,
     address: std::net::SocketAddr,
 }
 
-struct Idle {
-    kept: EngineConnection,
-    until: std::time::Instant,
+struct IdleConnection {
+    connection: EngineConnection,
+    expires_at: std::time::Instant,
 }
 
 thread_local! {
-    static IDLE: std::cell::RefCell<std::collections::HashMap<EngineName, Vec<Idle>>> =
+    static IDLE: std::cell::RefCell<std::collections::HashMap<EngineName, Vec<IdleConnection>>> =
         std::cell::RefCell::default();
 }
 
-/// Why a request could not be sent.
+/// Why sending a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum SendError {
-    /// nothing of it was sent
+    /// nothing of the request was sent
     NotSent,
-    /// the connection broke after it may have been sent
+    /// the connection was lost after the request may have been sent
     ConnectionLost,
 }
 
 impl std::error::Error for SendError {}
 
-/// A kept connection to an engine, if there is one that still works.
+/// Takes a usable idle connection to an engine from the pool.
 pub fn take_idle(target: &Target) -> Option<EngineConnection> {
     let now = std::time::Instant::now();
     IDLE.with_borrow_mut(|idle| {
-        let of_engine = idle.get_mut(&target.engine)?;
-        while let Some(Idle { kept, until }) = of_engine.pop() {
-            let usable = now < until && kept.address == target.address && kept.sender.is_ready();
+        let connections = idle.get_mut(&target.engine)?;
+        while let Some(IdleConnection { connection, expires_at }) = connections.pop() {
+            let usable = now < expires_at
+                && connection.address == target.address
+                && connection.sender.is_ready();
             if usable {
-                return Some(kept);
+                return Some(connection);
             }
         }
         idle.remove(&target.engine);
@@ -61,44 +63,44 @@
     })
 }
 
-/// Lets all idle connections to an engine go.
+/// Closes all idle connections to an engine.
 pub fn close_idle(engine: &EngineName) {
     IDLE.with_borrow_mut(|idle| drop(idle.remove(engine)));
 }
 
-/// Lets idle connections go whose time is over.
+/// Closes expired idle connections.
 pub fn close_expired() {
     let now = std::time::Instant::now();
     IDLE.with_borrow_mut(|idle| {
-        for of_engine in idle.values_mut() {
-            of_engine.retain(|idle| now < idle.until && !idle.kept.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
         }
-        idle.retain(|_, of_engine| !of_engine.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     });
 }
 
-/// Connects to an engine; nothing is sent.
+/// Connects to an engine without sending anything.
 ///
 /// # Errors
-/// No connection in time.
-pub async fn connect(target: &Target, limit: DurationMs) -> Result<EngineConnection, SendError> {
-    let limit = std::time::Duration::from_millis(limit.0.min(CONNECT_TIMEOUT.0));
-    let connected = tokio::time::timeout(limit, tokio::net::TcpStream::connect(target.address));
+/// No connection could be opened in time.
+pub async fn connect(target: &Target, timeout: DurationMs) -> Result<EngineConnection, SendError> {
+    let timeout = std::time::Duration::from_millis(timeout.0.min(CONNECT_TIMEOUT.0));
+    let connected = tokio::time::timeout(timeout, tokio::net::TcpStream::connect(target.address));
     let stream = connected.await.ok().and_then(Result::ok).ok_or(SendError::NotSent)?;
     let _ = stream.set_nodelay(true);
     let io = hyper_util::rt::TokioIo::new(stream);
     let handshake = hyper::client::conn::http1::handshake(io).await;
     let (sender, connection) = handshake.map_err(|_| SendError::NotSent)?;
-    // How the connection ends shows in the outcome of its request.
+    // A connection error is reported by the request that is using the connection.
     tokio::spawn(async move { drop(connection.await) });
     Ok(EngineConnection { sender, engine: target.engine.clone(), address: target.address })
 }
 
-/// Makes a connection and keeps it; says whether there is one.
+/// Opens a connection to an engine and keeps it; returns whether that succeeded.
 pub async fn probe(target: &Target) -> bool {
     match connect(target, CONNECT_TIMEOUT).await {
-        Ok(kept) => {
-            keep_for(kept, UNSAID_IDLE);
+        Ok(connection) => {
+            insert_idle(connection, DEFAULT_IDLE_TIMEOUT);
             true
         }
         Err(_) => false,
@@ -106,10 +108,10 @@
 }
 
 impl EngineConnection {
-    /// Sends a request and waits for the head of its response.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// Whether anything of it can have been sent.
+    /// The error tells whether any of the request may have been sent.
     pub async fn send(
         &mut self,
         request: hyper::Request<Body>,
@@ -123,14 +125,15 @@
     }
 }
 
-/// Keeps a connection whose response was whole, unless its head said that it is not kept.
-pub fn keep_idle(kept: EngineConnection, head: &hyper::HeaderMap) {
+/// Returns a connection to the pool after a complete response, unless the response's head forbids
+/// it.
+pub fn keep_idle(connection: EngineConnection, head: &hyper::HeaderMap) {
     if let Some(idle) = idle_timeout(head) {
-        keep_for(kept, idle);
+        insert_idle(connection, idle);
     }
 }
 
-/// For how long an idle connection may be used by what a response's head says; none if not at all.
+/// How long the connection may be reused according to a response's head; none if not at all.
 ///
 /// ```
 /// use topazyard_relay::front::connections::idle_timeout;
@@ -141,28 +144,34 @@
 /// assert_eq!(idle_timeout(&head), None);
 /// ```
 pub fn idle_timeout(head: &hyper::HeaderMap) -> Option<DurationMs> {
-    let text = |name| {
-        head.get_all(name).iter().filter_map(|v: &hyper::header::HeaderValue| v.to_str().ok())
+    let header_values = |name| {
+        head.get_all(name)
+            .iter()
+            .filter_map(|value: &hyper::header::HeaderValue| value.to_str().ok())
     };
-    if text(hyper::header::CONNECTION).any(|value| value.to_ascii_lowercase().contains("close")) {
+    if header_values(hyper::header::CONNECTION)
+        .any(|value| value.to_ascii_lowercase().contains("close"))
+    {
         return None;
     }
-    let said = text(hyper::header::HeaderName::from_static("keep-alive"))
+    let announced = header_values(hyper::header::HeaderName::from_static("keep-alive"))
         .flat_map(|value| value.split(','))
         .find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok());
-    Some(said.map_or(UNSAID_IDLE, |s| DurationMs(s.saturating_mul(10 * USED_PERCENT))))
+    Some(announced.map_or(DEFAULT_IDLE_TIMEOUT, |seconds| {
+        DurationMs(seconds.saturating_mul(10 * IDLE_TIMEOUT_PERCENT))
+    }))
 }
 
-fn keep_for(kept: EngineConnection, idle: DurationMs) {
-    if kept.sender.is_closed() || idle.0 == 0 {
+fn insert_idle(connection: EngineConnection, idle: DurationMs) {
+    if connection.sender.is_closed() || idle.0 == 0 {
         return;
     }
-    let until = std::time::Instant::now() + std::time::Duration::from_millis(idle.0);
+    let expires_at = std::time::Instant::now() + std::time::Duration::from_millis(idle.0);
     IDLE.with_borrow_mut(|all| {
-        let of_engine = all.entry(kept.engine.clone()).or_default();
-        if of_engine.len() >= MOST_IDLE {
-            of_engine.remove(0);
+        let connections = all.entry(connection.engine.clone()).or_default();
+        if connections.len() >= MAX_IDLE_PER_ENGINE {
+            connections.remove(0);
         }
-        of_engine.push(Idle { kept, until });
+        connections.push(IdleConnection { connection, expires_at });
     });
 }
--- a/programs/topazyard-relay/src/front/engine.rs
+++ b/programs/topazyard-relay/src/front/engine.rs
@@ -1,33 +1,35 @@
-//! The engines' HTTP, in the published text-generation form. Nothing else here knows it.
+//! HTTP requests to engines on model routes, in the published text-generation format. Only this
+//! module depends on that format.
 
 use topazyard_types::DurationMs;
 use topazyard_wire::http::outbound::{Connection, OutboundError};
 
-/// How long an engine may take to accept a connection.
+/// Timeout for connecting to an engine.
 pub const CONNECT_TIMEOUT: DurationMs = DurationMs(400);
-const LOOK_LIMIT: DurationMs = DurationMs(800);
+/// Timeout of an engine's health check.
+const HEALTH_CHECK_TIMEOUT: DurationMs = DurationMs(800);
 
-/// A span for the runtime's timers.
-pub fn std_duration(limit: DurationMs) -> std::time::Duration {
-    std::time::Duration::from_millis(limit.0)
+/// Converts a duration for the runtime's timers.
+pub fn std_duration(duration: DurationMs) -> std::time::Duration {
+    std::time::Duration::from_millis(duration.0)
 }
 
-/// Connects to an engine; nothing is sent.
+/// Connects to an engine without sending anything.
 ///
 /// # Errors
-/// No connection could be made in time.
+/// No connection could be opened in time.
 pub async fn connect(
     address: std::net::SocketAddr,
-    limit: DurationMs,
+    timeout: DurationMs,
 ) -> Result<Connection, OutboundError> {
-    let limit = DurationMs(limit.0.min(CONNECT_TIMEOUT.0));
-    topazyard_wire::http::outbound::connect(address, std_duration(limit)).await
+    let timeout = DurationMs(timeout.0.min(CONNECT_TIMEOUT.0));
+    topazyard_wire::http::outbound::connect(address, std_duration(timeout)).await
 }
 
-/// The request that carries a body to an engine, byte for byte.
+/// A request to an engine with the body as given, byte for byte.
 ///
 /// # Errors
-/// The request can't be built.
+/// The request cannot be built.
 pub fn request(
     address: std::net::SocketAddr,
     path: &'static str,
@@ -42,8 +44,9 @@
         .map_err(|_| OutboundError::NotConnected)
 }
 
-/// Whether the end of a return's body can be told from a cut, in one way and no other. One that just
-/// ends with its connection can't be, and one that tells its length twice may be read in two ways.
+/// Whether the end of a response's body is delimited in exactly one way, so that an interrupted
+/// body is recognized. A body that ends when the connection closes is not delimited, and one with
+/// two lengths is ambiguous.
 ///
 /// ```
 /// let mut headers = hyper::HeaderMap::new();
@@ -63,14 +66,14 @@
     }
 }
 
-/// Looks whether an engine is well.
+/// Checks an engine's health.
 pub async fn is_healthy(address: std::net::SocketAddr) -> bool {
-    let asked = topazyard_wire::http::outbound::exchange(
+    let response = topazyard_wire::http::outbound::exchange(
         address,
         hyper::Method::GET,
         "/health",
         bytes::Bytes::new(),
-        std_duration(LOOK_LIMIT),
+        std_duration(HEALTH_CHECK_TIMEOUT),
     );
-    matches!(asked.await, Ok((200, _)))
+    matches!(response.await, Ok((200, _)))
 }
--- a/programs/topazyard-relay/src/front/engine_loads.rs
+++ b/programs/topazyard-relay/src/front/engine_loads.rs
@@ -1,4 +1,4 @@
-//! What engines say of their load with their responses.
+//! The load that engines report with their responses.
 
 use super::Handle;
 use super::adapter::HttpAdapter;
@@ -8,8 +8,7 @@
 
 static MALFORMED: AtomicU64 = AtomicU64::new(0);
 
-/// Tells the machine what a response's head says of its engine's load; what can't be read is
-/// counted and passed over.
+/// Reports the load in a response's head to the machine. A malformed load is counted and ignored.
 pub(super) fn report(
     handle: &Handle,
     adapter: &dyn HttpAdapter,
@@ -23,7 +22,7 @@
     }
 }
 
-/// How many could not be read since the process began.
+/// The number of malformed loads since the process started.
 pub fn malformed_count() -> u64 {
     MALFORMED.load(Ordering::Relaxed)
 }
--- a/programs/topazyard-relay/src/front/events.rs
+++ b/programs/topazyard-relay/src/front/events.rs
@@ -1,99 +1,99 @@
-//! EventSplitter of a stream as they come in pieces: whole ones go on, and their ids are told.
+//! Splits a chunked event stream into complete events and tracks their ids.
 
-/// Finds the ends of events in a body that comes in pieces.
+/// Finds the ends of events in a body that arrives in chunks.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// What came after the last whole event.
-    rest: Vec<u8>,
-    /// The id of the last whole event, if it has one.
+    /// Data received after the last complete event.
+    partial: Vec<u8>,
+    /// The id of the last complete event that has one.
     last_id: Option<u64>,
 }
 
-/// The events that a piece completed.
+/// The events that a chunk completed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes.
+    /// The bytes of the events.
     pub bytes: bytes::Bytes,
-    /// The id of the first.
+    /// The id of the first event.
     pub first_id: Option<u64>,
-    /// Whether their ids rise by one from event to event.
+    /// Whether the ids increase by one from event to event.
     pub in_order: bool,
 }
 
-/// The most bytes of one event.
-const MOST_BYTES: usize = 1024 * 1024;
+/// Maximum size of one event.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// an event is longer than any should be
+/// an event of the stream exceeds the size limit
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub struct EventTooLong;
 
 impl std::error::Error for EventTooLong {}
 
 impl EventSplitter {
-    /// EventSplitter of a stream of which the event with that id is there already.
+    /// A splitter for a stream that continues after the event with that id.
     pub fn after(last_id: Option<u64>) -> Self {
-        Self { rest: Vec::new(), last_id }
+        Self { partial: Vec::new(), last_id }
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether an event was begun and not ended.
+    /// Whether the last event is incomplete.
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Takes a piece and gives the events that it completes, if any.
+    /// Adds a chunk and returns the events that it completes, if any.
     ///
     /// ```
     /// use topazyard_relay::front::events::EventSplitter;
     /// let mut events = EventSplitter::after(None);
     /// assert_eq!(events.push(b"id: 1\ndata: a").unwrap(), None);
-    /// let whole = events.push(b"b\n\nid: 2\n").unwrap().unwrap();
-    /// assert_eq!(&whole.bytes[..], b"id: 1\ndata: ab\n\n");
-    /// assert_eq!((whole.first_id, events.last_id()), (Some(1), Some(1)));
+    /// let complete = events.push(b"b\n\nid: 2\n").unwrap().unwrap();
+    /// assert_eq!(&complete.bytes[..], b"id: 1\ndata: ab\n\n");
+    /// assert_eq!((complete.first_id, events.last_id()), (Some(1), Some(1)));
     /// assert!(events.has_partial_event());
     /// ```
     ///
     /// # Errors
-    /// An event grows too long.
-    pub fn push(&mut self, piece: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
-        // The end of an event may lie across two pieces.
-        let from = self.rest.len().saturating_sub(3);
-        self.rest.extend_from_slice(piece);
-        let end = last_end(&self.rest[from..]).map(|end| from + end);
+    /// An event exceeds the size limit.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
+        // The delimiter at an event's end may be split across two chunks.
+        let search_start = self.partial.len().saturating_sub(3);
+        self.partial.extend_from_slice(chunk);
+        let end = last_event_end(&self.partial[search_start..]).map(|end| search_start + end);
         let Some(end) = end else {
-            return if self.rest.len() > MOST_BYTES { Err(EventTooLong) } else { Ok(None) };
+            return if self.partial.len() > MAX_EVENT_BYTES { Err(EventTooLong) } else { Ok(None) };
         };
-        let rest = self.rest.split_off(end);
-        let whole = std::mem::replace(&mut self.rest, rest);
+        let partial = self.partial.split_off(end);
+        let complete = std::mem::replace(&mut self.partial, partial);
         let mut first_id = None;
         let mut in_order = true;
-        for id in ids(&whole) {
+        for id in event_ids(&complete) {
             in_order &= self.last_id.is_none_or(|last| id == last + 1);
             first_id.get_or_insert(id);
             self.last_id = Some(id);
         }
-        Ok(Some(CompleteEvents { bytes: whole.into(), first_id, in_order }))
+        Ok(Some(CompleteEvents { bytes: complete.into(), first_id, in_order }))
     }
 }
 
-/// Where the last blank line ends.
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let ends = |at: usize, mark: &[u8]| bytes[..at].ends_with(mark);
+/// The position after the last blank line.
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let ends = |at: usize, delimiter: &[u8]| bytes[..at].ends_with(delimiter);
     (2..=bytes.len()).rev().find(|at| ends(*at, b"\n\n") || ends(*at, b"\n\r\n"))
 }
 
-fn ids(events: &[u8]) -> impl Iterator<Item = u64> {
+fn event_ids(events: &[u8]) -> impl Iterator<Item = u64> {
     events.split(|byte| *byte == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
     })
 }
 
-/// The data of all events in order, each event's lines joined by a line feed.
+/// The data of all events in order; the data lines of an event are joined by line feeds.
 ///
 /// ```
 /// use topazyard_relay::front::events::event_data;
--- a/programs/topazyard-relay/src/front/items.rs
+++ b/programs/topazyard-relay/src/front/items.rs
@@ -1,5 +1,5 @@
-//! Runs of routed items: an item is sent to its engine, and the events of its stream are kept
-//! until the stream is whole.
+//! Runs of routed items: an item is sent to its engine, and the events of its stream are collected
+//! until the stream is complete.
 
 use super::Handle;
 use super::adapter::{EngineHeaders, HttpAdapter, ResponseKind};
@@ -14,19 +14,19 @@
 use topazyard_wire::http::Body;
 use topazyard_wire::message::batch::{Progress, RunEnd};
 
-/// The largest output of an item that is kept, in bytes.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of an item's output.
+const MAX_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
 
-/// A connection to an item's engine that carries nothing: a kept one, or else a new one.
-async fn connection_to(run: &RoutedRun) -> Option<EngineConnection> {
+/// A connection to the item's engine: an idle one from the pool, or else a new one.
+async fn engine_connection(run: &RoutedRun) -> Option<EngineConnection> {
     match connections::take_idle(&run.target) {
         Some(kept) => Some(kept),
         None => connections::connect(&run.target, connections::CONNECT_TIMEOUT).await.ok(),
     }
 }
 
-/// The request that carries an item to its engine.
-fn request_of(
+/// The request that sends an item to its engine.
+fn item_request(
     run: &RoutedRun,
     request_id: &HeaderValue,
     adapter: &dyn HttpAdapter,
@@ -52,107 +52,112 @@
     Some(request)
 }
 
-/// Tells that runs are to be broken off, once it is true.
+/// Runs are aborted once this becomes true.
 pub(super) type AbortSignal = tokio::sync::watch::Receiver<bool>;
 
-/// Waits until runs are to be broken off.
-async fn aborted(abort_signal: &mut AbortSignal) {
-    if abort_signal.wait_for(|abort_signal| *abort_signal).await.is_err() {
-        // Nobody is left who could tell.
+/// Waits until runs are to be aborted.
+async fn wait_for_abort(abort_signal: &mut AbortSignal) {
+    if abort_signal.wait_for(|is_set| *is_set).await.is_err() {
+        // The sender is gone, so the signal can never be set.
         std::future::pending::<()>().await;
     }
 }
 
-/// Runs an item and tells how that ended, and what it says of the engine.
+/// Runs an item and returns the end of the run and the outcome at the engine.
 pub(super) async fn run_routed_item(
     handle: &Handle,
     run: &RoutedRun,
     adapter: &dyn HttpAdapter,
     mut abort_signal: AbortSignal,
 ) -> (RunEnd, EngineOutcome) {
-    // An item that no request can carry will never run.
+    // An item that cannot be sent in a request never runs.
     let Ok(request_id) = HeaderValue::from_str(&run.routing.id) else {
         return (RunEnd::NotRun, EngineOutcome::NotSent);
     };
-    let Some(request) = request_of(run, &request_id, adapter) else {
+    let Some(request) = item_request(run, &request_id, adapter) else {
         return (RunEnd::NotRun, EngineOutcome::NotSent);
     };
-    let Some(mut connection) = connection_to(run).await else {
+    let Some(mut connection) = engine_connection(run).await else {
         return (RunEnd::NotRun, EngineOutcome::Unreachable);
     };
     match handle.call(RelayCall::DispatchItem(run.run, run.target.engine.clone())).await {
-        Ok(RelayResponse::SendBefore(until)) if handle.clock().now() < until => {}
+        Ok(RelayResponse::SendBefore(send_before)) if handle.clock().now() < send_before => {}
         _ => return (RunEnd::NotRun, EngineOutcome::NotSent),
     }
     let sent_at = handle.clock().now();
     let sent = tokio::select! {
-        sent = tokio::time::timeout(std_duration(run.silence_timeout), connection.send(request)) => sent,
-        () = aborted(&mut abort_signal) => return (RunEnd::Unknown, EngineOutcome::Aborted),
+        sent = tokio::time::timeout(std_duration(run.silence_timeout), connection.send(request))
+            => sent,
+        () = wait_for_abort(&mut abort_signal) => return (RunEnd::Unknown, EngineOutcome::Aborted),
     };
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(SendError::NotSent)) => return (RunEnd::NotRun, EngineOutcome::NotSent),
         Ok(Err(SendError::ConnectionLost)) => {
-            return (RunEnd::Unknown, failed(handle, run, Failure::ConnectionLost));
+            return (RunEnd::Unknown, engine_failed(handle, run, Failure::ConnectionLost));
         }
-        Err(_) => return (RunEnd::Unknown, failed(handle, run, Failure::TimedOut)),
+        Err(_) => return (RunEnd::Unknown, engine_failed(handle, run, Failure::TimedOut)),
     };
-    let first = handle.clock().now().since(sent_at);
+    let time_to_head = handle.clock().now().since(sent_at);
     let is_delimited = super::engine::is_delimited(response.headers());
     let (head, body) = response.into_parts();
-    let verdict = adapter.classify_response(&head, &request_id);
-    if verdict != ResponseKind::Mismatched {
+    let kind = adapter.classify_response(&head, &request_id);
+    if kind != ResponseKind::Mismatched {
         super::engine_loads::report(handle, adapter, &run.target.engine, &head.headers);
     }
-    match (verdict, head.status.as_u16()) {
+    match (kind, head.status.as_u16()) {
         (ResponseKind::TurnedAway, _) => (RunEnd::NotRun, EngineOutcome::TurnedAway),
-        (ResponseKind::Failure, 500) => (RunEnd::Failed, failed(handle, run, Failure::EngineError)),
-        (ResponseKind::Response, 422) => (RunEnd::Impossible, EngineOutcome::Completed(first)),
+        (ResponseKind::Failure, 500) => {
+            (RunEnd::Failed, engine_failed(handle, run, Failure::EngineError))
+        }
+        (ResponseKind::Response, 422) => {
+            (RunEnd::Impossible, EngineOutcome::Completed(time_to_head))
+        }
         (ResponseKind::Response, 200) => {
             let mut events = ItemEvents::resume(run.progress.clone());
             let reading = read_events(body, &mut events, run.silence_timeout);
-            let limit = std_duration(crate::machine::items::RUN_TIMEOUT);
-            let whole = tokio::select! {
-                read = tokio::time::timeout(limit, reading) => Some(read == Ok(true)),
-                () = aborted(&mut abort_signal) => None,
+            let timeout = std_duration(crate::machine::items::RUN_TIMEOUT);
+            let is_complete = tokio::select! {
+                read = tokio::time::timeout(timeout, reading) => Some(read == Ok(true)),
+                () = wait_for_abort(&mut abort_signal) => None,
             };
-            let Some(whole) = whole else {
+            let Some(is_complete) = is_complete else {
                 return (RunEnd::Interrupted(events.into_progress()), EngineOutcome::Aborted);
             };
-            if !(whole && is_delimited) {
+            if !(is_complete && is_delimited) {
                 return (
                     RunEnd::Interrupted(events.into_progress()),
-                    failed(handle, run, Failure::ConnectionLost),
+                    engine_failed(handle, run, Failure::ConnectionLost),
                 );
             }
             let Some(text) = events.into_text() else {
-                return (RunEnd::Unknown, failed(handle, run, Failure::ConnectionLost));
+                return (RunEnd::Unknown, engine_failed(handle, run, Failure::ConnectionLost));
             };
             connections::keep_idle(connection, &head.headers);
-            (RunEnd::StreamComplete { text }, EngineOutcome::Completed(first))
+            (RunEnd::StreamComplete { text }, EngineOutcome::Completed(time_to_head))
         }
         (ResponseKind::Mismatched, _) => {
-            (RunEnd::Unknown, failed(handle, run, Failure::MismatchedResponse))
+            (RunEnd::Unknown, engine_failed(handle, run, Failure::MismatchedResponse))
         }
-        _ => (RunEnd::Unknown, failed(handle, run, Failure::EngineError)),
+        _ => (RunEnd::Unknown, engine_failed(handle, run, Failure::EngineError)),
     }
 }
 
-/// Says what went wrong with an item's engine.
-fn failed(handle: &Handle, run: &RoutedRun, failure: Failure) -> EngineOutcome {
+/// Reports a failure of the item's engine.
+fn engine_failed(handle: &Handle, run: &RoutedRun, failure: Failure) -> EngineOutcome {
     handle.notify(RelayCall::EngineFailed(run.target.engine.clone(), failure));
     EngineOutcome::Failed
 }
 
-/// Reads events to the proper end of the body; false if it broke off, fell silent or made no
-/// sense.
+/// Reads events to the end of the body; false if the body was interrupted, the engine fell silent
+/// or the stream was invalid.
 async fn read_events(
     mut body: hyper::body::Incoming,
     events: &mut ItemEvents,
-    silence: DurationMs,
+    silence_timeout: DurationMs,
 ) -> bool {
     loop {
-        match tokio::time::timeout(std_duration(silence), body.frame()).await {
+        match tokio::time::timeout(std_duration(silence_timeout), body.frame()).await {
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => {
                 let Some(data) = frame.data_ref() else { continue };
@@ -165,24 +170,24 @@
     }
 }
 
-/// the events of a stream don't follow on each other
+/// the events of the stream are malformed, out of order or too large
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub struct InvalidStream;
 
 impl std::error::Error for InvalidStream {}
 
-/// The events of an item's stream, joined as they come.
+/// Joins the events of an item's stream as they arrive.
 #[derive(Debug, Clone)]
 pub struct ItemEvents {
-    so_far: Progress,
-    /// Bytes that are no whole line yet.
+    progress: Progress,
+    /// An incomplete line.
     line: Vec<u8>,
     id: Option<u64>,
     data: Option<String>,
 }
 
 impl ItemEvents {
-    /// Goes on after what an earlier run brought.
+    /// Continues from the progress of an earlier run.
     ///
     /// ```
     /// use topazyard_relay::front::items::ItemEvents;
@@ -191,15 +196,14 @@
     /// events.push(b"ta: b\n\n").unwrap();
     /// assert_eq!(events.into_text().as_deref(), Some("a\nb"));
     /// ```
-    pub fn resume(so_far: Progress) -> Self {
-        Self { so_far, line: Vec::new(), id: None, data: None }
+    pub fn resume(progress: Progress) -> Self {
+        Self { progress, line: Vec::new(), id: None, data: None }
     }
 
-    /// Takes bytes of the stream.
+    /// Adds bytes of the stream.
     ///
     /// # Errors
-    /// An event without an id, one that doesn't follow on the one before, text that is none, or
-    /// more of it than is kept.
+    /// An event without an id or out of order, invalid UTF-8, or output above the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), InvalidStream> {
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.line.extend_from_slice(piece);
@@ -208,8 +212,8 @@
                 self.take_line(&line)?;
             }
         }
-        let is_small = self.so_far.text.len() + self.line.len() <= MOST_BYTES;
-        if is_small { Ok(()) } else { Err(InvalidStream) }
+        let is_within_limit = self.progress.text.len() + self.line.len() <= MAX_OUTPUT_BYTES;
+        if is_within_limit { Ok(()) } else { Err(InvalidStream) }
     }
 
     fn take_line(&mut self, line: &[u8]) -> Result<(), InvalidStream> {
@@ -229,7 +233,7 @@
                 }
                 None => self.data = Some(value.to_owned()),
             },
-            // Comments and fields that carry no output.
+            // Comments, and fields without output.
             _ => {}
         }
         Ok(())
@@ -239,26 +243,26 @@
         let (id, data) = (self.id.take(), self.data.take());
         let Some(data) = data else { return Ok(()) };
         let id = id.ok_or(InvalidStream)?;
-        match self.so_far.last_event {
+        match self.progress.last_event {
             Some(last) if id != last + 1 => return Err(InvalidStream),
-            Some(_) => self.so_far.text.push('\n'),
-            // Streams count from 0 or from 1.
+            Some(_) => self.progress.text.push('\n'),
+            // Event ids start at 0 or at 1.
             None if id > 1 => return Err(InvalidStream),
             None => {}
         }
-        self.so_far.text.push_str(&data);
-        self.so_far.last_event = Some(id);
+        self.progress.text.push_str(&data);
+        self.progress.last_event = Some(id);
         Ok(())
     }
 
-    /// The whole text, if the stream ended with a whole event.
+    /// The complete text, if the stream ended with a complete event.
     pub fn into_text(self) -> Option<String> {
-        let is_between = self.line.is_empty() && self.id.is_none() && self.data.is_none();
-        (is_between && self.so_far.last_event.is_some()).then_some(self.so_far.text)
+        let is_at_event_boundary = self.line.is_empty() && self.id.is_none() && self.data.is_none();
+        (is_at_event_boundary && self.progress.last_event.is_some()).then_some(self.progress.text)
     }
 
-    /// What was received whole.
+    /// The progress up to the last complete event.
     pub fn into_progress(self) -> Progress {
-        self.so_far
+        self.progress
     }
 }
--- a/programs/topazyard-relay/src/front/mod.rs
+++ b/programs/topazyard-relay/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP for clients.
+//! HTTP front end: serves clients and forwards their requests to engines.
 
 pub mod adapter;
 pub mod batches;
@@ -18,11 +18,11 @@
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::Body;
 
-/// How the front reaches the machine.
+/// Handle through which the front end calls the relay's state machine.
 pub type Handle = topazyard_wire::driver::Handle<crate::RelayMachine>;
 
-/// Answers one client's request. When the relay's time to serve is over, one without a response gets
-/// its final answer at once.
+/// Serves one client request. When the drain's time to serve is over, a request without a response
+/// gets its final response at once.
 pub async fn serve_request(
     handle: Handle,
     mut drain: topazyard_wire::http::inbound::Drain,
@@ -44,8 +44,8 @@
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     let (head, body) = request.into_parts();
-    let parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
-    let outcome = match (head.method.as_str(), parts.as_slice()) {
+    let segments: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
+    let outcome = match (head.method.as_str(), segments.as_slice()) {
         ("POST", ["generate"]) => session::serve(handle, &head, body, false).await,
         ("POST", ["generate_stream"]) => session::serve(handle, &head, body, true).await,
         (_, ["batches", ..]) => batches::serve(handle, &head, body).await,
@@ -67,7 +67,7 @@
     outcome.unwrap_or_else(|error| topazyard_wire::http::error(&error))
 }
 
-/// Headers that speak of one connection only, or that the library sets anew.
+/// Hop-by-hop headers, and headers that the HTTP library sets itself.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -79,28 +79,28 @@
     "upgrade",
 ];
 
-/// Lets the connection send what it was given before its body breaks off: an error that follows a
-/// piece at once would abort it with the piece still in its buffer.
+/// Yields so that the connection sends its buffered data before the body ends with an error: an
+/// error that directly follows a chunk would abort the connection with the chunk still buffered.
 pub(crate) async fn yield_for_flush() {
     tokio::task::yield_now().await;
 }
 
-/// Copies all headers that go from end to end.
+/// Copies all end-to-end headers: all but hop-by-hop ones and those that `Connection` lists.
 pub(crate) fn copy_end_to_end_headers(from: &hyper::HeaderMap, to: &mut hyper::HeaderMap) {
-    let named = from.get_all(hyper::header::CONNECTION).iter();
-    let named: Vec<String> = named
+    let connection_options = from.get_all(hyper::header::CONNECTION).iter();
+    let connection_options: Vec<String> = connection_options
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
     for (name, value) in from {
         let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str());
-        if !is_hop_by_hop && !named.iter().any(|named| named == name.as_str()) {
+        if !is_hop_by_hop && !connection_options.iter().any(|option| option == name.as_str()) {
             to.append(name, value.clone());
         }
     }
 }
 
-/// The engine's status and all its end-to-end headers, with the body as it came.
+/// A response with the engine's status, its end-to-end headers and the given body.
 pub(crate) fn forward_response(
     head: &hyper::http::response::Parts,
     body: Body,
--- a/programs/topazyard-relay/src/front/outcomes.rs
+++ b/programs/topazyard-relay/src/front/outcomes.rs
@@ -1,4 +1,4 @@
-//! Counts how requests that were let in ended, and those that have no response yet.
+//! Counters of the outcomes of admitted requests, and of requests without a response.
 
 use crate::prompt::State;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,13 +11,13 @@
 
 static UNANSWERED: AtomicU64 = AtomicU64::new(0);
 
-/// A request without a response, for as long as this value stands. It goes with the response, and
-/// also when the client leaves.
+/// Counts a request as unanswered while this value exists. It is dropped with the response, or when
+/// the client disconnects.
 #[derive(Debug)]
 pub struct UnansweredRequest(());
 
 impl UnansweredRequest {
-    /// Counts one more.
+    /// Counts one more unanswered request.
     pub fn start() -> Self {
         UNANSWERED.fetch_add(1, Ordering::Relaxed);
         Self(())
@@ -30,7 +30,7 @@
     }
 }
 
-/// Checks, right before the process ends, that no request is left without a response.
+/// Checks, right before the process exits, that every request has a response.
 pub fn check_all_answered() {
     let unanswered = UNANSWERED.load(Ordering::Relaxed);
     invariants::check(unanswered == 0, Invariant::AnsweredBeforeEnd, || {
@@ -38,8 +38,8 @@
     });
 }
 
-/// A request ended in a state of its chart. One that stands midway was dropped: its client left, or
-/// its connection was closed under it.
+/// Counts a request that ended in this state. One that ended in an intermediate state was dropped:
+/// its client disconnected, or its connection was closed.
 pub(super) fn count(state: State) {
     let counter = match state {
         State::Completed => &ANSWERED,
@@ -52,7 +52,7 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// The counts since the process began, by outcome.
+/// The counts since the process started, by outcome.
 pub fn counts() -> Vec<(&'static str, u64)> {
     let counters =
         [("answered", &ANSWERED), ("refused", &REFUSED), ("cut", &CUT), ("dropped", &DROPPED)];
--- a/programs/topazyard-relay/src/front/prompt_request.rs
+++ b/programs/topazyard-relay/src/front/prompt_request.rs
@@ -1,27 +1,28 @@
-//! Reading a prompt: its body goes on byte for byte, so that facts about it are headers.
+//! Parsing of prompts on model routes. The body is forwarded byte for byte, so metadata is in
+//! headers.
 
 use topazyard_types::{DurationMs, ModelName, Tokens};
 use topazyard_wire::api::{ApiError, Code};
 
-/// The largest prompt taken, in bytes.
+/// Maximum size of a prompt's body.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// How long a client waits that doesn't say.
-const DEFAULT_WAIT: DurationMs = DurationMs(30_000);
-/// The longest wait that is believed.
-const LONGEST_WAIT_MS: u64 = 600_000;
+/// The timeout of a request that states none.
+const DEFAULT_TIMEOUT: DurationMs = DurationMs(30_000);
+/// Upper limit for the stated timeout.
+const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// What a prompt's headers and body say.
+/// The metadata in a prompt's headers and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptMetadata {
-    /// The model it wants.
+    /// The requested model.
     pub model: ModelName,
-    /// Its estimated cost.
+    /// The estimated cost.
     pub cost: Tokens,
-    /// How long its client waits.
+    /// How long the client waits.
     pub timeout: DurationMs,
-    /// The shared prefix parts it is built from, in order.
+    /// The shared prefix parts that the prompt is built from, in order.
     pub prefix: Vec<String>,
-    /// Whether it may run again.
+    /// Whether the prompt may run more than once.
     pub repeatable: bool,
 }
 
@@ -50,7 +51,7 @@
     header(head, name)?.map(|text| text.parse().map_err(malformed)).transpose()
 }
 
-fn truth(head: &hyper::HeaderMap, name: &str) -> Result<bool, ApiError> {
+fn boolean(head: &hyper::HeaderMap, name: &str) -> Result<bool, ApiError> {
     match header(head, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
@@ -58,7 +59,7 @@
     }
 }
 
-/// The cost of a body in the text-generation form.
+/// Estimates the cost of a body in the text-generation format.
 ///
 /// ```
 /// use topazyard_relay::front::prompt_request::estimate_cost;
@@ -69,36 +70,36 @@
 /// ```
 ///
 /// # Errors
-/// A body that is not of that form.
-pub fn estimate_cost(body: &[u8], declared: Option<Tokens>) -> Result<Tokens, ApiError> {
+/// The body is not in that format.
+pub fn estimate_cost(body: &[u8], stated: Option<Tokens>) -> Result<Tokens, ApiError> {
     let prompt: PromptBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let message = error.to_string();
         ApiError { message, ..ApiError::not_run(Code::Malformed).at("body") }
     })?;
     let new_tokens = prompt.parameters.and_then(|parameters| parameters.max_new_tokens);
-    Ok(Tokens::estimate(&prompt.inputs, declared, new_tokens.map(Tokens)))
+    Ok(Tokens::estimate(&prompt.inputs, stated, new_tokens.map(Tokens)))
 }
 
-/// Reads a prompt's headers and body.
+/// Parses a prompt's headers and body.
 ///
 /// # Errors
-/// The first part that is malformed, by name.
+/// The first malformed header or the body, by name.
 pub fn parse(head: &hyper::HeaderMap, body: &[u8]) -> Result<PromptMetadata, ApiError> {
     let model = header(head, "Topazyard-Model")?.filter(|model| !model.is_empty());
     let model = model.ok_or_else(|| ApiError::not_run(Code::Malformed).at("Topazyard-Model"))?;
-    let declared = number(head, "Topazyard-Token-Count")?.map(Tokens);
-    let wait_ms = number(head, "Topazyard-Time-Remaining")?.unwrap_or(DEFAULT_WAIT.0);
+    let stated = number(head, "Topazyard-Token-Count")?.map(Tokens);
+    let timeout_ms = number(head, "Topazyard-Time-Remaining")?.unwrap_or(DEFAULT_TIMEOUT.0);
     let prefix = header(head, "Topazyard-Prefix")?.unwrap_or("");
     Ok(PromptMetadata {
         model: model.into(),
-        cost: estimate_cost(body, declared)?,
-        timeout: DurationMs(wait_ms.min(LONGEST_WAIT_MS)),
+        cost: estimate_cost(body, stated)?,
+        timeout: DurationMs(timeout_ms.min(MAX_TIMEOUT_MS)),
         prefix: prefix
             .split(',')
             .map(str::trim)
             .filter(|part| !part.is_empty())
             .map(str::to_owned)
             .collect(),
-        repeatable: truth(head, "Topazyard-Repeatable")?,
+        repeatable: boolean(head, "Topazyard-Repeatable")?,
     })
 }
--- a/programs/topazyard-relay/src/front/request_guard.rs
+++ b/programs/topazyard-relay/src/front/request_guard.rs
@@ -1,29 +1,29 @@
-//! The end of a request or prompt, told to the machine.
+//! Reports the end of a request or prompt to the state machine.
 
 use super::Handle;
 use crate::machine::{EngineOutcome, PromptId, RelayCall};
 
-/// Tells the machine that a request ended, whichever way this value goes out of use.
+/// Reports to the machine, when dropped, that a request ended.
 pub(super) struct RequestGuard {
-    /// How the machine is reached.
+    /// The handle to the machine.
     pub handle: Handle,
-    /// What ends.
+    /// The id of the request.
     pub id: PromptId,
-    /// How its use of its engine ended.
+    /// The outcome at the request's engine.
     pub engine_outcome: EngineOutcome,
-    /// How the machine is told.
-    told: fn(PromptId, EngineOutcome) -> RelayCall,
+    /// Builds the call that reports the end.
+    end_call: fn(PromptId, EngineOutcome) -> RelayCall,
 }
 
 impl RequestGuard {
-    /// Of something new, which the machine hears of under a name that nothing else has.
-    pub fn new(handle: Handle, told: fn(PromptId, EngineOutcome) -> RelayCall) -> Self {
-        Self { handle, id: PromptId::next(), engine_outcome: EngineOutcome::Aborted, told }
+    /// A guard for a new request, with a new id.
+    pub fn new(handle: Handle, end_call: fn(PromptId, EngineOutcome) -> RelayCall) -> Self {
+        Self { handle, id: PromptId::next(), engine_outcome: EngineOutcome::Aborted, end_call }
     }
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.handle.notify((self.told)(self.id, self.engine_outcome));
+        self.handle.notify((self.end_call)(self.id, self.engine_outcome));
     }
 }
--- a/programs/topazyard-relay/src/front/routed.rs
+++ b/programs/topazyard-relay/src/front/routed.rs
@@ -1,11 +1,11 @@
-//! One request on a route, from its arrival to its end, led by its state chart.
+//! Serves one request on a route, from arrival to end, driven by its state machine.
 
 use super::adapter::{EngineHeaders, HttpAdapter, RequestMetadata, ResponseKind};
 use super::connections::{self, EngineConnection, SendError};
 use super::engine::std_duration;
 use super::outcomes::UnansweredRequest;
 use super::request_guard::RequestGuard;
-use super::routed_stream::Stream;
+use super::routed_stream::RelayedStream;
 use super::{Handle, forward_response};
 use crate::machine::requests::{Admitted, Arrival, Chosen};
 use crate::machine::{EngineOutcome, RelayCall, RelayResponse};
@@ -16,54 +16,54 @@
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::{Body, inbound};
 
-/// How long a client waits that doesn't say it.
-const DEFAULT_WAIT: DurationMs = DurationMs(30_000);
-/// The largest response that is held back until it is whole.
-const MOST_HELD_BACK: usize = 8 * 1024 * 1024;
-/// The largest body taken where no spec says it.
-const MOST_BODY: usize = 8 * 1024 * 1024;
-/// A look at the clock and a dispatch lie so close together.
-const TIMER_SLACK: DurationMs = DurationMs(2);
+/// The timeout of a request that states none.
+const DEFAULT_TIMEOUT: DurationMs = DurationMs(30_000);
+/// The largest response that is buffered until it is complete.
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request's body.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Upper bound on the time between reading the clock and dispatching a request.
+const DISPATCH_SLACK: DurationMs = DurationMs(2);
 
-/// The outer adapter's names.
+/// The outer adapter, shared by all requests.
 pub type SharedAdapter = std::sync::Arc<dyn HttpAdapter>;
 
-/// A request on its way.
+/// A request being served.
 pub(super) struct Session {
     pub(super) guard: RequestGuard,
     adapter: SharedAdapter,
     metadata: RequestMetadata,
     pub(super) state_machine: RequestStateMachine,
     pub(super) terms: Admitted,
-    /// Whether the response is passed on piece by piece.
+    /// Whether the response is relayed as it arrives.
     stream: bool,
     method: hyper::Method,
     uri: hyper::Uri,
     headers: hyper::HeaderMap,
     body: bytes::Bytes,
-    /// The last event that the client has.
+    /// The last event that was relayed to the client.
     pub(super) last_event: Option<u64>,
 }
 
-/// An engine's response whose head is here.
-pub(super) struct Begun {
+/// An engine's response whose head was received.
+pub(super) struct EngineResponse {
     pub(super) connection: EngineConnection,
     pub(super) head: hyper::http::response::Parts,
     pub(super) body: hyper::body::Incoming,
-    /// How long its first word took.
-    pub(super) first: DurationMs,
+    /// The time from sending the request until the head was received.
+    pub(super) time_to_head: DurationMs,
 }
 
-/// What a client gets.
-enum Response {
-    /// An engine's whole response.
-    Whole(hyper::Response<Body>),
-    /// A stream that has begun.
-    Stream(Box<Begun>),
+/// A response for the client.
+enum ClientResponse {
+    /// An engine's complete response.
+    Complete(hyper::Response<Body>),
+    /// A stream whose head was received.
+    Stream(Box<EngineResponse>),
 }
 
-/// Answers one request of a client of the routes. When the relay's time to serve is over, a request
-/// without a response gets its final answer at once.
+/// Serves one client request on the routes. When the drain's time to serve is over, a request
+/// without a response gets its final response at once.
 pub async fn serve_request(
     handle: Handle,
     adapter: SharedAdapter,
@@ -90,21 +90,21 @@
         return ready(&handle).await;
     }
     if adapter.is_batch_path(path) {
-        let called = batch_call(&handle, adapter, &head, body);
-        let outcome = before_overdue(drain, called).await;
+        let response = batch_call(&handle, adapter, &head, body);
+        let outcome = before_overdue(drain, response).await;
         return outcome.unwrap_or_else(|| Err(ApiError::may_have_run(Code::OutcomeUnknown)));
     }
     let admitted = before_overdue(drain, admit(handle, adapter, head, body)).await;
     match admitted.unwrap_or_else(|| Err(ApiError::not_run(Code::Draining)))? {
         Admission::Live(session) => session.serve(drain).await,
         Admission::Batch(submission) => {
-            let outcome = before_overdue(drain, submission.hand_in(adapter)).await;
+            let outcome = before_overdue(drain, submission.submit(adapter)).await;
             outcome.ok_or_else(|| ApiError::may_have_run(Code::OutcomeUnknown))
         }
     }
 }
 
-/// What work gives, if it does so before the relay's time to serve is over.
+/// The output of `work`, or none if the drain's time to serve ends first.
 async fn before_overdue<T>(drain: &mut inbound::Drain, work: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
@@ -119,19 +119,19 @@
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let body = inbound::read_body(body, MOST_BODY).await?;
+    let body = inbound::read_body(body, MAX_BODY_BYTES).await?;
     Ok(adapter.serve_batch_call(handle, None, head, body).await)
 }
 
-/// A request that was let in.
+/// An admitted request.
 enum Admission {
-    /// It goes to an engine at once.
+    /// A request to send to an engine now.
     Live(Box<Session>),
-    /// It hands a batch in.
+    /// A batch submission.
     Batch(Box<Submission>),
 }
 
-/// A batch as a client hands it in.
+/// A batch submitted by a client.
 struct Submission {
     guard: RequestGuard,
     route: topazyard_types::RouteName,
@@ -140,12 +140,12 @@
 }
 
 impl Submission {
-    async fn hand_in(self, adapter: &SharedAdapter) -> hyper::Response<Body> {
+    async fn submit(self, adapter: &SharedAdapter) -> hyper::Response<Body> {
         adapter.serve_batch_call(&self.guard.handle, Some(self.route), &self.head, self.body).await
     }
 }
 
-/// Reads a request and asks the machine to let it in.
+/// Reads a request and requests its admission from the machine.
 async fn admit(
     handle: Handle,
     adapter: &SharedAdapter,
@@ -154,15 +154,15 @@
 ) -> Result<Admission, ApiError> {
     let arrived_at = handle.clock().now();
     let metadata = adapter.request_metadata(&head)?;
-    let body = inbound::read_body(body, MOST_BODY).await?;
+    let body = inbound::read_body(body, MAX_BODY_BYTES).await?;
     let guard = RequestGuard::new(handle, RelayCall::RequestEnded);
     let arrival = Arrival {
         id: guard.id,
-        host: host_of(&head).to_owned(),
+        host: request_host(&head).to_owned(),
         path: head.uri.path().to_owned(),
         cost: metadata.cost,
         arrived_at,
-        wait: metadata.timeout.unwrap_or(DEFAULT_WAIT),
+        wait: metadata.timeout.unwrap_or(DEFAULT_TIMEOUT),
         prefix: metadata.prefix.clone(),
     };
     match guard.handle.call(RelayCall::AdmitRequest(arrival)).await {
@@ -188,14 +188,14 @@
     }
 }
 
-/// The host that a request names, without a port.
-fn host_of(head: &hyper::http::request::Parts) -> &str {
+/// The requested host, without a port.
+fn request_host(head: &hyper::http::request::Parts) -> &str {
     let named = head.headers.get(hyper::header::HOST).and_then(|value| value.to_str().ok());
     let host = named.or(head.uri.host()).unwrap_or("");
     host.split(':').next().unwrap_or(host)
 }
 
-/// The headers that go on to an engine; what concerns one connection stays here.
+/// The headers that are forwarded to an engine: all but hop-by-hop ones.
 pub(super) fn forwarded_headers(headers: hyper::HeaderMap) -> hyper::HeaderMap {
     let mut kept = hyper::HeaderMap::with_capacity(headers.len() + 2);
     super::copy_end_to_end_headers(&headers, &mut kept);
@@ -204,7 +204,7 @@
     kept
 }
 
-/// Counts how it ended.
+/// Counts the request's outcome.
 impl Drop for Session {
     fn drop(&mut self) {
         super::outcomes::count(self.state_machine.state());
@@ -238,7 +238,8 @@
             last_event: metadata.last_event,
             metadata,
             state_machine,
-            // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
+            // An HTTP/1.0 client cannot tell an interrupted stream from a complete one, so for it
+            // the stream is buffered.
             stream: terms.stream && head.version >= hyper::Version::HTTP_11,
             terms,
             method: head.method,
@@ -253,29 +254,30 @@
         drain: &mut inbound::Drain,
     ) -> Result<hyper::Response<Body>, ApiError> {
         match before_overdue(drain, self.respond()).await {
-            Some(Ok(Response::Whole(response))) => Ok(response),
-            Some(Ok(Response::Stream(begun))) => Ok(self.relay(*begun)),
+            Some(Ok(ClientResponse::Complete(response))) => Ok(response),
+            Some(Ok(ClientResponse::Stream(response))) => Ok(self.relay_stream(*response)),
             Some(Err(error)) => Err(error),
             None => Err(self.refuse(ApiError::not_run(Code::Draining))),
         }
     }
 
-    /// Tries engines until one gives a whole response or the head of a stream.
-    async fn respond(&mut self) -> Result<Response, ApiError> {
+    /// Tries engines until one gives a complete response or the head of a stream.
+    async fn respond(&mut self) -> Result<ClientResponse, ApiError> {
         loop {
-            let failed = match self.try_engine().await {
-                Ok(begun) if self.stream && begun.head.status.is_success() => {
-                    return Ok(Response::Stream(Box::new(begun)));
+            let action = match self.try_engine().await {
+                Ok(response) if self.stream && response.head.status.is_success() => {
+                    return Ok(ClientResponse::Stream(Box::new(response)));
                 }
-                Ok(begun) => match self.relay_whole(begun).await {
-                    Ok(response) => return Ok(Response::Whole(response)),
-                    Err(failed) => failed,
+                Ok(response) => match self.relay_buffered(response).await {
+                    Ok(response) => return Ok(ClientResponse::Complete(response)),
+                    Err(action) => action,
                 },
-                Err(failed) => failed,
+                Err(action) => action,
             };
-            match failed {
+            match action {
                 FailureAction::Respond(error) => return Err(error),
-                // Before the head of a response nothing was relayed that would have to be broken.
+                // Nothing was relayed yet, so the failure is a response rather than a closed
+                // connection.
                 FailureAction::CloseConnection => {
                     return Err(ApiError::may_have_run(Code::EngineFailed));
                 }
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Asks the machine for another engine, saying how the last one's use ended.
+    /// Requests another engine from the machine and reports the outcome at the last one.
     pub(super) async fn request_another_engine(&mut self) -> Result<(), ApiError> {
         let call = RelayCall::RetryRequest(self.guard.id, self.guard.engine_outcome);
         self.guard.engine_outcome = EngineOutcome::Aborted;
@@ -303,7 +305,7 @@
         if self.state_machine.has_relayed_head() { error } else { self.state_machine.refuse(error) }
     }
 
-    pub(super) fn failed(
+    pub(super) fn fail(
         &mut self,
         failure: Failure,
         engine_outcome: EngineOutcome,
@@ -318,14 +320,15 @@
         self.state_machine.fail(failure, self.now())
     }
 
-    /// Says what went wrong with the request's engine.
+    /// Reports a failure of the request's engine to the machine.
     fn report_failure(&self, failure: Failure) {
         let engine = self.terms.chosen.target.engine.clone();
         self.guard.handle.notify(RelayCall::EngineFailed(engine, failure));
     }
 
-    /// Connects, looks a last time whether it may be sent, sends, and judges the response's head.
-    pub(super) async fn try_engine(&mut self) -> Result<Begun, FailureAction> {
+    /// Connects, checks a last time whether the request may be sent, sends it and classifies the
+    /// response's head.
+    pub(super) async fn try_engine(&mut self) -> Result<EngineResponse, FailureAction> {
         let chosen = self.terms.chosen.clone();
         let mut connection = match connections::take_idle(&chosen.target) {
             Some(kept) => kept,
@@ -334,36 +337,38 @@
                 match connections::connect(&chosen.target, left).await {
                     Ok(fresh) => fresh,
                     Err(_) => {
-                        return Err(self.failed(Failure::NotConnected, EngineOutcome::Unreachable));
+                        return Err(self.fail(Failure::NotConnected, EngineOutcome::Unreachable));
                     }
                 }
             }
         };
         let request = self.request(&chosen);
-        if self.now().plus(TIMER_SLACK) >= chosen.send_before {
-            // What was checked may no longer hold: ask again, which costs no try.
-            return Err(self.failed(Failure::NotConnected, EngineOutcome::NotSent));
+        if self.now().plus(DISPATCH_SLACK) >= chosen.send_before {
+            // The admission checks may be out of date: request an engine again, which does not
+            // count as an attempt.
+            return Err(self.fail(Failure::NotConnected, EngineOutcome::NotSent));
         }
         self.state_machine.dispatch();
         let sent_at = self.now();
-        let response = match self.head_of(&mut connection, request, &chosen, sent_at).await {
-            Ok(response) => response,
-            Err((SendError::NotSent, _)) => {
-                self.state_machine.undo_dispatch();
-                return Err(self.failed(Failure::NotConnected, EngineOutcome::NotSent));
-            }
-            Err((SendError::ConnectionLost, failure)) => {
-                return Err(self.failed(failure, EngineOutcome::Failed));
-            }
-        };
-        let first = self.now().since(sent_at);
+        let response =
+            match self.send_and_await_head(&mut connection, request, &chosen, sent_at).await {
+                Ok(response) => response,
+                Err((SendError::NotSent, _)) => {
+                    self.state_machine.undo_dispatch();
+                    return Err(self.fail(Failure::NotConnected, EngineOutcome::NotSent));
+                }
+                Err((SendError::ConnectionLost, failure)) => {
+                    return Err(self.fail(failure, EngineOutcome::Failed));
+                }
+            };
+        let time_to_head = self.now().since(sent_at);
         let (head, body) = response.into_parts();
         if !super::engine::is_delimited(&head.headers) && !body.is_end_stream() {
-            // Its end could not be told from a cut.
-            return Err(self.failed(Failure::ConnectionLost, EngineOutcome::Failed));
+            // An interrupted body could not be told from a complete one.
+            return Err(self.fail(Failure::ConnectionLost, EngineOutcome::Failed));
         }
-        let verdict = self.adapter.classify_response(&head, &self.metadata.request_id);
-        if verdict != ResponseKind::Mismatched {
+        let kind = self.adapter.classify_response(&head, &self.metadata.request_id);
+        if kind != ResponseKind::Mismatched {
             let engine = &chosen.target.engine;
             super::engine_loads::report(
                 &self.guard.handle,
@@ -372,26 +377,27 @@
                 &head.headers,
             );
         }
-        match verdict {
-            ResponseKind::Response => Ok(Begun { connection, head, body, first }),
+        match kind {
+            ResponseKind::Response => Ok(EngineResponse { connection, head, body, time_to_head }),
             ResponseKind::TurnedAway => {
-                tokio::spawn(keep_after(connection, head, body));
-                Err(self.failed(Failure::TurnedAway, EngineOutcome::TurnedAway))
+                tokio::spawn(drain_and_keep(connection, head, body));
+                Err(self.fail(Failure::TurnedAway, EngineOutcome::TurnedAway))
             }
             ResponseKind::Failure
                 if self.terms.repeatable && !self.state_machine.is_last_attempt() =>
             {
-                Err(self.failed(Failure::EngineError, EngineOutcome::Failed))
+                Err(self.fail(Failure::EngineError, EngineOutcome::Failed))
             }
-            ResponseKind::Failure => Ok(Begun { connection, head, body, first }),
+            ResponseKind::Failure => Ok(EngineResponse { connection, head, body, time_to_head }),
             ResponseKind::Mismatched => {
-                Err(self.failed(Failure::MismatchedResponse, EngineOutcome::Failed))
+                Err(self.fail(Failure::MismatchedResponse, EngineOutcome::Failed))
             }
         }
     }
 
-    /// Sends and waits for the head, doubting the engine aloud if it takes too long.
-    async fn head_of(
+    /// Sends the request and waits for the response's head; reports the engine as suspected if that
+    /// takes longer than expected.
+    async fn send_and_await_head(
         &self,
         connection: &mut EngineConnection,
         request: hyper::Request<Body>,
@@ -401,9 +407,9 @@
         let timeout = self.state_machine.timeout(sent_at);
         let response = connection.send(request);
         tokio::pin!(response);
-        let doubt_after = std_duration(DurationMs(chosen.suspect_after.0.min(timeout.0)));
-        let early = tokio::time::timeout(doubt_after, &mut response).await;
-        let outcome = match early {
+        let suspect_after = std_duration(DurationMs(chosen.suspect_after.0.min(timeout.0)));
+        let first_wait = tokio::time::timeout(suspect_after, &mut response).await;
+        let outcome = match first_wait {
             Ok(outcome) => Ok(outcome),
             Err(_) => {
                 self.guard.handle.notify(RelayCall::SuspectEngine(chosen.target.engine.clone()));
@@ -432,20 +438,24 @@
         request
     }
 
-    /// Holds a response back until it is whole, so that a cut one is an error and nothing else.
-    async fn relay_whole(&mut self, begun: Begun) -> Result<hyper::Response<Body>, FailureAction> {
-        let Begun { connection, head, body, first } = begun;
-        let limit = std_duration(self.terms.deadline.since(self.now()));
-        let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
-        let body = match tokio::time::timeout(limit, collect).await {
+    /// Buffers a response until it is complete, so that for an interrupted one the client gets only
+    /// an error.
+    async fn relay_buffered(
+        &mut self,
+        response: EngineResponse,
+    ) -> Result<hyper::Response<Body>, FailureAction> {
+        let EngineResponse { connection, head, body, time_to_head } = response;
+        let timeout = std_duration(self.terms.deadline.since(self.now()));
+        let collect = http_body_util::Limited::new(body, MAX_BUFFERED_BYTES).collect();
+        let body = match tokio::time::timeout(timeout, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return Err(self.failed(Failure::ConnectionLost, EngineOutcome::Failed)),
-            Err(_) => return Err(self.failed(Failure::TimedOut, EngineOutcome::Failed)),
+            Ok(Err(_)) => return Err(self.fail(Failure::ConnectionLost, EngineOutcome::Failed)),
+            Err(_) => return Err(self.fail(Failure::TimedOut, EngineOutcome::Failed)),
         };
         self.state_machine.start_relaying();
         self.state_machine.complete();
         self.guard.engine_outcome = if head.status.is_success() {
-            EngineOutcome::Completed(first)
+            EngineOutcome::Completed(time_to_head)
         } else {
             self.report_failure(Failure::EngineError);
             EngineOutcome::Failed
@@ -454,31 +464,31 @@
         Ok(forward_response(&head, topazyard_wire::http::full_body(body)))
     }
 
-    /// Relays a stream event by event. One that can be resumed goes on from another engine when
-    /// its engine breaks off; any other breaks its client's connection.
-    fn relay(mut self: Box<Self>, begun: Begun) -> hyper::Response<Body> {
+    /// Relays a stream event by event. If the engine fails, a resumable stream continues from
+    /// another engine; for any other stream the client's connection is closed.
+    fn relay_stream(mut self: Box<Self>, response: EngineResponse) -> hyper::Response<Body> {
         self.state_machine.start_relaying();
-        let mut head = begun.head.clone();
-        // Its length is known only where it ends with the first engine.
+        let mut head = response.head.clone();
+        // The length is wrong if the stream continues from another engine.
         head.headers.remove(hyper::header::CONTENT_LENGTH);
-        forward_response(&head, Stream::of(self, begun).into_body())
+        forward_response(&head, RelayedStream::new(self, response).into_body())
     }
 }
 
-/// Reads the rest of a short response, so that its connection can be kept.
-async fn keep_after(
+/// Reads the rest of a short response so that its connection can be reused.
+async fn drain_and_keep(
     connection: EngineConnection,
     head: hyper::http::response::Parts,
     body: hyper::body::Incoming,
 ) {
-    let limit = std::time::Duration::from_millis(connections::CONNECT_TIMEOUT.0);
-    let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
-    if let Ok(Ok(_)) = tokio::time::timeout(limit, collect).await {
+    let timeout = std::time::Duration::from_millis(connections::CONNECT_TIMEOUT.0);
+    let collect = http_body_util::Limited::new(body, MAX_BUFFERED_BYTES).collect();
+    if let Ok(Ok(_)) = tokio::time::timeout(timeout, collect).await {
         connections::keep_idle(connection, &head.headers);
     }
 }
 
-/// Path and query alone, as an engine expects them.
+/// Only path and query, as sent to an engine.
 fn origin_form(uri: &hyper::Uri) -> hyper::Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| uri.clone())
--- a/programs/topazyard-relay/src/front/routed_stream.rs
+++ b/programs/topazyard-relay/src/front/routed_stream.rs
@@ -1,67 +1,67 @@
-//! A stream on a route, relayed event by event.
+//! Relays a stream on a route event by event.
 
 use super::connections;
 use super::engine::std_duration;
 use super::events::EventSplitter;
-use super::routed::{Begun, Session};
+use super::routed::{EngineResponse, Session};
 use crate::machine::EngineOutcome;
 use crate::prompt::{Failure, FailureAction};
 use http_body_util::BodyExt as _;
 use topazyard_types::DurationMs;
 use topazyard_wire::http::{Body, BodyError};
 
-/// A stream that is being relayed.
-pub(super) struct Stream {
+/// A stream being relayed.
+pub(super) struct RelayedStream {
     session: Box<Session>,
-    begun: Option<Begun>,
+    upstream: Option<EngineResponse>,
     events: EventSplitter,
-    first: DurationMs,
+    time_to_head: DurationMs,
     resumable: bool,
 }
 
-type Piece = Result<hyper::body::Frame<bytes::Bytes>, BodyError>;
+type FrameResult = Result<hyper::body::Frame<bytes::Bytes>, BodyError>;
 
-/// What came next of a stream.
+/// The next step of a stream.
 enum Step {
-    /// Bytes for the client.
-    Bytes(bytes::Bytes),
-    /// Nothing for the client yet.
-    Nothing,
-    /// The whole stream is relayed.
-    End,
-    /// It breaks off.
-    Cut,
+    /// Data for the client.
+    Data(bytes::Bytes),
+    /// No data for the client yet.
+    Pending,
+    /// The complete stream was relayed.
+    Complete,
+    /// The stream ends before it is complete.
+    Interrupted,
 }
 
-impl Stream {
-    /// The stream whose head came.
-    pub(super) fn of(session: Box<Session>, begun: Begun) -> Self {
+impl RelayedStream {
+    /// A stream whose head was received.
+    pub(super) fn new(session: Box<Session>, upstream: EngineResponse) -> Self {
         Self {
             resumable: session.terms.resumable,
-            first: begun.first,
+            time_to_head: upstream.time_to_head,
             events: EventSplitter::after(session.last_event),
             session,
-            begun: Some(begun),
+            upstream: Some(upstream),
         }
     }
 
-    /// The body of the response that relays it.
+    /// The body of the client's response.
     pub(super) fn into_body(self) -> Body {
         let frames = futures_util::stream::unfold(Some(self), Self::next);
         http_body_util::StreamBody::new(frames).boxed_unsync()
     }
 
-    /// The next piece; a stream that stops without its end is an error.
-    async fn next(stream: Option<Self>) -> Option<(Piece, Option<Self>)> {
+    /// The next frame of the body; a stream that stops before its end yields an error.
+    async fn next(stream: Option<Self>) -> Option<(FrameResult, Option<Self>)> {
         let mut stream = stream?;
         loop {
             match stream.step().await {
-                Step::Bytes(bytes) => {
+                Step::Data(bytes) => {
                     return Some((Ok(hyper::body::Frame::data(bytes)), Some(stream)));
                 }
-                Step::Nothing => {}
-                Step::End => return None,
-                Step::Cut => {
+                Step::Pending => {}
+                Step::Complete => return None,
+                Step::Interrupted => {
                     super::yield_for_flush().await;
                     return Some((Err(BodyError), None));
                 }
@@ -70,71 +70,75 @@
     }
 
     async fn step(&mut self) -> Step {
-        let Some(begun) = &mut self.begun else {
-            return self.go_on_elsewhere().await;
+        let Some(upstream) = &mut self.upstream else {
+            return self.resume_at_another_engine().await;
         };
-        let left = self.session.terms.deadline.since(self.session.guard.handle.clock().now());
-        let failure = match tokio::time::timeout(std_duration(left), begun.body.frame()).await {
+        let timeout = self.session.terms.deadline.since(self.session.guard.handle.clock().now());
+        let failure = match tokio::time::timeout(std_duration(timeout), upstream.body.frame()).await
+        {
             Ok(Some(Ok(frame))) => match frame.into_data() {
-                Ok(bytes) => match self.take(bytes) {
+                Ok(bytes) => match self.process(bytes) {
                     Ok(step) => return step,
                     Err(failure) => failure,
                 },
-                // Trailers say nothing that a client needs.
-                Err(_) => return Step::Nothing,
+                // Clients need no trailers.
+                Err(_) => return Step::Pending,
             },
-            Ok(None) if !self.events.has_partial_event() => return self.end(),
+            Ok(None) if !self.events.has_partial_event() => return self.complete(),
             Ok(None) | Ok(Some(Err(_))) => Failure::ConnectionLost,
             Err(_) => Failure::TimedOut,
         };
-        self.begun = None;
-        match self.session.failed(failure, EngineOutcome::Failed) {
+        self.upstream = None;
+        match self.session.fail(failure, EngineOutcome::Failed) {
             FailureAction::TryAnotherEngine => match self.session.request_another_engine().await {
-                Ok(()) => Step::Nothing,
-                Err(_) => Step::Cut,
+                Ok(()) => Step::Pending,
+                Err(_) => Step::Interrupted,
             },
-            FailureAction::Respond(_) | FailureAction::CloseConnection => Step::Cut,
+            FailureAction::Respond(_) | FailureAction::CloseConnection => Step::Interrupted,
         }
     }
 
-    /// Takes bytes of the engine: whole events where the stream may have to be gone on with.
-    fn take(&mut self, bytes: bytes::Bytes) -> Result<Step, Failure> {
+    /// Processes bytes from the engine. A resumable stream is relayed in complete events, so that
+    /// it can continue after any of them.
+    fn process(&mut self, bytes: bytes::Bytes) -> Result<Step, Failure> {
         if !self.resumable {
-            return Ok(Step::Bytes(bytes));
+            return Ok(Step::Data(bytes));
         }
-        let whole = self.events.push(&bytes).map_err(|_| Failure::ConnectionLost)?;
-        let Some(whole) = whole else { return Ok(Step::Nothing) };
-        if !whole.in_order {
+        let complete = self.events.push(&bytes).map_err(|_| Failure::ConnectionLost)?;
+        let Some(complete) = complete else { return Ok(Step::Pending) };
+        if !complete.in_order {
             return Err(Failure::ConnectionLost);
         }
         self.session.last_event = self.events.last_id();
-        Ok(Step::Bytes(whole.bytes))
+        Ok(Step::Data(complete.bytes))
     }
 
-    fn end(&mut self) -> Step {
+    fn complete(&mut self) -> Step {
         self.session.state_machine.complete();
-        self.session.guard.engine_outcome = EngineOutcome::Completed(self.first);
-        if let Some(begun) = self.begun.take() {
-            connections::keep_idle(begun.connection, &begun.head.headers);
+        self.session.guard.engine_outcome = EngineOutcome::Completed(self.time_to_head);
+        if let Some(upstream) = self.upstream.take() {
+            connections::keep_idle(upstream.connection, &upstream.head.headers);
         }
-        Step::End
+        Step::Complete
     }
 
-    /// Takes the stream up at another engine, after the last event that the client has.
-    async fn go_on_elsewhere(&mut self) -> Step {
+    /// Resumes the stream at another engine after the last event relayed to the client.
+    async fn resume_at_another_engine(&mut self) -> Step {
         self.events = EventSplitter::after(self.session.last_event);
         match self.session.try_engine().await {
-            Ok(begun) if begun.head.status.is_success() => {
+            Ok(upstream) if upstream.head.status.is_success() => {
                 self.session.state_machine.start_relaying();
-                self.first = begun.first;
-                self.begun = Some(begun);
-                Step::Nothing
+                self.time_to_head = upstream.time_to_head;
+                self.upstream = Some(upstream);
+                Step::Pending
+            }
+            Ok(_) | Err(FailureAction::Respond(_) | FailureAction::CloseConnection) => {
+                Step::Interrupted
             }
-            Ok(_) | Err(FailureAction::Respond(_) | FailureAction::CloseConnection) => Step::Cut,
             Err(FailureAction::TryAnotherEngine) => {
                 match self.session.request_another_engine().await {
-                    Ok(()) => Step::Nothing,
-                    Err(_) => Step::Cut,
+                    Ok(()) => Step::Pending,
+                    Err(_) => Step::Interrupted,
                 }
             }
         }
--- a/programs/topazyard-relay/src/front/session.rs
+++ b/programs/topazyard-relay/src/front/session.rs
@@ -1,4 +1,4 @@
-//! One prompt, from its arrival to its end, led by its state chart.
+//! Serves one prompt on a model route, from arrival to end, driven by its state machine.
 
 use super::engine::std_duration;
 use super::request_guard::RequestGuard;
@@ -10,43 +10,43 @@
 use topazyard_wire::api::{ApiError, Code};
 use topazyard_wire::http::{Body, BodyError};
 
-/// The largest return that is held back until it is whole.
-const MOST_HELD_BACK: usize = 8 * 1024 * 1024;
+/// The largest response that is buffered until it is complete.
+const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
 
-/// A prompt on its way.
+/// A prompt being served.
 struct Session {
     guard: RequestGuard,
     state_machine: RequestStateMachine,
     deadline: MonotonicMs,
     path: &'static str,
-    /// Whether the return is passed on piece by piece.
+    /// Whether the response is relayed chunk by chunk.
     stream: bool,
     body: bytes::Bytes,
 }
 
-/// What an engine gave.
-enum Given {
-    /// Its whole return.
-    Whole(hyper::Response<Body>),
-    /// The head of a stream, and when the prompt was sent.
+/// An engine's response.
+enum EngineResponse {
+    /// The complete response.
+    Complete(hyper::Response<Body>),
+    /// A stream whose head was received, with the time at which the prompt was sent.
     Stream(hyper::Response<hyper::body::Incoming>, MonotonicMs),
 }
 
 /// Serves a prompt.
 ///
 /// # Errors
-/// The final answer where there is no return to relay.
+/// The refusal or failure to report if there is no response to relay.
 pub async fn serve(
     handle: Handle,
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
     stream: bool,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let arrived = handle.clock().now();
+    let arrived_at = handle.clock().now();
     let body =
         topazyard_wire::http::inbound::read_body(body, prompt_request::MAX_BODY_BYTES).await?;
     let metadata = prompt_request::parse(&head.headers, &body)?;
-    let deadline = arrived.plus(metadata.timeout);
+    let deadline = arrived_at.plus(metadata.timeout);
     let guard = RequestGuard::new(handle, RelayCall::PromptEnded);
     let id = guard.id;
     let mut session = Session {
@@ -54,7 +54,8 @@
         state_machine: RequestStateMachine::arrived(metadata.repeatable, deadline),
         deadline,
         path: if stream { "/generate_stream" } else { "/generate" },
-        // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
+        // An HTTP/1.0 client cannot tell an interrupted stream from a complete one, so for it the
+        // stream is buffered.
         stream: stream && head.version >= hyper::Version::HTTP_11,
         body,
     };
@@ -66,24 +67,27 @@
         prefix: metadata.prefix,
     };
     session.state_machine.enqueue();
-    let mut target = session.ask(RelayCall::AdmitPrompt(prompt)).await?;
+    let mut target = session.request_engine(RelayCall::AdmitPrompt(prompt)).await?;
     loop {
         match session.try_engine(&target).await {
-            Ok(Given::Whole(response)) => return Ok(response),
-            Ok(Given::Stream(response, sent_at)) => return Ok(session.relay(response, sent_at)),
+            Ok(EngineResponse::Complete(response)) => return Ok(response),
+            Ok(EngineResponse::Stream(response, sent_at)) => {
+                return Ok(session.relay_stream(response, sent_at));
+            }
             Err(FailureAction::Respond(error)) => return Err(error),
-            // Before the head of a return nothing was relayed that would have to be broken.
+            // Nothing was relayed yet, so the failure is a response rather than a closed
+            // connection.
             Err(FailureAction::CloseConnection) => {
                 return Err(ApiError::may_have_run(Code::EngineFailed));
             }
             Err(FailureAction::TryAnotherEngine) => {
-                target = session.ask(RelayCall::RetryPrompt(id, target.engine)).await?;
+                target = session.request_engine(RelayCall::RetryPrompt(id, target.engine)).await?;
             }
         }
     }
 }
 
-/// Counts how it ended.
+/// Counts the prompt's outcome.
 impl Drop for Session {
     fn drop(&mut self) {
         super::outcomes::count(self.state_machine.state());
@@ -95,8 +99,8 @@
         self.guard.handle.clock().now()
     }
 
-    /// Asks the machine for an engine.
-    async fn ask(&mut self, call: RelayCall) -> Result<Target, ApiError> {
+    /// Requests an engine from the machine.
+    async fn request_engine(&mut self, call: RelayCall) -> Result<Target, ApiError> {
         match self.guard.handle.call(call).await {
             Ok(RelayResponse::SendTo(target)) => {
                 self.state_machine.hold();
@@ -107,8 +111,8 @@
         }
     }
 
-    /// Connects, checks a last time, sends, and relays what comes back.
-    async fn try_engine(&mut self, target: &Target) -> Result<Given, FailureAction> {
+    /// Connects, checks admission a last time, sends the prompt and receives the response.
+    async fn try_engine(&mut self, target: &Target) -> Result<EngineResponse, FailureAction> {
         let left = self.deadline.since(self.now());
         let connection = match super::engine::connect(target.address, left).await {
             Ok(connection) => connection,
@@ -120,14 +124,14 @@
         };
         let call = RelayCall::DispatchPrompt(self.guard.id, target.engine.clone());
         match self.guard.handle.call(call).await {
-            Ok(RelayResponse::SendBefore(until)) if self.now() < until => {}
+            Ok(RelayResponse::SendBefore(send_before)) if self.now() < send_before => {}
             Ok(RelayResponse::Refused(error)) if error.code == Code::NoEngine => {
                 return Err(self.state_machine.fail(Failure::NotConnected, self.now()));
             }
             Ok(RelayResponse::Refused(error)) => {
                 return Err(FailureAction::Respond(self.state_machine.refuse(error)));
             }
-            // It froze between the check and here: what was checked may no longer hold.
+            // The process was paused between the check and here, so the check may be out of date.
             _ => {
                 let error = ApiError::not_run(Code::StaleFeed);
                 return Err(FailureAction::Respond(self.state_machine.refuse(error)));
@@ -145,9 +149,9 @@
             return Err(self.engine_failed(Failure::ConnectionLost));
         }
         if self.stream {
-            Ok(Given::Stream(response, sent_at))
+            Ok(EngineResponse::Stream(response, sent_at))
         } else {
-            self.relay_whole(response, sent_at).await.map(Given::Whole)
+            self.relay_buffered(response, sent_at).await.map(EngineResponse::Complete)
         }
     }
 
@@ -156,16 +160,17 @@
         self.state_machine.fail(failure, self.now())
     }
 
-    /// Holds a return back until it is whole, so that a cut one is an error and nothing else.
-    async fn relay_whole(
+    /// Buffers a response until it is complete, so that for an interrupted one the client gets only
+    /// an error.
+    async fn relay_buffered(
         &mut self,
         response: hyper::Response<hyper::body::Incoming>,
         sent_at: MonotonicMs,
     ) -> Result<hyper::Response<Body>, FailureAction> {
         let (head, body) = response.into_parts();
-        let limit = std_duration(self.deadline.since(self.now()));
-        let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
-        let body = match tokio::time::timeout(limit, collect).await {
+        let timeout = std_duration(self.deadline.since(self.now()));
+        let collect = http_body_util::Limited::new(body, MAX_BUFFERED_BYTES).collect();
+        let body = match tokio::time::timeout(timeout, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => return Err(self.engine_failed(Failure::ConnectionLost)),
             Err(_) => return Err(self.engine_failed(Failure::TimedOut)),
@@ -176,76 +181,76 @@
         Ok(forward_response(&head, topazyard_wire::http::full_body(body)))
     }
 
-    /// Relays a stream piece by piece. A cut breaks the client's connection.
-    fn relay(
+    /// Relays a stream chunk by chunk. If it is interrupted, the client's connection is closed.
+    fn relay_stream(
         mut self,
         response: hyper::Response<hyper::body::Incoming>,
         sent_at: MonotonicMs,
     ) -> hyper::Response<Body> {
         self.state_machine.start_relaying();
         let (head, body) = response.into_parts();
-        let (sender, receiver) = tokio::sync::mpsc::channel(PIECES);
-        tokio::spawn(self.pump(body, sent_at, sender));
-        let frames = futures_util::stream::unfold(Some(receiver), next_piece);
+        let (sender, receiver) = tokio::sync::mpsc::channel(STREAM_BUFFER_CHUNKS);
+        tokio::spawn(self.forward_chunks(body, sent_at, sender));
+        let frames = futures_util::stream::unfold(Some(receiver), next_frame);
         forward_response(&head, http_body_util::StreamBody::new(frames).boxed_unsync())
     }
 
-    /// Takes pieces from the engine and hands them to the client's connection, until the stream
-    /// ends or breaks, or the client left or took nothing until its time was over.
-    async fn pump(
+    /// Forwards chunks from the engine to the client's connection until the stream ends or fails,
+    /// the client disconnects, or the deadline passes, also while the client does not read.
+    async fn forward_chunks(
         mut self,
         mut body: hyper::body::Incoming,
         sent_at: MonotonicMs,
-        sender: tokio::sync::mpsc::Sender<Piece>,
+        sender: tokio::sync::mpsc::Sender<Chunk>,
     ) {
         loop {
-            let limit = std_duration(self.deadline.since(self.now()));
-            let got = tokio::select! {
+            let timeout = std_duration(self.deadline.since(self.now()));
+            let received = tokio::select! {
                 biased;
                 () = sender.closed() => return,
-                got = tokio::time::timeout(limit, body.frame()) => got,
+                received = tokio::time::timeout(timeout, body.frame()) => received,
             };
-            let piece = match got {
-                Ok(Some(Ok(frame))) => Piece::Frame(frame),
+            let chunk = match received {
+                Ok(Some(Ok(frame))) => Chunk::Frame(frame),
                 Ok(None) => {
                     self.state_machine.complete();
                     self.guard.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
-                    Piece::End
+                    Chunk::End
                 }
                 Ok(Some(Err(_))) => return drop(self.engine_failed(Failure::ConnectionLost)),
                 Err(_) => return drop(self.engine_failed(Failure::TimedOut)),
             };
-            let is_end = matches!(piece, Piece::End);
-            let limit = std_duration(self.deadline.since(self.now()));
-            let taken = tokio::time::timeout(limit, sender.send(piece)).await;
-            if is_end || !matches!(taken, Ok(Ok(()))) {
+            let is_end = matches!(chunk, Chunk::End);
+            let timeout = std_duration(self.deadline.since(self.now()));
+            let delivered = tokio::time::timeout(timeout, sender.send(chunk)).await;
+            if is_end || !matches!(delivered, Ok(Ok(()))) {
                 return;
             }
         }
     }
 }
 
-/// Pieces of a stream that wait for their client.
-const PIECES: usize = 16;
+/// Chunks of a stream that are buffered for the client.
+const STREAM_BUFFER_CHUNKS: usize = 16;
 
-/// A piece of a stream.
-enum Piece {
-    /// As the engine sent it.
+/// A chunk of a stream.
+enum Chunk {
+    /// A frame as received from the engine.
     Frame(hyper::body::Frame<bytes::Bytes>),
-    /// All of it came.
+    /// The stream is complete.
     End,
 }
 
-type Pieces = tokio::sync::mpsc::Receiver<Piece>;
+type Chunks = tokio::sync::mpsc::Receiver<Chunk>;
 
-/// The next piece; a stream that stops without its end is an error.
-async fn next_piece(
-    pieces: Option<Pieces>,
-) -> Option<(Result<hyper::body::Frame<bytes::Bytes>, BodyError>, Option<Pieces>)> {
-    let mut pieces = pieces?;
-    match pieces.recv().await {
-        Some(Piece::Frame(frame)) => Some((Ok(frame), Some(pieces))),
-        Some(Piece::End) => None,
+/// The next frame of the body; a stream that stops before its end yields an error.
+async fn next_frame(
+    chunks: Option<Chunks>,
+) -> Option<(Result<hyper::body::Frame<bytes::Bytes>, BodyError>, Option<Chunks>)> {
+    let mut chunks = chunks?;
+    match chunks.recv().await {
+        Some(Chunk::Frame(frame)) => Some((Ok(frame), Some(chunks))),
+        Some(Chunk::End) => None,
         None => {
             super::yield_for_flush().await;
             Some((Err(BodyError), None))
--- a/programs/topazyard-relay/src/front/tasks.rs
+++ b/programs/topazyard-relay/src/front/tasks.rs
@@ -1,4 +1,4 @@
-//! What the machine has begun outside: item runs and looks at engines' health.
+//! Tasks that the state machine starts: item runs, connection probes and health checks.
 
 use super::Handle;
 use super::engine::std_duration;
@@ -6,10 +6,10 @@
 use http_body_util::BodyExt as _;
 use topazyard_wire::message::batch::{Run, RunEnd};
 
-/// The largest return of an item that is kept.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of an item's result.
+const MAX_RESULT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Begins tasks as the machine names them, until it ends.
+/// Starts tasks as the machine requests them, until it ends.
 pub async fn run(
     handle: Handle,
     mut tasks: tokio::sync::mpsc::Receiver<RelayTask>,
@@ -42,14 +42,14 @@
             RelayTask::AbortRoutedRuns => drop(abort.send_replace(true)),
             RelayTask::ProbeConnection(target) => {
                 tokio::spawn(async move {
-                    let reached = super::connections::probe(&target).await;
-                    handle.notify(RelayCall::ConnectionProbed(target.engine, reached));
+                    let is_reachable = super::connections::probe(&target).await;
+                    handle.notify(RelayCall::ConnectionProbed(target.engine, is_reachable));
                 });
             }
             RelayTask::CheckHealth(target) => {
                 tokio::spawn(async move {
-                    let is_well = super::engine::is_healthy(target.address).await;
-                    handle.notify(RelayCall::HealthChecked(target.engine, is_well));
+                    let is_healthy = super::engine::is_healthy(target.address).await;
+                    handle.notify(RelayCall::HealthChecked(target.engine, is_healthy));
                 });
             }
         }
@@ -57,27 +57,28 @@
 }
 
 async fn run_item(handle: &Handle, run: Run, target: &Target, body: bytes::Bytes) -> RunEnd {
-    let limit = super::engine::CONNECT_TIMEOUT;
-    let Ok(connection) = super::engine::connect(target.address, limit).await else {
+    let timeout = super::engine::CONNECT_TIMEOUT;
+    let Ok(connection) = super::engine::connect(target.address, timeout).await else {
         return RunEnd::NotRun;
     };
     let Ok(request) = super::engine::request(target.address, "/generate", body) else {
         return RunEnd::NotRun;
     };
     match handle.call(RelayCall::DispatchItem(run, target.engine.clone())).await {
-        Ok(RelayResponse::SendBefore(until)) if handle.clock().now() < until => {}
+        Ok(RelayResponse::SendBefore(send_before)) if handle.clock().now() < send_before => {}
         _ => return RunEnd::NotRun,
     }
-    let work = async {
+    let exchange = async {
         let response = connection.send(request).await.ok()?;
         if !super::engine::is_delimited(response.headers()) {
             return None;
         }
         let status = response.status().as_u16();
-        let body = http_body_util::Limited::new(response.into_body(), MOST_BYTES);
+        let body = http_body_util::Limited::new(response.into_body(), MAX_RESULT_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
         Some(RunEnd::Complete { status, body })
     };
-    let ended = tokio::time::timeout(std_duration(crate::machine::items::RUN_TIMEOUT), work).await;
-    ended.ok().flatten().unwrap_or(RunEnd::Unknown)
+    let outcome =
+        tokio::time::timeout(std_duration(crate::machine::items::RUN_TIMEOUT), exchange).await;
+    outcome.ok().flatten().unwrap_or(RunEnd::Unknown)
 }
--- a/programs/topazyard-relay/src/main.rs
+++ b/programs/topazyard-relay/src/main.rs
@@ -1,4 +1,4 @@
-//! A relay.
+//! The relay program.
 
 use clap::Parser as _;
 
--- a/programs/topazyard-relay/src/metrics.rs
+++ b/programs/topazyard-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a relay tells of itself to whoever fetches its metrics.
+//! Metrics of a relay.
 
 use crate::front::{Handle, engine_loads, outcomes};
 use crate::machine::RelayHealth;
@@ -6,7 +6,7 @@
 use topazyard_wire::http::inbound::{Drain, Stage};
 use topazyard_wire::metrics::{MetricSource, Writer};
 
-/// A relay's figures at one moment.
+/// The metrics of a relay, from one health report.
 #[derive(Debug)]
 pub struct RelayFigures {
     health: RelayHealth,
@@ -15,7 +15,7 @@
     malformed_loads: u64,
 }
 
-/// Serves them, if the settings say where.
+/// Serves the metrics if the settings name an address for them.
 pub(crate) async fn serve(address: Option<std::net::SocketAddr>, handle: &Handle, drain: &Drain) {
     let (handle, drain) = (handle.clone(), drain.clone());
     let fetch = move || fetch(handle.clone(), drain.clone());
@@ -31,7 +31,7 @@
 }
 
 impl RelayFigures {
-    /// The figures of a relay that fares so.
+    /// The metrics for this health and drain stage, with the process's counters.
     pub fn new(health: RelayHealth, stage: Stage) -> Self {
         Self {
             health,
@@ -68,7 +68,7 @@
             ("batch_calls", health.batch_calls),
             ("ends_to_tell", health.unacknowledged_run_ends),
         ];
-        let under_way = under_way.map(|(at, count)| (at, count as u64));
+        let under_way = under_way.map(|(work, count)| (work, count as u64));
         let help = "Work under way, by what it is";
         to.gauges("relay_under_way", help, "work", under_way)?;
         to.counter("relay_requests_taken", "Requests that were let in", health.admitted)?;
--- a/programs/topazyard-relay/src/run.rs
+++ b/programs/topazyard-relay/src/run.rs
@@ -1,4 +1,4 @@
-//! The program as a whole: its machine, its links and its HTTP.
+//! Runs the relay's process: the state machine, the links and the HTTP listeners.
 
 use crate::drain::DrainTimes;
 use crate::front::engine::std_duration;
@@ -8,38 +8,39 @@
 use topazyard_wire::driver::StartError;
 use topazyard_wire::http::inbound;
 
-/// How often idle connections to engines are looked through.
-const SWEEP_MS: u64 = 500;
-/// How often a draining relay looks whether it has finished.
-const DRAIN_LOOK: DurationMs = DurationMs(100);
-/// How long final answers have for their way where the process learns late that its time is over.
-const LAST_ANSWERS: std::time::Duration = std::time::Duration::from_millis(50);
+/// Interval at which expired idle connections to engines are closed.
+const IDLE_SWEEP_INTERVAL_MS: u64 = 500;
+/// Interval at which a draining relay checks whether it has finished.
+const DRAIN_CHECK_INTERVAL: DurationMs = DurationMs(100);
+/// Time left for sending final responses if the process notices late that its time is over.
+const FINAL_RESPONSES_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// How a relay serves its clients.
+/// The interface through which a relay serves clients.
 #[derive(Clone)]
 pub enum Front {
-    /// With the product's own interface.
+    /// The product's own interface.
     Own,
-    /// With the routes of the spec, in an outer adapter's names.
+    /// The configuration's routes, with an outer adapter's header names and formats.
     Routes {
-        /// The names.
+        /// The outer adapter.
         adapter: routed::SharedAdapter,
-        /// For how long clients may still be sent here after the relay said that it isn't ready.
+        /// How long clients may still be routed to this relay after it reports that it is not
+        /// ready.
         deregistration_delay: DurationMs,
     },
 }
 
-/// Runs the program on its settings until it ends.
+/// Runs the relay with these settings until it shuts down.
 ///
 /// # Errors
-/// A setting that is missing, an address that is taken, or a disk that can't be used.
+/// A setting is missing, an address is in use, or the disk is unusable.
 pub fn run(settings: topazyard_spec::NodeSettings, front: Front) -> Result<(), StartError> {
     let http = settings.require_http()?;
     let agent = settings.require_beside()?;
     topazyard_wire::log::start(settings.data.clone()).map_err(|_| StartError::Log)?;
     let node = topazyard_wire::driver::fresh_id();
     let start = crate::Start { node, agent, bounds: settings.bounds.clone() };
-    let place = topazyard_wire::driver::NodeIdentity {
+    let identity = topazyard_wire::driver::NodeIdentity {
         fleet: settings.fleet,
         node,
         address: settings.address,
@@ -50,31 +51,36 @@
             Some(address) => Some(inbound::bind(address).await?),
             None => None,
         };
-        let (tasks, begun) = tokio::sync::mpsc::channel(1_024);
-        let make = move |_| (crate::RelayMachine::new(&start), Vec::new());
-        let handle =
-            topazyard_wire::driver::spawn_at(settings.listen_address(), make, place, None, tasks)?;
+        let (tasks, task_queue) = tokio::sync::mpsc::channel(1_024);
+        let new_machine = move |_| (crate::RelayMachine::new(&start), Vec::new());
+        let handle = topazyard_wire::driver::spawn_at(
+            settings.listen_address(),
+            new_machine,
+            identity,
+            None,
+            tasks,
+        )?;
         let adapter = match &front {
             Front::Own => None,
             Front::Routes { adapter, .. } => Some(adapter.clone()),
         };
-        tokio::spawn(crate::front::tasks::run(handle.clone(), begun, adapter));
-        tokio::spawn(sweep());
-        let (drain, drains) = tokio::sync::watch::channel(inbound::Stage::Serving);
-        crate::metrics::serve(settings.metrics, &handle, &drains).await;
+        tokio::spawn(crate::front::tasks::run(handle.clone(), task_queue, adapter));
+        tokio::spawn(close_expired_connections());
+        let (drain, drain_stage) = tokio::sync::watch::channel(inbound::Stage::Serving);
+        crate::metrics::serve(settings.metrics, &handle, &drain_stage).await;
         let deregistration_delay = match &front {
             Front::Own => DurationMs(0),
             Front::Routes { deregistration_delay, .. } => *deregistration_delay,
         };
         if let Some(ready) = ready {
-            tokio::spawn(serve(ready, handle.clone(), front.clone(), drains.clone()));
+            tokio::spawn(serve(ready, handle.clone(), front.clone(), drain_stage.clone()));
         }
-        let served = serve(listener, handle.clone(), front, drains);
+        let serving = serve(listener, handle.clone(), front, drain_stage);
         let times = DrainTimes::within(settings.bounds.grace, deregistration_delay);
         tokio::select! {
             biased;
-            () = served => spdlog::info!("ended in order"),
-            () = drained(&handle, &drain, times) => note_given_up(&handle).await,
+            () = serving => spdlog::info!("shut down gracefully"),
+            () = drain_on_sigterm(&handle, &drain, times) => log_abandoned_work(&handle).await,
         }
         crate::front::outcomes::check_all_answered();
         Ok(())
@@ -85,36 +91,37 @@
     listener: tokio::net::TcpListener,
     handle: Handle,
     front: Front,
-    drains: inbound::Drain,
+    drain_stage: inbound::Drain,
 ) {
     match front {
         Front::Own => {
-            let told = drains.clone();
-            let answer =
-                move |request| crate::front::serve_request(handle.clone(), told.clone(), request);
-            inbound::serve_draining(listener, answer, drains).await;
+            let drain = drain_stage.clone();
+            let respond =
+                move |request| crate::front::serve_request(handle.clone(), drain.clone(), request);
+            inbound::serve_draining(listener, respond, drain_stage).await;
         }
         Front::Routes { adapter, .. } => {
-            let told = drains.clone();
-            let answer = move |request| {
-                routed::serve_request(handle.clone(), adapter.clone(), told.clone(), request)
+            let drain = drain_stage.clone();
+            let respond = move |request| {
+                routed::serve_request(handle.clone(), adapter.clone(), drain.clone(), request)
             };
-            inbound::serve_draining(listener, answer, drains).await;
+            inbound::serve_draining(listener, respond, drain_stage).await;
         }
     }
 }
 
-async fn sweep() {
-    let mut every = tokio::time::interval(std::time::Duration::from_millis(SWEEP_MS));
+async fn close_expired_connections() {
+    let mut interval =
+        tokio::time::interval(std::time::Duration::from_millis(IDLE_SWEEP_INTERVAL_MS));
     loop {
-        every.tick().await;
+        interval.tick().await;
         connections::close_expired();
     }
 }
 
-/// Waits for SIGTERM, then leads the listeners through the stages of a drain. It returns when the
-/// process must end, whatever is under way.
-async fn drained(
+/// Waits for SIGTERM, then leads the listeners through the stages of a drain. Returns when the
+/// process must exit, whatever is under way.
+async fn drain_on_sigterm(
     handle: &Handle,
     drain: &tokio::sync::watch::Sender<inbound::Stage>,
     times: DrainTimes,
@@ -125,10 +132,10 @@
         return;
     };
     while clock.now() < draining.exit_at() {
-        // A machine that is behind may have anything under way, and must not put the end off.
-        let limit = std_duration(draining.next_check_delay(DRAIN_LOOK, clock.now()));
-        let looked = tokio::time::timeout(limit, handle.call(RelayCall::Health)).await;
-        let health = match &looked {
+        // A machine that is behind counts as having work under way, and must not delay the exit.
+        let timeout = std_duration(draining.next_check_delay(DRAIN_CHECK_INTERVAL, clock.now()));
+        let checked = tokio::time::timeout(timeout, handle.call(RelayCall::Health)).await;
+        let health = match &checked {
             Ok(Ok(RelayResponse::Health(health))) => Some(health),
             Ok(_) => return,
             Err(_) => None,
@@ -140,25 +147,28 @@
             spdlog::info!("drain stage {stage:?} {counts}");
             drain.send_replace(stage);
         }
-        tokio::time::sleep(std_duration(draining.next_check_delay(DRAIN_LOOK, clock.now()))).await;
+        tokio::time::sleep(std_duration(
+            draining.next_check_delay(DRAIN_CHECK_INTERVAL, clock.now()),
+        ))
+        .await;
     }
-    give_last_answers(drain).await;
+    send_final_responses(drain).await;
 }
 
-/// Has final answers given that were not given in time: the process was stopped meanwhile, or has
-/// hardly any time to end.
-async fn give_last_answers(drain: &tokio::sync::watch::Sender<inbound::Stage>) {
+/// Starts the last stage if it was not reached in time, so that final responses are still sent: the
+/// process was suspended meanwhile, or its grace period is very short.
+async fn send_final_responses(drain: &tokio::sync::watch::Sender<inbound::Stage>) {
     if *drain.borrow() < inbound::Stage::Overdue {
         spdlog::warn!("drain stage Overdue late");
         drain.send_replace(inbound::Stage::Overdue);
-        tokio::time::sleep(LAST_ANSWERS).await;
+        tokio::time::sleep(FINAL_RESPONSES_DELAY).await;
     }
 }
 
-/// Tells what is given up with the process.
-async fn note_given_up(handle: &Handle) {
+/// Logs the work that is abandoned with the process.
+async fn log_abandoned_work(handle: &Handle) {
     if let Ok(RelayResponse::Health(health)) = handle.call(RelayCall::Health).await {
-        spdlog::error!("out of time, given up: {}", under_way(&health));
+        spdlog::error!("grace period over, abandoned: {}", under_way(&health));
     }
 }
 
--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -1,8 +1,9 @@
-//! The relay's front and the engines' side, in one process over loopback: engines that break off,
-//! lie about length, hang or refuse, and clients that leave, dawdle or never read.
+//! The HTTP front end for model routes with an engine, in one process over loopback. Engines
+//! interrupt responses, send wrong lengths, hang or refuse; clients disconnect, send slowly or
+//! never read.
 //!
-//! Every prompt must end with the right final answer, with one release of its hold, and without a
-//! run that nobody waits for.
+//! Every prompt must end with the right final response and exactly one release of its hold, and no
+//! run may continue without a client.
 
 use stand_ins::loopback::free_address;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -17,8 +18,8 @@
 
 const FLEET: FleetId = FleetId(3);
 
-/// One runtime for all tests: a relay's machine lives on a thread of its own, and ends the process
-/// if what it works with goes away under it.
+/// One runtime for all tests: a relay's machine runs on its own thread, and ends the process if the
+/// runtime that it uses shuts down.
 fn runtime() -> &'static tokio::runtime::Runtime {
     static RUNTIME: std::sync::OnceLock<tokio::runtime::Runtime> = std::sync::OnceLock::new();
     RUNTIME.get_or_init(|| tokio::runtime::Runtime::new().expect("a runtime"))
@@ -33,97 +34,98 @@
     Reset(&'static str),
     /// Sends this and keeps the connection open until the other side closes it.
     Hang(&'static str),
-    /// Sends this, and then pieces of a stream without end.
+    /// Sends this and then an endless stream of chunks.
     Flood(&'static str),
 }
 
-/// What the rest of the fleet saw.
+/// An event observed by the rest of the fleet.
 #[derive(Debug, PartialEq, Eq)]
-enum Saw {
-    Added(HoldId),
-    Released(HoldId),
-    /// The engine got a request with that body.
-    Ran(String),
-    /// The engine's connection ended from the relay's side.
-    Left,
+enum FleetEvent {
+    HoldAdded(HoldId),
+    HoldReleased(HoldId),
+    /// The engine received a request with this body.
+    RequestReceived(String),
+    /// The relay closed its connection to the engine.
+    Disconnected,
 }
 
 struct TestRelay {
-    relay: Address,
-    saw: tokio::sync::mpsc::UnboundedReceiver<Saw>,
+    address: Address,
+    events: tokio::sync::mpsc::UnboundedReceiver<FleetEvent>,
 }
 
 impl TestRelay {
-    /// A relay that is ready, beside a stand-in agent and counter, with one engine.
-    async fn ready(then: EngineAction) -> Self {
-        let (tell, saw) = tokio::sync::mpsc::unbounded_channel();
+    /// A ready relay with a stand-in agent and counter and one engine.
+    async fn ready(action: EngineAction) -> Self {
+        let (events, received) = tokio::sync::mpsc::unbounded_channel();
         let engine = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let engine_at = engine.local_addr().expect("its address");
-        tokio::spawn(be_engine(engine, then, tell.clone()));
+        let engine_address = engine.local_addr().expect("its address");
+        tokio::spawn(run_engine(engine, action, events.clone()));
         let (agent, own) = (free_address(), free_address());
-        tokio::spawn(be_core(agent, engine_at, tell));
+        tokio::spawn(run_core(agent, engine_address, events));
         let start = topazyard_relay::Start {
             node: NodeId(9),
             agent,
             bounds: topazyard_spec::Bounds::default(),
         };
-        let place =
+        let identity =
             topazyard_wire::driver::NodeIdentity { fleet: FLEET, node: NodeId(9), address: own };
-        let (tasks, begun) = tokio::sync::mpsc::channel(64);
-        let make = move |_| (topazyard_relay::RelayMachine::new(&start), Vec::new());
-        let handle = topazyard_wire::driver::spawn(make, place, None, tasks).expect("a relay");
-        tokio::spawn(topazyard_relay::front::tasks::run(handle.clone(), begun, None));
+        let (tasks, task_queue) = tokio::sync::mpsc::channel(64);
+        let new_machine = move |_| (topazyard_relay::RelayMachine::new(&start), Vec::new());
+        let handle =
+            topazyard_wire::driver::spawn(new_machine, identity, None, tasks).expect("a relay");
+        tokio::spawn(topazyard_relay::front::tasks::run(handle.clone(), task_queue, None));
         let http = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let relay = http.local_addr().expect("its address");
-        let asked = handle.clone();
+        let address = http.local_addr().expect("its address");
+        let machine = handle.clone();
         let serving = topazyard_wire::http::inbound::Stage::Serving;
-        let (_, told) = tokio::sync::watch::channel(serving);
+        let (_, drain) = tokio::sync::watch::channel(serving);
         tokio::spawn(topazyard_wire::http::inbound::serve(http, move |request| {
-            topazyard_relay::front::serve_request(handle.clone(), told.clone(), request)
+            topazyard_relay::front::serve_request(handle.clone(), drain.clone(), request)
         }));
         while !matches!(
-            asked.call(topazyard_relay::RelayCall::Ready).await,
+            machine.call(topazyard_relay::RelayCall::Ready).await,
             Ok(topazyard_relay::RelayResponse::Done)
         ) {
             tokio::task::yield_now().await;
         }
-        Self { relay, saw }
+        Self { address, events: received }
     }
 
     async fn connect(&self) -> tokio::net::TcpStream {
-        tokio::net::TcpStream::connect(self.relay).await.expect("the relay listens")
+        tokio::net::TcpStream::connect(self.address).await.expect("the relay listens")
     }
 
-    /// Sends a prompt and reads until the relay closes.
+    /// Sends a prompt and reads until the relay closes the connection.
     async fn send(&self, request: &str) -> String {
         let mut client = self.connect().await;
-        client.write_all(request.as_bytes()).await.expect("the relay takes it");
-        let mut got = Vec::new();
-        // A connection that breaks ends the reading too.
-        let _ = client.read_to_end(&mut got).await;
-        String::from_utf8(got).expect("text")
+        client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+        let mut response = Vec::new();
+        // Reading also stops if the connection is lost.
+        let _ = client.read_to_end(&mut response).await;
+        String::from_utf8(response).expect("UTF-8 text")
     }
 
-    /// The next that the rest of the fleet saw.
-    async fn next(&mut self) -> Saw {
-        self.saw.recv().await.expect("the fleet is there")
+    /// The next event in the fleet.
+    async fn next_event(&mut self) -> FleetEvent {
+        self.events.recv().await.expect("the stand-in fleet runs")
     }
 
-    /// Waits for the release of a hold; gives all that was seen until then.
-    async fn until_released(&mut self) -> Vec<Saw> {
-        let mut all = Vec::new();
+    /// Waits for the release of a hold; returns all events up to it.
+    async fn events_until_release(&mut self) -> Vec<FleetEvent> {
+        let mut events = Vec::new();
         loop {
-            let saw = self.next().await;
-            let over = matches!(saw, Saw::Released(_));
-            all.push(saw);
-            if over {
-                return all;
+            let event = self.next_event().await;
+            let is_release = matches!(event, FleetEvent::HoldReleased(_));
+            events.push(event);
+            if is_release {
+                return events;
             }
         }
     }
 }
 
-fn head_of(request: &[u8]) -> Option<(usize, usize)> {
+fn parse_head(request: &[u8]) -> Option<(usize, usize)> {
     let text = std::str::from_utf8(request).ok()?;
     let end = text.find("\r\n\r\n")? + 4;
     let length = text[..end].to_ascii_lowercase();
@@ -131,21 +133,21 @@
     Some((end, length))
 }
 
-async fn be_engine(
+async fn run_engine(
     listener: tokio::net::TcpListener,
-    then: EngineAction,
-    tell: tokio::sync::mpsc::UnboundedSender<Saw>,
+    action: EngineAction,
+    events: tokio::sync::mpsc::UnboundedSender<FleetEvent>,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { return };
-        tokio::spawn(serve_once(stream, then, tell.clone()));
+        tokio::spawn(serve_once(stream, action, events.clone()));
     }
 }
 
 async fn serve_once(
     mut stream: tokio::net::TcpStream,
-    then: EngineAction,
-    tell: tokio::sync::mpsc::UnboundedSender<Saw>,
+    action: EngineAction,
+    events: tokio::sync::mpsc::UnboundedSender<FleetEvent>,
 ) {
     let mut request = Vec::new();
     let (end, length) = loop {
@@ -153,7 +155,7 @@
             Ok(0) | Err(_) => return,
             Ok(_) => {}
         }
-        if let Some((end, length)) = head_of(&request)
+        if let Some((end, length)) = parse_head(&request)
             && request.len() >= end + length
         {
             break (end, length);
@@ -164,13 +166,13 @@
         return;
     }
     let body = String::from_utf8_lossy(&request[end..end + length]).into_owned();
-    let _ = tell.send(Saw::Ran(body));
+    let _ = events.send(FleetEvent::RequestReceived(body));
     let (EngineAction::Close(text)
     | EngineAction::Reset(text)
     | EngineAction::Hang(text)
-    | EngineAction::Flood(text)) = then;
+    | EngineAction::Flood(text)) = action;
     let _ = stream.write_all(text.as_bytes()).await;
-    match then {
+    match action {
         EngineAction::Close(_) => {}
         EngineAction::Reset(_) => {
             let _ = stream.set_zero_linger();
@@ -178,18 +180,22 @@
         EngineAction::Hang(_) => {
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
-            let _ = tell.send(Saw::Left);
+            let _ = events.send(FleetEvent::Disconnected);
         }
         EngineAction::Flood(_) => {
-            let piece = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
-            while stream.write_all(piece.as_bytes()).await.is_ok() {}
-            let _ = tell.send(Saw::Left);
+            let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
+            while stream.write_all(chunk.as_bytes()).await.is_ok() {}
+            let _ = events.send(FleetEvent::Disconnected);
         }
     }
 }
 
-/// The agent beside the relay, and the counter's primary.
-async fn be_core(address: Address, engine: Address, tell: tokio::sync::mpsc::UnboundedSender<Saw>) {
+/// Runs the relay's local agent and the counter's primary.
+async fn run_core(
+    address: Address,
+    engine: Address,
+    events: tokio::sync::mpsc::UnboundedSender<FleetEvent>,
+) {
     let listener = tokio::net::TcpListener::bind(address).await.expect("a free port");
     let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(topazyard_wire::link::inbound::listen(listener, FLEET, move |frame| {
@@ -198,18 +204,18 @@
     let mut links = topazyard_wire::link::Links::default();
     while let Some(frame) = frames.recv().await {
         let Frame { address: to, message, .. } = frame;
-        let Some(message) = core_says(message, address, engine, &tell) else { continue };
+        let Some(message) = core_response(message, address, engine, &events) else { continue };
         let frame =
             Frame { version: FRAME_VERSION, fleet: FLEET, sender: NodeId(1), address, message };
         links.send(to, frame.encode());
     }
 }
 
-fn core_says(
+fn core_response(
     message: Message,
     address: Address,
     engine: Address,
-    tell: &tokio::sync::mpsc::UnboundedSender<Saw>,
+    events: &tokio::sync::mpsc::UnboundedSender<FleetEvent>,
 ) -> Option<Message> {
     match message {
         Message::Feed(FeedMessage::Request { nonce, .. }) => {
@@ -220,11 +226,11 @@
         Message::Counter(CounterMessage { epoch, body }) => {
             let body = match body {
                 CounterBody::Add(hold) => {
-                    let _ = tell.send(Saw::Added(hold.id));
+                    let _ = events.send(FleetEvent::HoldAdded(hold.id));
                     CounterBody::Added { id: hold.id, granted: true, engine: None }
                 }
                 CounterBody::Release(id) => {
-                    let _ = tell.send(Saw::Released(id));
+                    let _ = events.send(FleetEvent::HoldReleased(id));
                     return None;
                 }
                 CounterBody::Renew { number, .. } => CounterBody::Renewed { number },
@@ -245,7 +251,7 @@
     let in_force =
         InForceRow { version: topazyard_types::ConfigurationVersion(1), text: text.to_owned() };
     let name: EngineName = "e".into();
-    let listed = topazyard_spec::Engine {
+    let engine_row = topazyard_spec::Engine {
         name: name.clone(),
         address: engine,
         pool: "main".into(),
@@ -264,47 +270,53 @@
     };
     vec![
         encode(IN_FORCE.to_owned(), topazyard_wire::rows::encode(&in_force)),
-        encode(engine_key(&name), topazyard_wire::rows::encode(&listed)),
+        encode(engine_key(&name), topazyard_wire::rows::encode(&engine_row)),
         encode(shard_key(ShardId::COUNTER), topazyard_wire::rows::encode(&shard)),
     ]
 }
 
 const BODY: &str = r#"{"inputs":"one two"}"#;
 
-fn request(path: &str, version: &str, wait_ms: u64) -> String {
+fn request(path: &str, version: &str, timeout_ms: u64) -> String {
     format!(
         "POST {path} HTTP/{version}\r\nhost: relay\r\nconnection: close\r\nTopazyard-Model: m\r\n\
-         Topazyard-Time-Remaining: {wait_ms}\r\ncontent-length: {}\r\n\r\n{BODY}",
+         Topazyard-Time-Remaining: {timeout_ms}\r\ncontent-length: {}\r\n\r\n{BODY}",
         BODY.len()
     )
 }
 
-/// Asks once and checks that one hold was added, one body ran unaltered, and one hold released.
-async fn ends(then: EngineAction, path: &str, wait_ms: u64) -> String {
-    let mut edge = TestRelay::ready(then).await;
-    let got = edge.send(&request(path, "1.1", wait_ms)).await;
-    let saw = edge.until_released().await;
-    let count = |what: fn(&Saw) -> bool| saw.iter().filter(|saw| what(saw)).count();
-    assert_eq!(count(|saw| matches!(saw, Saw::Added(_))), 1, "{saw:?}");
-    assert_eq!(count(|saw| matches!(saw, Saw::Ran(body) if body == BODY)), 1, "{saw:?}");
-    got
+/// Sends one prompt and checks that one hold was added, the engine received the unaltered body
+/// once, and one hold was released.
+async fn send_and_check_hold(action: EngineAction, path: &str, timeout_ms: u64) -> String {
+    let mut relay = TestRelay::ready(action).await;
+    let response = relay.send(&request(path, "1.1", timeout_ms)).await;
+    let events = relay.events_until_release().await;
+    let count =
+        |matches: fn(&FleetEvent) -> bool| events.iter().filter(|event| matches(event)).count();
+    assert_eq!(count(|event| matches!(event, FleetEvent::HoldAdded(_))), 1, "{events:?}");
+    assert_eq!(
+        count(|event| matches!(event, FleetEvent::RequestReceived(body) if body == BODY)),
+        1,
+        "{events:?}"
+    );
+    response
 }
 
-fn status(got: &str) -> &str {
-    got.split(' ').nth(1).unwrap_or("")
+fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or("")
 }
 
-/// A final answer that gives up on a prompt which may have run.
-fn gave_up(got: &str, expected: &str) {
-    assert_eq!(status(got), expected, "{got}");
-    assert!(got.contains("retry-after: 2"), "{got}");
-    assert!(got.contains(r#""ran":"may_have_run""#), "{got}");
+/// Checks a final response that abandons a prompt which may have run.
+fn assert_abandoned(response: &str, expected: &str) {
+    assert_eq!(status(response), expected, "{response}");
+    assert!(response.contains("retry-after: 2"), "{response}");
+    assert!(response.contains(r#""ran":"may_have_run""#), "{response}");
 }
 
 #[test]
-fn a_return_cut_anywhere_is_an_error_and_nothing_else() {
+fn interrupted_response_gives_only_an_error() {
     runtime().block_on(async {
-        for then in [
+        for action in [
             EngineAction::Close(""),
             EngineAction::Close("HTTP/1.1 200 OK\r\ncontent-le"),
             EngineAction::Close("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"generated"),
@@ -316,46 +328,49 @@
             EngineAction::Reset(""),
             EngineAction::Close("SSH-2.0-nothing of ours\r\n"),
         ] {
-            gave_up(&ends(then, "/generate", 5_000).await, "502");
+            assert_abandoned(&send_and_check_hold(action, "/generate", 5_000).await, "502");
         }
     });
 }
 
 #[test]
-fn an_engine_that_says_nothing_is_given_up_at_the_deadline() {
+fn silent_engine_is_abandoned_at_the_deadline() {
     runtime().block_on(async {
         for text in ["", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"] {
-            let mut edge = TestRelay::ready(EngineAction::Hang(text)).await;
-            gave_up(&edge.send(&request("/generate", "1.1", 250)).await, "504");
-            // The run is broken off: its engine sees the connection end.
-            let mut saw = edge.until_released().await;
-            while !saw.contains(&Saw::Left) {
-                saw.push(edge.next().await);
+            let mut relay = TestRelay::ready(EngineAction::Hang(text)).await;
+            assert_abandoned(&relay.send(&request("/generate", "1.1", 250)).await, "504");
+            // The run is aborted: the engine sees the connection close.
+            let mut events = relay.events_until_release().await;
+            while !events.contains(&FleetEvent::Disconnected) {
+                events.push(relay.next_event().await);
             }
         }
     });
 }
 
 #[test]
-fn whatever_the_engine_says_is_passed_on_with_its_headers() {
+fn engine_response_is_forwarded_with_its_headers() {
     runtime().block_on(async {
         let text = "HTTP/1.1 429 Too Many Requests\r\nretry-after: 7\r\ncontent-encoding: gzip\r\n\
                 x-one: a\r\nx-one: b\r\nx-link: c\r\nconnection: x-link\r\n\
                 content-length: 4\r\n\r\nabcdHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nnot";
         for path in ["/generate", "/generate_stream"] {
-            let got = ends(EngineAction::Close(text), path, 5_000).await;
-            assert_eq!(status(&got), "429", "{got}");
+            let response = send_and_check_hold(EngineAction::Close(text), path, 5_000).await;
+            assert_eq!(status(&response), "429", "{response}");
             for header in ["retry-after: 7", "content-encoding: gzip", "x-one: a", "x-one: b"] {
-                assert!(got.contains(header), "{header} in {got}");
+                assert!(response.contains(header), "{header} in {response}");
             }
-            assert!(!got.contains("x-link"), "{got}");
-            // What an engine sends beyond its length is nobody's.
-            assert!(got.ends_with("\r\n\r\nabcd"), "{got}");
+            assert!(!response.contains("x-link"), "{response}");
+            // Data beyond the response's length is discarded.
+            assert!(response.ends_with("\r\n\r\nabcd"), "{response}");
         }
         for code in ["500", "503"] {
             let text: &'static str =
                 Box::leak(format!("HTTP/1.1 {code} X\r\ncontent-length: 1\r\n\r\n!").into());
-            assert_eq!(status(&ends(EngineAction::Close(text), "/generate", 5_000).await), code);
+            assert_eq!(
+                status(&send_and_check_hold(EngineAction::Close(text), "/generate", 5_000).await),
+                code
+            );
         }
     });
 }
@@ -364,86 +379,93 @@
                       transfer-encoding: chunked\r\n\r\n4\r\none \r\n";
 
 #[test]
-fn a_stream_never_looks_complete_when_it_is_cut() {
+fn interrupted_stream_never_looks_complete() {
     runtime().block_on(async {
-    for then in [EngineAction::Close(STREAM), EngineAction::Reset(STREAM), EngineAction::Hang(STREAM)] {
-        let got = ends(then, "/generate_stream", 400).await;
-        assert!(!got.contains("\r\n0\r\n"), "{got}");
+    for action in [EngineAction::Close(STREAM), EngineAction::Reset(STREAM), EngineAction::Hang(STREAM)] {
+        let response = send_and_check_hold(action, "/generate_stream", 400).await;
+        assert!(!response.contains("\r\n0\r\n"), "{response}");
     }
     let text = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf";
-    let got = ends(EngineAction::Close(text), "/generate_stream", 5_000).await;
-    assert!(got.contains("content-length: 9") && got.ends_with("half"), "{got}");
-    let whole =
+    let response = send_and_check_hold(EngineAction::Close(text), "/generate_stream", 5_000).await;
+    assert!(response.contains("content-length: 9") && response.ends_with("half"), "{response}");
+    let complete =
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\none \r\n3\r\ntwo\r\n0\r\n\r\n";
-    let got = ends(EngineAction::Close(whole), "/generate_stream", 5_000).await;
-    assert!(got.contains("one ") && got.ends_with("two\r\n0\r\n\r\n"), "{got}");
+    let response = send_and_check_hold(EngineAction::Close(complete), "/generate_stream", 5_000).await;
+    assert!(response.contains("one ") && response.ends_with("two\r\n0\r\n\r\n"), "{response}");
     });
 }
 
 #[test]
-fn a_client_of_http_1_0_gets_a_stream_whole_or_an_error() {
+fn http_1_0_client_gets_a_complete_stream_or_an_error() {
     runtime().block_on(async {
-        let edge = TestRelay::ready(EngineAction::Close(STREAM)).await;
-        gave_up(&edge.send(&request("/generate_stream", "1.0", 5_000)).await, "502");
-        let whole = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n";
-        let edge = TestRelay::ready(EngineAction::Close(whole)).await;
-        let got = edge.send(&request("/generate_stream", "1.0", 5_000)).await;
-        assert!(got.contains("content-length: 3") && got.ends_with("\r\n\r\ntwo"), "{got}");
+        let relay = TestRelay::ready(EngineAction::Close(STREAM)).await;
+        assert_abandoned(&relay.send(&request("/generate_stream", "1.0", 5_000)).await, "502");
+        let complete = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n";
+        let relay = TestRelay::ready(EngineAction::Close(complete)).await;
+        let response = relay.send(&request("/generate_stream", "1.0", 5_000)).await;
+        assert!(
+            response.contains("content-length: 3") && response.ends_with("\r\n\r\ntwo"),
+            "{response}"
+        );
     });
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_run() {
+fn client_disconnect_aborts_the_run() {
     runtime().block_on(async {
         for (path, text) in [("/generate", ""), ("/generate_stream", STREAM)] {
-            let mut edge = TestRelay::ready(EngineAction::Hang(text)).await;
-            let mut client = edge.connect().await;
+            let mut relay = TestRelay::ready(EngineAction::Hang(text)).await;
+            let mut client = relay.connect().await;
             let request = request(path, "1.1", 60_000);
-            client.write_all(request.as_bytes()).await.expect("the relay takes it");
-            while !matches!(edge.next().await, Saw::Ran(_)) {}
+            client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+            while !matches!(relay.next_event().await, FleetEvent::RequestReceived(_)) {}
             drop(client);
-            let mut saw = edge.until_released().await;
-            while !saw.contains(&Saw::Left) {
-                saw.push(edge.next().await);
+            let mut events = relay.events_until_release().await;
+            while !events.contains(&FleetEvent::Disconnected) {
+                events.push(relay.next_event().await);
             }
         }
     });
 }
 
 #[test]
-fn a_client_that_never_reads_keeps_nothing_beyond_its_time() {
+fn client_that_never_reads_holds_nothing_after_its_deadline() {
     runtime().block_on(async {
-        let mut edge = TestRelay::ready(EngineAction::Flood(STREAM)).await;
-        let mut client = edge.connect().await;
+        let mut relay = TestRelay::ready(EngineAction::Flood(STREAM)).await;
+        let mut client = relay.connect().await;
         let request = request("/generate_stream", "1.1", 700);
-        client.write_all(request.as_bytes()).await.expect("the relay takes it");
-        let mut saw = edge.until_released().await;
-        while !saw.contains(&Saw::Left) {
-            saw.push(edge.next().await);
+        client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+        let mut events = relay.events_until_release().await;
+        while !events.contains(&FleetEvent::Disconnected) {
+            events.push(relay.next_event().await);
         }
     });
 }
 
 #[test]
-fn a_client_that_sends_in_pieces_is_served_and_one_that_stops_runs_nothing() {
+fn slow_request_is_served_and_incomplete_request_is_not_run() {
     runtime().block_on(async {
-        let whole = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-        let mut edge = TestRelay::ready(EngineAction::Close(whole)).await;
-        let mut gone = edge.connect().await;
+        let complete = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+        let mut relay = TestRelay::ready(EngineAction::Close(complete)).await;
+        let mut disconnected = relay.connect().await;
         let text = request("/generate", "1.1", 5_000);
         let (first, second) = text.split_at(text.len() - 7);
-        gone.write_all(first.as_bytes()).await.expect("the relay takes it");
-        drop(gone);
-        let mut client = edge.connect().await;
+        disconnected.write_all(first.as_bytes()).await.expect("the relay accepts the data");
+        drop(disconnected);
+        let mut client = relay.connect().await;
         for byte in first.as_bytes().chunks(9) {
-            client.write_all(byte).await.expect("the relay takes it");
-            client.flush().await.expect("the relay takes it");
+            client.write_all(byte).await.expect("the relay accepts the data");
+            client.flush().await.expect("the relay accepts the data");
         }
-        client.write_all(second.as_bytes()).await.expect("the relay takes it");
-        let mut got = String::new();
-        client.read_to_string(&mut got).await.expect("a whole answer");
-        assert!(got.ends_with("\r\n\r\nok"), "{got}");
-        let saw = edge.until_released().await;
-        assert_eq!(saw.iter().filter(|saw| matches!(saw, Saw::Ran(_))).count(), 1, "{saw:?}");
+        client.write_all(second.as_bytes()).await.expect("the relay accepts the data");
+        let mut response = String::new();
+        client.read_to_string(&mut response).await.expect("a complete response");
+        assert!(response.ends_with("\r\n\r\nok"), "{response}");
+        let events = relay.events_until_release().await;
+        assert_eq!(
+            events.iter().filter(|event| matches!(event, FleetEvent::RequestReceived(_))).count(),
+            1,
+            "{events:?}"
+        );
     });
 }
--- a/programs/topazyard-relay/tests/loopback/core.rs
+++ b/programs/topazyard-relay/tests/loopback/core.rs
@@ -1,4 +1,5 @@
-//! The core as a relay sees it: the agent beside it, the counter's primary and a shard's.
+//! A stand-in for the core as a relay sees it: its local agent, the counter's primary and a shard's
+//! primary.
 
 use topazyard_types::{
     BatchId, ConfigurationVersion, EngineName, Epoch, FleetId, ItemNumber, LogPosition, NodeId,
@@ -16,32 +17,32 @@
 
 type Address = std::net::SocketAddr;
 
-/// The fleet that a program on the users' platform is of.
+/// The fleet id of programs on the users' platform.
 pub const FLEET: FleetId = FleetId(1);
-/// The host of all routes.
+/// The host of all routes in the tests.
 pub const HOST: &str = "a.example";
 
-/// The batch that all items are of.
+/// The batch of all items.
 fn batch() -> BatchId {
     BatchId::of_host(HOST, "1")
 }
 
-/// The primary of the shard with that batch: it leases what was handed in, and tells how it ended.
+/// The primary of the batch's shard: leases submitted items and reports the ends of their runs.
 pub struct ShardStub {
-    /// The ids of items that are handed in.
+    /// Receives the ids of submitted items.
     pub submitted: tokio::sync::mpsc::UnboundedReceiver<String>,
-    /// Where the end of each run is told.
+    /// Sends the end of each run.
     pub run_ends: tokio::sync::mpsc::UnboundedSender<RunEnd>,
-    /// The last lease.
+    /// The number of the last lease.
     pub last_lease: u64,
 }
 
 impl ShardStub {
-    fn answer(&mut self, call: BatchCall) -> BatchResponse {
+    fn respond(&mut self, call: BatchCall) -> BatchResponse {
         match call {
             BatchCall::Lease { .. } => {
-                let submitted = std::iter::from_fn(|| self.submitted.try_recv().ok());
-                let ids: Vec<String> = submitted.collect();
+                let received = std::iter::from_fn(|| self.submitted.try_recv().ok());
+                let ids: Vec<String> = received.collect();
                 BatchResponse::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
             }
             BatchCall::Finish(_, end) => {
@@ -73,7 +74,8 @@
     }
 }
 
-/// The agent beside the relay, the counter's primary, which grants all, and a shard's.
+/// Runs the relay's local agent, the counter's primary, which grants everything, and a shard's
+/// primary.
 pub async fn run_core(
     listener: tokio::net::TcpListener,
     address: Address,
@@ -105,7 +107,7 @@
                 Message::Counter(CounterMessage { epoch, body })
             }
             Message::Batch(BatchMessage { body: BatchBody::Call(call), call: number, .. }) => {
-                let body = BatchBody::Response(shard.answer(call));
+                let body = BatchBody::Response(shard.respond(call));
                 let shard = batch().shard;
                 Message::Batch(BatchMessage { shard, epoch: Epoch(1), call: number, body })
             }
@@ -134,7 +136,7 @@
         (shard_key(ShardId::COUNTER), encode(&shard)),
         (shard_key(batch().shard), encode(&shard)),
     ];
-    for (name, kind, most) in [
+    for (name, kind, max_attempts) in [
         ("safe", "safe", 3),
         ("unsafe", "unsafe", 3),
         ("stream", "streaming", 3),
@@ -142,7 +144,7 @@
     ] {
         let text = format!(
             r#"{{"name":"{name}","host":"{HOST}","path_prefix":"/{name}/","kind":"{kind}",
-            "timeout_ms":10000,"target_latency_ms":4000,"max_attempts":{most},
+            "timeout_ms":10000,"target_latency_ms":4000,"max_attempts":{max_attempts},
             "resumable":{},"pools":[{{"pool":"main","weight":1}}]}}"#,
             name == "resumable"
         );
--- a/programs/topazyard-relay/tests/routed.rs
+++ b/programs/topazyard-relay/tests/routed.rs
@@ -1,5 +1,5 @@
-//! The routes' front and its engines, in one process over loopback: engines that break off, turn
-//! away, answer with what isn't theirs, or keep and close connections.
+//! The HTTP front end for routes with its engines, in one process over loopback. Engines interrupt
+//! responses, turn requests away, send mismatched responses, and keep or close connections.
 
 mod loopback;
 
@@ -16,14 +16,14 @@
 use topazyard_wire::http::Body;
 use topazyard_wire::message::batch::{Progress, RunEnd};
 
-/// Names of the tests' own: `x-id`, `x-to`, `x-after`, `x-turned-away`.
-struct Plain;
+/// An adapter with plain header names: `x-id`, `x-to`, `x-after`, `x-turned-away`.
+struct PlainAdapter;
 
 fn number(head: &hyper::HeaderMap, name: &str) -> Option<u64> {
     head.get(name)?.to_str().ok()?.parse().ok()
 }
 
-impl HttpAdapter for Plain {
+impl HttpAdapter for PlainAdapter {
     fn request_metadata(
         &self,
         head: &hyper::http::request::Parts,
@@ -91,10 +91,10 @@
     }
 }
 
-/// A relay that is ready, with so many engines, in these names.
+/// A ready relay with this adapter and number of engines.
 async fn ready(engines: usize, script: impl IntoIterator<Item = EngineAction>) -> TestRelay {
     let adapter = TestAdapter {
-        adapter: std::sync::Arc::new(Plain),
+        adapter: std::sync::Arc::new(PlainAdapter),
         id_header: "x-id",
         engine_header: "x-to",
         last_event_header: "x-after",
@@ -102,7 +102,7 @@
     TestRelay::ready(adapter, engines, script).await
 }
 
-fn whole(body: &str) -> String {
+fn complete(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nx-id: {{id}}\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -119,255 +119,274 @@
     ids.map(event).collect()
 }
 
-/// A stream's head and these events, each in a chunk of its own, without an end.
+/// A stream's head and these events, one per chunk, without the final chunk.
 fn stream(ids: std::ops::RangeInclusive<u64>) -> String {
     let chunk = |id| format!("{:x}\r\n{}\r\n", event(id).len(), event(id));
     STREAM_HEAD.to_owned() + &ids.map(chunk).collect::<String>()
 }
 
-// Else a client of any stream gets less than its engine sent, or waits for more.
+// Guards against a stream that loses data on the way, or never ends for the client.
 #[test]
-fn a_whole_stream_is_passed_on_whole() {
+fn complete_stream_is_forwarded_completely() {
     runtime().block_on(async {
         for path in ["/stream/1", "/resumable/1"] {
-            let mut edge = ready(2, [EngineAction::KeepAlive(stream(1..=5) + STREAM_END)]).await;
-            let got = edge.send(path, "a").await;
-            assert_eq!(got.status(), "200", "{got:?}");
-            assert_eq!(got.chunks(), (events(1..=5), true));
-            let ran = edge.engine_requests();
-            assert_eq!((ran.len(), ran[0].body.as_str()), (1, "00a"));
+            let mut relay = ready(2, [EngineAction::KeepAlive(stream(1..=5) + STREAM_END)]).await;
+            let received = relay.send(path, "a").await;
+            assert_eq!(received.status(), "200", "{received:?}");
+            assert_eq!(received.chunks(), (events(1..=5), true));
+            let requests = relay.engine_requests();
+            assert_eq!((requests.len(), requests[0].body.as_str()), (1, "00a"));
         }
     });
 }
 
-// Else a client loses events, or gets some twice, whenever an engine dies under its stream.
+// Guards against lost or duplicate events when an engine fails during a stream.
 #[test]
-fn a_resumable_stream_cut_anywhere_goes_on_after_the_right_event() {
+fn interrupted_resumable_stream_continues_after_its_last_event() {
     runtime().block_on(async {
         let half = "11\r\nid: 3\ndata: half\n\r\n";
-        for cut in [
+        for interrupted in [
             EngineAction::Close(stream(1..=2)),
             EngineAction::Close(stream(1..=2) + half),
-            // A stream that ends in order, but within an event, was cut by its engine.
+            // A stream whose body is complete but ends within an event was interrupted by the
+            // engine.
             EngineAction::Close(stream(1..=2) + half + STREAM_END),
         ] {
             let rest = EngineAction::KeepAlive(stream(3..=5) + STREAM_END);
-            let mut edge = ready(3, [cut, rest]).await;
-            let got = edge.send("/resumable/1", "a").await;
-            assert_eq!(got.chunks(), (events(1..=5), true), "{got:?}");
-            let ran = edge.engine_requests();
-            assert_eq!(ran.iter().map(|ran| ran.last_event).collect::<Vec<_>>(), [None, Some(2)]);
-            assert_ne!(ran[0].engine, ran[1].engine, "another engine");
-            assert_eq!(ran[0].body, ran[1].body);
+            let mut relay = ready(3, [interrupted, rest]).await;
+            let received = relay.send("/resumable/1", "a").await;
+            assert_eq!(received.chunks(), (events(1..=5), true), "{received:?}");
+            let requests = relay.engine_requests();
+            assert_eq!(
+                requests.iter().map(|request| request.last_event).collect::<Vec<_>>(),
+                [None, Some(2)]
+            );
+            assert_ne!(requests[0].engine, requests[1].engine, "another engine");
+            assert_eq!(requests[0].body, requests[1].body);
         }
     });
 }
 
-// Else a client that takes a stream up itself gets it from the beginning.
+// Guards against a client that resumes a stream getting it from the beginning.
 #[test]
-fn a_client_that_takes_a_stream_up_gets_what_comes_after_its_last_event() {
+fn client_resumes_a_stream_after_its_last_event() {
     runtime().block_on(async {
         let script = [
             EngineAction::Close(stream(5..=6)),
             EngineAction::KeepAlive(stream(7..=8) + STREAM_END),
         ];
-        let mut edge = ready(3, script).await;
-        let got = edge.send_with_headers("/resumable/1", "a", "x-after: 4\r\n").await;
-        assert_eq!(got.chunks(), (events(5..=8), true), "{got:?}");
-        let after: Vec<_> = edge.engine_requests().iter().map(|ran| ran.last_event).collect();
+        let mut relay = ready(3, script).await;
+        let received = relay.send_with_headers("/resumable/1", "a", "x-after: 4\r\n").await;
+        assert_eq!(received.chunks(), (events(5..=8), true), "{received:?}");
+        let after: Vec<_> =
+            relay.engine_requests().iter().map(|request| request.last_event).collect();
         assert_eq!(after, [Some(4), Some(6)]);
     });
 }
 
-// Else a client gets a text with a gap or a repeated part, and takes it for whole.
+// Guards against a text with a gap or a repeated part that looks complete.
 #[test]
-fn a_stream_that_goes_on_with_a_wrong_event_is_cut() {
+fn stream_resumed_at_the_wrong_event_is_interrupted() {
     runtime().block_on(async {
         for wrong in [1..=5, 2..=5, 4..=5] {
             let script = [
                 EngineAction::Close(stream(1..=2)),
                 EngineAction::KeepAlive(stream(wrong) + STREAM_END),
             ];
-            let mut edge = ready(3, script).await;
-            let got = edge.send("/resumable/1", "a").await;
-            assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
-            assert_eq!(edge.engine_requests().len(), 2, "two tries are all that its route allows");
+            let mut relay = ready(3, script).await;
+            let received = relay.send("/resumable/1", "a").await;
+            assert_eq!(received.chunks(), (events(1..=2), false), "{received:?}");
+            assert_eq!(relay.engine_requests().len(), 2, "the route allows two attempts");
         }
     });
 }
 
-// Else a stream that may not run twice does, or a client takes a part for the whole.
+// Guards against running such a stream twice, and against a partial stream that looks complete.
 #[test]
-fn a_stream_that_is_not_resumable_breaks_its_clients_connection_when_cut() {
+fn interrupted_non_resumable_stream_closes_the_client_connection() {
     runtime().block_on(async {
-        let mut edge = ready(3, [EngineAction::Close(stream(1..=3))]).await;
-        let got = edge.send("/stream/1", "a").await;
-        assert_eq!(got.status(), "200");
-        assert_eq!(got.chunks(), (events(1..=3), false), "what came before is passed on");
-        assert_eq!(edge.engine_requests().len(), 1);
+        let mut relay = ready(3, [EngineAction::Close(stream(1..=3))]).await;
+        let received = relay.send("/stream/1", "a").await;
+        assert_eq!(received.status(), "200");
+        assert_eq!(received.chunks(), (events(1..=3), false), "earlier events are forwarded");
+        assert_eq!(relay.engine_requests().len(), 1);
     });
 }
 
-// Else a client gets what belongs to another: the worst that can happen.
+// Guards against the worst failure: a client receives another client's response.
 #[test]
-fn a_response_to_another_request_is_never_given_to_a_client() {
+fn response_to_another_request_is_never_forwarded() {
     runtime().block_on(async {
-        let foreign = || EngineAction::KeepAlive(whole("secret").replace("{id}", "b"));
+        let mismatched = || EngineAction::KeepAlive(complete("secret").replace("{id}", "b"));
         for path in ["/unsafe/1", "/stream/1"] {
-            let mut edge = ready(3, [foreign(), EngineAction::KeepAlive(whole("own"))]).await;
-            let got = edge.send(path, "a").await;
-            assert!(!got.0.contains("secret"), "{got:?}");
-            got.assert_refused("502", Execution::MayHaveRun);
-            assert_eq!(edge.engine_requests().len(), 1, "it may have run");
+            let mut relay =
+                ready(3, [mismatched(), EngineAction::KeepAlive(complete("own"))]).await;
+            let received = relay.send(path, "a").await;
+            assert!(!received.0.contains("secret"), "{received:?}");
+            received.assert_refused("502", Execution::MayHaveRun);
+            assert_eq!(relay.engine_requests().len(), 1, "it may have run");
         }
-        let mut edge = ready(3, [foreign(), EngineAction::KeepAlive(whole("own"))]).await;
-        let got = edge.send("/safe/1", "a").await;
-        assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-        // The connection on which it came is not used again, whatever else may still come there.
-        let ran = edge.engine_requests();
-        assert_ne!(ran[0].connection, ran[1].connection);
-        // Midway in a stream it is the same.
+        let mut relay = ready(3, [mismatched(), EngineAction::KeepAlive(complete("own"))]).await;
+        let received = relay.send("/safe/1", "a").await;
+        assert_eq!((received.status(), received.body()), ("200", "own"), "{received:?}");
+        // The connection is not reused, whatever else is still received on it.
+        let requests = relay.engine_requests();
+        assert_ne!(requests[0].connection, requests[1].connection);
+        // The same applies to a stream that is resumed.
         let script = [
             EngineAction::Close(stream(1..=2)),
             EngineAction::KeepAlive(stream(3..=5).replace("{id}", "b")),
         ];
-        let edge = ready(3, script).await;
-        let got = edge.send("/resumable/1", "a").await;
-        assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
+        let relay = ready(3, script).await;
+        let received = relay.send("/resumable/1", "a").await;
+        assert_eq!(received.chunks(), (events(1..=2), false), "{received:?}");
     });
 }
 
-// Else a full engine costs the client its request; or a refusal leaves it in doubt.
+// Guards against losing a request to a full engine, and against a refusal that leaves open whether
+// the request ran.
 #[test]
-fn a_request_turned_away_goes_to_other_engines_and_is_then_said_not_to_have_run() {
+fn request_turned_away_tries_other_engines_and_then_reports_not_run() {
     runtime().block_on(async {
-        let away = || EngineAction::KeepAlive(TURNED_AWAY.to_owned());
+        let turned_away = || EngineAction::KeepAlive(TURNED_AWAY.to_owned());
         for path in ["/safe/1", "/unsafe/1", "/stream/1"] {
-            let mut edge = ready(5, [away(), away(), EngineAction::KeepAlive(whole("own"))]).await;
-            let got = edge.send(path, "a").await;
-            assert!(got.status() == "200" && got.0.contains("own"), "{got:?}");
+            let mut relay =
+                ready(5, [turned_away(), turned_away(), EngineAction::KeepAlive(complete("own"))])
+                    .await;
+            let received = relay.send(path, "a").await;
+            assert!(received.status() == "200" && received.0.contains("own"), "{received:?}");
             let engines: std::collections::BTreeSet<usize> =
-                edge.engine_requests().iter().map(|ran| ran.engine).collect();
-            assert_eq!(engines.len(), 3, "each another one");
-            let mut edge = ready(5, [away(), away(), away(), away()]).await;
-            edge.send(path, "a").await.assert_refused("503", Execution::NotRun);
-            assert_eq!(edge.engine_requests().len(), 3, "its route allows three");
+                relay.engine_requests().iter().map(|request| request.engine).collect();
+            assert_eq!(engines.len(), 3, "a different engine each time");
+            let mut relay =
+                ready(5, [turned_away(), turned_away(), turned_away(), turned_away()]).await;
+            relay.send(path, "a").await.assert_refused("503", Execution::NotRun);
+            assert_eq!(relay.engine_requests().len(), 3, "the route allows three attempts");
         }
     });
 }
 
-// Else a client sends again what has run already.
+// Guards against a client repeating a request that already ran.
 #[test]
-fn a_request_that_may_have_run_and_must_not_twice_is_not_said_to_be_repeatable() {
+fn unsafe_request_that_may_have_run_is_not_retried() {
     runtime().block_on(async {
-        let cut = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 20\r\n\r\nhalf";
-        for then in [
+        let interrupted = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 20\r\n\r\nhalf";
+        for action in [
             EngineAction::Close(String::new()),
             EngineAction::Reset(String::new()),
             EngineAction::Close("HTTP/1.1 200 OK\r\nx-i".to_owned()),
-            EngineAction::Close(cut.to_owned()),
+            EngineAction::Close(interrupted.to_owned()),
             EngineAction::Close("no HTTP at all\r\n\r\n".to_owned()),
         ] {
-            let mut edge = ready(3, [then.clone(), EngineAction::KeepAlive(whole("own"))]).await;
-            edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
-            assert_eq!(edge.engine_requests().len(), 1);
-            // One that may be repeated is, and its client doesn't notice.
-            let mut edge = ready(3, [then, EngineAction::KeepAlive(whole("own"))]).await;
-            let got = edge.send("/safe/1", "a").await;
-            assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-            assert_eq!(edge.engine_requests().len(), 2);
+            let mut relay =
+                ready(3, [action.clone(), EngineAction::KeepAlive(complete("own"))]).await;
+            relay.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
+            assert_eq!(relay.engine_requests().len(), 1);
+            // A repeatable request is retried without the client noticing.
+            let mut relay = ready(3, [action, EngineAction::KeepAlive(complete("own"))]).await;
+            let received = relay.send("/safe/1", "a").await;
+            assert_eq!((received.status(), received.body()), ("200", "own"), "{received:?}");
+            assert_eq!(relay.engine_requests().len(), 2);
         }
-        // Turned away first and lost then: that it did not run at the first says nothing.
+        // The first engine turns the request away and the second loses it: that it did not run at
+        // the first proves nothing.
         let script =
             [EngineAction::KeepAlive(TURNED_AWAY.to_owned()), EngineAction::Close(String::new())];
-        let edge = ready(3, script).await;
-        edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
+        let relay = ready(3, script).await;
+        relay.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
     });
 }
 
-// Else each request pays for a connection, and engines run out of them.
+// Guards against opening a connection per request, until engines run out of connections.
 #[test]
-fn a_connection_is_kept_and_used_again() {
+fn connections_are_reused() {
     runtime().block_on(async {
         let script = [
-            EngineAction::KeepAlive(whole("1")),
+            EngineAction::KeepAlive(complete("1")),
             EngineAction::KeepAlive(stream(1..=2) + STREAM_END),
             EngineAction::KeepAlive(TURNED_AWAY.to_owned()),
-            EngineAction::KeepAlive(whole("4")),
+            EngineAction::KeepAlive(complete("4")),
         ];
-        let mut edge = ready(1, script).await;
-        assert_eq!(edge.send("/safe/1", "a").await.body(), "1");
-        assert!(edge.send("/stream/1", "b").await.chunks().1);
-        edge.send("/safe/1", "c").await.assert_refused("503", Execution::NotRun);
-        assert_eq!(edge.send("/unsafe/1", "d").await.body(), "4");
+        let mut relay = ready(1, script).await;
+        assert_eq!(relay.send("/safe/1", "a").await.body(), "1");
+        assert!(relay.send("/stream/1", "b").await.chunks().1);
+        relay.send("/safe/1", "c").await.assert_refused("503", Execution::NotRun);
+        assert_eq!(relay.send("/unsafe/1", "d").await.body(), "4");
         let connections: Vec<usize> =
-            edge.engine_requests().iter().map(|ran| ran.connection).collect();
+            relay.engine_requests().iter().map(|request| request.connection).collect();
         assert_eq!(connections, [0; 4]);
     });
 }
 
-// Else a request meets a connection that its engine is about to close, and is lost.
+// Guards against losing a request on a connection that its engine is about to close.
 #[test]
-fn a_connection_that_an_engine_says_it_closes_is_not_used_again() {
+fn connection_announced_as_closing_is_not_reused() {
     runtime().block_on(async {
         let closes = |text: String| text.replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
-        // The engine says so and waits for the other side to close.
-        let script =
-            [EngineAction::KeepAlive(closes(whole("1"))), EngineAction::KeepAlive(whole("2"))];
-        let mut edge = ready(1, script).await;
-        assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
-        assert_eq!(edge.send("/unsafe/1", "b").await.body(), "2");
+        // The engine announces the close and waits for the other side to close.
+        let script = [
+            EngineAction::KeepAlive(closes(complete("1"))),
+            EngineAction::KeepAlive(complete("2")),
+        ];
+        let mut relay = ready(1, script).await;
+        assert_eq!(relay.send("/unsafe/1", "a").await.body(), "1");
+        assert_eq!(relay.send("/unsafe/1", "b").await.body(), "2");
         let connections: Vec<usize> =
-            edge.engine_requests().iter().map(|ran| ran.connection).collect();
+            relay.engine_requests().iter().map(|request| request.connection).collect();
         assert_eq!(connections, [0, 1]);
     });
 }
 
-// Else the answer to one request reaches a client in the place of another's.
+// Guards against responses to pipelined requests in the wrong order.
 #[test]
-fn requests_that_are_sent_ahead_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     runtime().block_on(async {
         let script = [
-            EngineAction::KeepAlive(whole("first")),
+            EngineAction::KeepAlive(complete("first")),
             EngineAction::KeepAlive(stream(1..=2) + STREAM_END),
-            EngineAction::KeepAlive(whole("third")),
+            EngineAction::KeepAlive(complete("third")),
         ];
-        let mut edge = ready(1, script).await;
-        let mut client = edge.connect().await;
-        let requests = edge.request("/unsafe/1", "a", "")
-            + &edge.request("/stream/1", "b", "")
-            + &edge.request("/unsafe/1", "c", "connection: close\r\n");
-        client.write_all(requests.as_bytes()).await.expect("the relay takes it");
-        let got = read_all(&mut client).await.0;
-        let ids: Vec<&str> = got.lines().filter_map(|line| line.strip_prefix("x-id: ")).collect();
-        assert_eq!(ids, ["a", "b", "c"], "{got}");
-        let places: Vec<_> =
-            ["first", "word 1", "word 2", "third"].map(|text| got.find(text)).into();
-        assert!(places.is_sorted() && places.iter().all(Option::is_some), "{got}");
-        assert_eq!(edge.engine_requests().len(), 3);
+        let mut relay = ready(1, script).await;
+        let mut client = relay.connect().await;
+        let requests = relay.request("/unsafe/1", "a", "")
+            + &relay.request("/stream/1", "b", "")
+            + &relay.request("/unsafe/1", "c", "connection: close\r\n");
+        client.write_all(requests.as_bytes()).await.expect("the relay accepts the data");
+        let received = read_all(&mut client).await.0;
+        let ids: Vec<&str> =
+            received.lines().filter_map(|line| line.strip_prefix("x-id: ")).collect();
+        assert_eq!(ids, ["a", "b", "c"], "{received}");
+        let positions: Vec<_> =
+            ["first", "word 1", "word 2", "third"].map(|text| received.find(text)).into();
+        assert!(positions.is_sorted() && positions.iter().all(Option::is_some), "{received}");
+        assert_eq!(relay.engine_requests().len(), 3);
     });
 }
 
-// Else what comes after a cut answer is taken for the rest of it, or a cut one for a whole.
+// Guards against a client taking the next response for the rest of an interrupted one, or an
+// interrupted response for a complete one.
 #[test]
-fn nothing_follows_on_a_connection_after_a_cut_answer() {
+fn nothing_follows_an_interrupted_response_on_its_connection() {
     runtime().block_on(async {
-        let mut edge =
-            ready(1, [EngineAction::Close(stream(1..=2)), EngineAction::KeepAlive(whole("next"))])
-                .await;
-        let mut client = edge.connect().await;
-        let requests = edge.request("/stream/1", "a", "") + &edge.request("/unsafe/1", "b", "");
-        client.write_all(requests.as_bytes()).await.expect("the relay takes it");
-        let got = read_all(&mut client).await;
-        assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
-        assert!(!got.0.contains("next"), "{got:?}");
-        assert_eq!(edge.engine_requests().len(), 1);
+        let mut relay = ready(
+            1,
+            [EngineAction::Close(stream(1..=2)), EngineAction::KeepAlive(complete("next"))],
+        )
+        .await;
+        let mut client = relay.connect().await;
+        let requests = relay.request("/stream/1", "a", "") + &relay.request("/unsafe/1", "b", "");
+        client.write_all(requests.as_bytes()).await.expect("the relay accepts the data");
+        let received = read_all(&mut client).await;
+        assert_eq!(received.chunks(), (events(1..=2), false), "{received:?}");
+        assert!(!received.0.contains("next"), "{received:?}");
+        assert_eq!(relay.engine_requests().len(), 1);
     });
 }
 
-// Else a client of HTTP/1.0, which reads to the end of its connection, takes a cut stream for whole.
+// An HTTP/1.0 client reads until the connection closes, so it would take an interrupted stream for
+// a complete one.
 #[test]
-fn a_client_that_could_not_tell_a_cut_gets_a_stream_whole_or_not_at_all() {
+fn http_1_0_client_gets_a_complete_stream_or_none() {
     runtime().block_on(async {
         for (path, status, body) in
             [("/stream/1", "502", None), ("/resumable/1", "200", Some(events(1..=5)))]
@@ -376,76 +395,77 @@
                 EngineAction::Close(stream(1..=2)),
                 EngineAction::KeepAlive(stream(1..=5) + STREAM_END),
             ];
-            let edge = ready(2, script).await;
-            let mut client = edge.connect().await;
-            let request = edge.request(path, "a", "").replace("HTTP/1.1", "HTTP/1.0");
-            client.write_all(request.as_bytes()).await.expect("the relay takes it");
-            let got = read_all(&mut client).await;
-            assert_eq!(got.status(), status, "{got:?}");
-            assert!(body.is_none_or(|body| got.body() == body), "{got:?}");
+            let relay = ready(2, script).await;
+            let mut client = relay.connect().await;
+            let request = relay.request(path, "a", "").replace("HTTP/1.1", "HTTP/1.0");
+            client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+            let received = read_all(&mut client).await;
+            assert_eq!(received.status(), status, "{received:?}");
+            assert!(body.is_none_or(|body| received.body() == body), "{received:?}");
         }
     });
 }
 
-// Else an engine's answer to a client that left meets the next client's request.
+// Guards against the next client receiving the response to a request whose client disconnected.
 #[test]
-fn the_connection_of_a_request_whose_client_left_is_not_used_again() {
+fn connection_of_an_aborted_request_is_not_reused() {
     runtime().block_on(async {
-        for (path, begun) in [("/unsafe/1", String::new()), ("/stream/1", stream(1..=2))] {
-            for half in [false, true] {
+        for (path, partial) in [("/unsafe/1", String::new()), ("/stream/1", stream(1..=2))] {
+            for half_close in [false, true] {
                 let script =
-                    [EngineAction::Hang(begun.clone()), EngineAction::KeepAlive(whole("own"))];
-                let mut edge = ready(1, script).await;
-                let mut client = edge.connect().await;
-                let request = edge.request(path, "a", "");
-                client.write_all(request.as_bytes()).await.expect("the relay takes it");
-                let first = edge.next_engine_request().await;
-                if half {
-                    // It only says that it sends no more: the answer is its own, or there is none.
-                    client.shutdown().await.expect("it is open");
-                    let got = read_all(&mut client).await;
-                    assert!(!got.0.contains("own"), "{got:?}");
+                    [EngineAction::Hang(partial.clone()), EngineAction::KeepAlive(complete("own"))];
+                let mut relay = ready(1, script).await;
+                let mut client = relay.connect().await;
+                let request = relay.request(path, "a", "");
+                client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+                let first = relay.next_engine_request().await;
+                if half_close {
+                    // The client closes only its sending side: it gets its own response or none.
+                    client.shutdown().await.expect("the connection is open");
+                    let received = read_all(&mut client).await;
+                    assert!(!received.0.contains("own"), "{received:?}");
                 } else {
-                    client.set_zero_linger().expect("it is open");
+                    client.set_zero_linger().expect("the connection is open");
                     drop(client);
                 }
-                let got = edge.send("/unsafe/1", "b").await;
-                assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-                let second = edge.next_engine_request().await;
+                let received = relay.send("/unsafe/1", "b").await;
+                assert_eq!((received.status(), received.body()), ("200", "own"), "{received:?}");
+                let second = relay.next_engine_request().await;
                 assert_eq!((first.id.as_str(), second.id.as_str()), ("a", "b"));
                 assert_ne!(first.connection, second.connection);
-                assert!(edge.engine_requests().is_empty());
+                assert!(relay.engine_requests().is_empty());
             }
         }
     });
 }
 
-// Else the body of a refused request is read as a request, which no client sent.
+// Guards against request smuggling through the body of a refused request.
 #[test]
-fn the_body_of_a_refused_request_is_no_request() {
+fn body_of_a_refused_request_is_not_parsed_as_a_request() {
     runtime().block_on(async {
-        let mut edge = ready(1, [EngineAction::KeepAlive(whole("own"))]).await;
-        let hidden = edge.request("/unsafe/1", "hidden", "");
+        let mut relay = ready(1, [EngineAction::KeepAlive(complete("own"))]).await;
+        let hidden = relay.request("/unsafe/1", "hidden", "");
         let head = "POST /nowhere/1 HTTP/1.1\r\nhost: a.example\r\nx-id: a\r\n";
         for framing in [
             format!("content-length: {}\r\n\r\n{hidden}", hidden.len()),
             format!("transfer-encoding: chunked\r\n\r\n{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len()),
-            // Two ways to tell the length: whichever is believed, the other hides nothing.
+            // Two lengths: whichever of them applies, the other must not hide a request.
             format!("content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len()),
         ] {
-            let mut client = edge.connect().await;
+            let mut client = relay.connect().await;
             let request = format!("{head}connection: close\r\n{framing}");
-            client.write_all(request.as_bytes()).await.expect("the relay takes it");
-            let got = read_all(&mut client).await;
-            assert!(got.0.matches("HTTP/1.1").count() <= 1, "{got:?}");
+            client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+            let received = read_all(&mut client).await;
+            assert!(received.0.matches("HTTP/1.1").count() <= 1, "{received:?}");
         }
-        assert!(edge.engine_requests().is_empty());
+        assert!(relay.engine_requests().is_empty());
     });
 }
 
-// Else a client gets an answer whose length is told in two ways, and reads its end as another's.
+// Guards against a client that parses the end of a response with an ambiguous length as the next
+// response.
 #[test]
-fn an_answer_that_tells_its_length_in_two_ways_is_not_passed_on() {
+fn response_with_an_ambiguous_length_is_not_forwarded() {
     runtime().block_on(async {
         let two = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n8\r\nabcdefgh\r\n0\r\n\r\n";
         let coded = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ntransfer-encoding: gzip, chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
@@ -455,81 +475,83 @@
                 true => EngineAction::Close(text.to_owned()),
                 false => EngineAction::KeepAlive(text.to_owned()),
             };
-            let mut edge = ready(2, [then(text), EngineAction::KeepAlive(whole("own"))]).await;
-            edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
-            let got = edge.send("/unsafe/1", "b").await;
-            assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-            let ran = edge.engine_requests();
-            assert_eq!(ran.len(), 2);
-            assert_ne!(ran[0].connection, ran[1].connection);
+            let mut relay = ready(2, [then(text), EngineAction::KeepAlive(complete("own"))]).await;
+            relay.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
+            let received = relay.send("/unsafe/1", "b").await;
+            assert_eq!((received.status(), received.body()), ("200", "own"), "{received:?}");
+            let requests = relay.engine_requests();
+            assert_eq!(requests.len(), 2);
+            assert_ne!(requests[0].connection, requests[1].connection);
         }
     });
 }
 
-// Else a request on a connection that its engine had forgotten, or that breaks once it was read, is
-// said not to have run, or is sent again by itself.
+// A reused connection may be reset by the engine before or after it reads the request. Guards
+// against reporting that request as not run, and against sending it again.
 #[test]
-fn a_request_on_a_kept_connection_that_breaks_may_have_run() {
+fn request_on_a_lost_idle_connection_may_have_run() {
     runtime().block_on(async {
         for (first, second, read) in [
-            (EngineAction::ResetOnNextRequest(whole("1")), None, 0),
-            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Reset(String::new())), 1),
-            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Close(String::new())), 1),
-            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Hang(String::new())), 1),
+            (EngineAction::ResetOnNextRequest(complete("1")), None, 0),
+            (EngineAction::KeepAlive(complete("1")), Some(EngineAction::Reset(String::new())), 1),
+            (EngineAction::KeepAlive(complete("1")), Some(EngineAction::Close(String::new())), 1),
+            (EngineAction::KeepAlive(complete("1")), Some(EngineAction::Hang(String::new())), 1),
         ] {
-            let last = EngineAction::KeepAlive(whole("3"));
+            let last = EngineAction::KeepAlive(complete("3"));
             let script: Vec<EngineAction> =
                 [Some(first), second, Some(last)].into_iter().flatten().collect();
-            let mut edge = ready(1, script).await;
-            assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
-            let got = edge.send_with_headers("/unsafe/1", "b", "x-wait: 300\r\n").await;
-            let error: ApiError = serde_json::from_str(got.body()).expect("an error");
-            assert!(["502", "504"].contains(&got.status()), "{got:?}");
-            assert_eq!(error.ran, Execution::MayHaveRun, "{got:?}");
-            // What else was kept of that engine is not trusted either.
-            assert_eq!(edge.send("/unsafe/1", "c").await.body(), "3");
-            let ran = edge.engine_requests();
-            assert_eq!(ran.iter().filter(|ran| ran.id == "b").count(), read);
-            assert_eq!((ran[0].connection, ran.last().expect("c").connection), (0, 1));
+            let mut relay = ready(1, script).await;
+            assert_eq!(relay.send("/unsafe/1", "a").await.body(), "1");
+            let received = relay.send_with_headers("/unsafe/1", "b", "x-wait: 300\r\n").await;
+            let error: ApiError = serde_json::from_str(received.body()).expect("an error");
+            assert!(["502", "504"].contains(&received.status()), "{received:?}");
+            assert_eq!(error.ran, Execution::MayHaveRun, "{received:?}");
+            // The other idle connections to that engine are closed too.
+            assert_eq!(relay.send("/unsafe/1", "c").await.body(), "3");
+            let requests = relay.engine_requests();
+            assert_eq!(requests.iter().filter(|request| request.id == "b").count(), read);
+            assert_eq!((requests[0].connection, requests.last().expect("c").connection), (0, 1));
         }
     });
 }
 
-// Else a client sends its next request on a connection that a relay at its end won't read any more.
+// Guards against a client sending its next request on a connection that a relay in its last drain
+// stage no longer reads.
 #[test]
-fn a_relay_that_ends_closes_idle_connections_without_a_word() {
+fn ending_relay_closes_idle_connections_silently() {
     runtime().block_on(async {
-        let mut edge = ready(1, [EngineAction::KeepAlive(whole("1"))]).await;
-        let mut client = edge.connect().await;
-        let request = edge.request("/unsafe/1", "a", "");
-        client.write_all(request.as_bytes()).await.expect("the relay takes it");
-        let mut got = Vec::new();
-        while !got.ends_with(b"\r\n\r\n1") {
-            client.read_buf(&mut got).await.expect("a response");
+        let mut relay = ready(1, [EngineAction::KeepAlive(complete("1"))]).await;
+        let mut client = relay.connect().await;
+        let request = relay.request("/unsafe/1", "a", "");
+        client.write_all(request.as_bytes()).await.expect("the relay accepts the data");
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\n1") {
+            client.read_buf(&mut received).await.expect("a response");
         }
-        edge.start_ending();
+        relay.start_ending();
         assert_eq!(read_all(&mut client).await.0, "");
-        assert_eq!(edge.engine_requests().len(), 1);
+        assert_eq!(relay.engine_requests().len(), 1);
     });
 }
 
-// Else a request that was never sent is lost with a connection that was closed while it was idle.
+// Guards against losing an unsent request with a connection that was closed while idle.
 #[test]
-fn a_connection_that_was_closed_while_idle_costs_no_request() {
+fn connection_closed_while_idle_loses_no_request() {
     runtime().block_on(async {
-        let mut edge =
-            ready(1, [EngineAction::Close(whole("1")), EngineAction::KeepAlive(whole("2"))]).await;
-        assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
-        assert_eq!(edge.send("/unsafe/1", "b").await.body(), "2");
+        let mut relay =
+            ready(1, [EngineAction::Close(complete("1")), EngineAction::KeepAlive(complete("2"))])
+                .await;
+        assert_eq!(relay.send("/unsafe/1", "a").await.body(), "1");
+        assert_eq!(relay.send("/unsafe/1", "b").await.body(), "2");
         let connections: Vec<usize> =
-            edge.engine_requests().iter().map(|ran| ran.connection).collect();
+            relay.engine_requests().iter().map(|request| request.connection).collect();
         assert_eq!(connections, [0, 1]);
     });
 }
 
-// Else a request of which bytes left is taken for one that was never sent, and is sent again.
+// Guards against treating a partly sent request as not sent, and sending it again.
 #[test]
-fn only_a_request_of_which_nothing_left_counts_as_unsent() {
+fn only_a_request_with_no_bytes_sent_counts_as_not_sent() {
     runtime().block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
@@ -539,58 +561,64 @@
             while !read.ends_with(b"00a") {
                 stream.read_buf(&mut read).await.expect("a request");
             }
-            stream.set_zero_linger().expect("it is open");
+            stream.set_zero_linger().expect("the connection is open");
             read
         });
         let target = Target { engine: EngineName("alone".to_owned()), address };
-        let mut kept = connections::connect(&target, DurationMs(5_000)).await.expect("it listens");
+        let mut connection =
+            connections::connect(&target, DurationMs(5_000)).await.expect("the engine listens");
         let request = |body: &'static str| {
             let body = topazyard_wire::http::full_body(body);
             hyper::Request::post("/x").header("host", "a.example").body(body).expect("a request")
         };
-        assert_eq!(kept.send(request("00a")).await.err(), Some(SendError::ConnectionLost));
-        assert_eq!(kept.send(request("00b")).await.err(), Some(SendError::NotSent));
-        let read = String::from_utf8(engine.await.expect("it ends")).expect("text");
+        assert_eq!(connection.send(request("00a")).await.err(), Some(SendError::ConnectionLost));
+        assert_eq!(connection.send(request("00b")).await.err(), Some(SendError::NotSent));
+        let read =
+            String::from_utf8(engine.await.expect("the engine task ends")).expect("UTF-8 text");
         assert_eq!(read.matches("POST /x").count(), 1, "{read}");
     });
 }
 
-// Else a part of an item's output is its result, or the connection with the rest is used again.
+// Guards against a partial output as the item's result, and against reusing the connection that
+// carries the rest.
 #[test]
-fn an_item_whose_stream_is_cut_anywhere_has_no_result() {
+fn item_with_an_interrupted_stream_has_no_result() {
     runtime().block_on(async {
         let within = "11\r\nid: 3\ndata: half\n\r\n";
-        for cut in [
+        for interrupted in [
             EngineAction::Close(stream(1..=2)),
             EngineAction::Reset(String::new()),
             EngineAction::KeepAlive(stream(1..=2) + within + STREAM_END),
         ] {
-            let mut edge =
-                ready(1, [cut, EngineAction::KeepAlive(stream(1..=3) + STREAM_END)]).await;
-            let end = edge.run_item("a").await;
+            let mut relay =
+                ready(1, [interrupted, EngineAction::KeepAlive(stream(1..=3) + STREAM_END)]).await;
+            let end = relay.run_item("a").await;
             assert!(matches!(end, RunEnd::Interrupted(_) | RunEnd::Unknown), "{end:?}");
             let text = "word 1\nword 2\nword 3".to_owned();
-            assert_eq!(edge.run_item("a").await, RunEnd::StreamComplete { text });
-            let ran = edge.engine_requests();
-            assert_ne!(ran[0].connection, ran[1].connection);
+            assert_eq!(relay.run_item("a").await, RunEnd::StreamComplete { text });
+            let requests = relay.engine_requests();
+            assert_ne!(requests[0].connection, requests[1].connection);
         }
     });
 }
 
-// Else an item that its relay takes along waits for its lease to expire and runs from its beginning.
+// Guards against an item whose relay exits: without its progress it would wait for its lease to
+// expire and run from the beginning.
 #[test]
-fn a_run_that_outlasts_a_draining_relay_is_handed_back_with_what_it_has() {
+fn run_that_outlasts_a_drain_is_returned_with_its_progress() {
     runtime().block_on(async {
-        let mut edge = ready(1, [EngineAction::Hang(stream(1..=2))]).await;
-        edge.submit_item("a");
-        edge.next_engine_request().await;
-        let told = tokio::time::Instant::now();
-        edge.drain().await;
+        let mut relay = ready(1, [EngineAction::Hang(stream(1..=2))]).await;
+        relay.submit_item("a");
+        relay.next_engine_request().await;
+        let started = tokio::time::Instant::now();
+        relay.drain().await;
         let limit = std::time::Duration::from_millis(loopback::GRACE.0 * 7 / 8);
-        let end = tokio::time::timeout(limit, edge.next_run_end()).await.expect("within the grace");
+        let end = tokio::time::timeout(limit, relay.next_run_end())
+            .await
+            .expect("an end within the grace period");
         let so_far = Progress { last_event: Some(2), text: "word 1\nword 2".to_owned() };
         assert_eq!(end, RunEnd::Interrupted(so_far));
-        // It had most of the time to end by itself.
-        assert!(told.elapsed() * 2 > limit, "{:?}", told.elapsed());
+        // The run had most of the grace period to finish by itself.
+        assert!(started.elapsed() * 2 > limit, "{:?}", started.elapsed());
     });
 }
