--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -57,12 +57,12 @@
 impl TestRelay {
     /// A ready relay with a stand-in agent and counter and one engine.
     async fn ready(action: EngineAction) -> Self {
-        let (events, received) = tokio::sync::mpsc::unbounded_channel();
+        let (event_sender, events) = tokio::sync::mpsc::unbounded_channel();
         let engine = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let engine_address = engine.local_addr().expect("its address");
-        tokio::spawn(run_engine(engine, action, events.clone()));
+        tokio::spawn(run_engine(engine, action, event_sender.clone()));
         let (agent, own) = (free_address(), free_address());
-        tokio::spawn(run_core(agent, engine_address, events));
+        tokio::spawn(run_core(agent, engine_address, event_sender));
         let start = topazyard_relay::Start {
             node: NodeId(9),
             agent,
@@ -89,7 +89,7 @@
         ) {
             tokio::task::yield_now().await;
         }
-        Self { address, events: received }
+        Self { address, events }
     }
 
     async fn connect(&self) -> tokio::net::TcpStream {
--- a/programs/topazyard-relay/tests/loopback/mod.rs
+++ b/programs/topazyard-relay/tests/loopback/mod.rs
@@ -108,8 +108,8 @@
     address: Address,
     requests: tokio::sync::mpsc::UnboundedReceiver<EngineRequest>,
     stage: tokio::sync::watch::Sender<inbound::Stage>,
-    submitted: tokio::sync::mpsc::UnboundedSender<String>,
-    run_ends: tokio::sync::mpsc::UnboundedReceiver<RunEnd>,
+    item_sender: tokio::sync::mpsc::UnboundedSender<String>,
+    ended_runs: tokio::sync::mpsc::UnboundedReceiver<RunEnd>,
 }
 
 impl TestRelay {
@@ -143,7 +143,7 @@
         let core = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let agent = core.local_addr().expect("its address");
         let (item_sender, submitted) = tokio::sync::mpsc::unbounded_channel();
-        let (run_ends, ended) = tokio::sync::mpsc::unbounded_channel();
+        let (run_ends, ended_runs) = tokio::sync::mpsc::unbounded_channel();
         let shard = ShardStub { submitted, run_ends, last_lease: 0 };
         tokio::spawn(run_core(core, agent, engine_addresses, shard));
         let (handle, task_queue) = spawn_relay(agent);
@@ -176,15 +176,7 @@
         ) {
             tokio::task::yield_now().await;
         }
-        Self {
-            adapter,
-            handle: machine,
-            address,
-            requests,
-            stage,
-            submitted: item_sender,
-            run_ends: ended,
-        }
+        Self { adapter, handle: machine, address, requests, stage, item_sender, ended_runs }
     }
 
     /// Sends a request and reads until the relay closes the connection.
@@ -222,12 +214,12 @@
 
     /// Submits an item with this id.
     pub fn submit_item(&self, id: &str) {
-        self.submitted.send(id.to_owned()).expect("the shard outlives the relay");
+        self.item_sender.send(id.to_owned()).expect("the shard outlives the relay");
     }
 
     /// The next end of a run that is reported to the shard.
     pub async fn next_run_end(&mut self) -> RunEnd {
-        self.run_ends.recv().await.expect("the shard outlives the relay")
+        self.ended_runs.recv().await.expect("the shard outlives the relay")
     }
 
     /// Starts a drain of the relay.
