--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -43,8 +43,8 @@
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
     let body = topazyard_wire::http::inbound::read_body(body, MAX_BATCH_BYTES).await?;
-    let parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
-    let call = match (head.method.as_str(), &parts[1..]) {
+    let segments: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
+    let call = match (head.method.as_str(), &segments[1..]) {
         ("POST", []) => {
             let batch = batch_id_for(&head.headers)?;
             let items = parse_items(&body)?;
--- a/programs/topazyard-relay/src/front/items.rs
+++ b/programs/topazyard-relay/src/front/items.rs
@@ -20,7 +20,7 @@
 /// A connection to the item's engine: an idle one from the pool, or else a new one.
 async fn engine_connection(run: &RoutedRun) -> Option<EngineConnection> {
     match connections::take_idle(&run.target) {
-        Some(kept) => Some(kept),
+        Some(connection) => Some(connection),
         None => connections::connect(&run.target, connections::CONNECT_TIMEOUT).await.ok(),
     }
 }
@@ -205,9 +205,9 @@
     /// # Errors
     /// An event without an id or out of order, invalid UTF-8, or output above the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), InvalidStream> {
-        for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
-            self.line.extend_from_slice(piece);
-            if piece.ends_with(b"\n") {
+        for fragment in bytes.split_inclusive(|byte| *byte == b'\n') {
+            self.line.extend_from_slice(fragment);
+            if fragment.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
                 self.take_line(&line)?;
             }
--- a/programs/topazyard-relay/src/front/routed.rs
+++ b/programs/topazyard-relay/src/front/routed.rs
@@ -190,18 +190,18 @@
 
 /// The requested host, without a port.
 fn request_host(head: &hyper::http::request::Parts) -> &str {
-    let named = head.headers.get(hyper::header::HOST).and_then(|value| value.to_str().ok());
-    let host = named.or(head.uri.host()).unwrap_or("");
+    let host_header = head.headers.get(hyper::header::HOST).and_then(|value| value.to_str().ok());
+    let host = host_header.or(head.uri.host()).unwrap_or("");
     host.split(':').next().unwrap_or(host)
 }
 
 /// The headers that are forwarded to an engine: all but hop-by-hop ones.
 pub(super) fn forwarded_headers(headers: hyper::HeaderMap) -> hyper::HeaderMap {
-    let mut kept = hyper::HeaderMap::with_capacity(headers.len() + 2);
-    super::copy_end_to_end_headers(&headers, &mut kept);
-    kept.remove(hyper::header::EXPECT);
-    kept.remove(hyper::header::CONTENT_LENGTH);
-    kept
+    let mut forwarded = hyper::HeaderMap::with_capacity(headers.len() + 2);
+    super::copy_end_to_end_headers(&headers, &mut forwarded);
+    forwarded.remove(hyper::header::EXPECT);
+    forwarded.remove(hyper::header::CONTENT_LENGTH);
+    forwarded
 }
 
 /// Counts the request's outcome.
@@ -331,11 +331,11 @@
     pub(super) async fn try_engine(&mut self) -> Result<EngineResponse, FailureAction> {
         let chosen = self.terms.chosen.clone();
         let mut connection = match connections::take_idle(&chosen.target) {
-            Some(kept) => kept,
+            Some(idle) => idle,
             None => {
                 let left = self.terms.deadline.since(self.now());
                 match connections::connect(&chosen.target, left).await {
-                    Ok(fresh) => fresh,
+                    Ok(opened) => opened,
                     Err(_) => {
                         return Err(self.fail(Failure::NotConnected, EngineOutcome::Unreachable));
                     }
