--- a/libraries/topazyard-spec/src/configuration.rs
+++ b/libraries/topazyard-spec/src/configuration.rs
@@ -5,7 +5,7 @@
 
 /// Everything that operators configure, put in force as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, remote = "Bundle")]
 pub struct Configuration {
     /// The pools of engines, each with one token budget.
     #[garde(length(min = 1, max = 64), dive)]
@@ -33,6 +33,25 @@
     pub weights: WeightBounds,
 }
 
+/// The name of a configuration in error texts that callers receive, such as "expected struct Bundle
+/// with 6 elements". serde takes it from `remote`; with `expecting` the number of elements would be
+/// missing.
+type Bundle = Configuration;
+
+impl<'de> serde::Deserialize<'de> for Configuration {
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        // Not recursive: the derived inherent function takes precedence over the trait's.
+        Self::deserialize(deserializer)
+    }
+}
+
+impl serde::Serialize for Configuration {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        // Not recursive: the derived inherent function takes precedence over the trait's.
+        Self::serialize(self, serializer)
+    }
+}
+
 /// A pool of engines that share one budget of tokens in flight.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
 #[serde(deny_unknown_fields)]
@@ -77,7 +96,7 @@
 
 /// Routes requests for some models to a pool and gives their value.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize, garde::Validate)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, remote = "Lane")]
 pub struct ModelRoute {
     /// The name.
     #[garde(custom(crate::names::short_name))]
@@ -97,6 +116,25 @@
     pub value: u32,
 }
 
+/// The name of a model route in error texts that callers receive, such as "expected struct Lane
+/// with 5 elements". serde takes it from `remote`; with `expecting` the number of elements would be
+/// missing.
+type Lane = ModelRoute;
+
+impl<'de> serde::Deserialize<'de> for ModelRoute {
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        // Not recursive: the derived inherent function takes precedence over the trait's.
+        Self::deserialize(deserializer)
+    }
+}
+
+impl serde::Serialize for ModelRoute {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        // Not recursive: the derived inherent function takes precedence over the trait's.
+        Self::serialize(self, serializer)
+    }
+}
+
 /// The kinds of work that a model route can accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
--- a/libraries/topazyard-spec/tests/reading.rs
+++ b/libraries/topazyard-spec/tests/reading.rs
@@ -1,7 +1,8 @@
 //! Declarations: every fault is reported with its location, and no input causes a panic.
 
 use topazyard_spec::{
-    Configuration, EngineList, FaultReason, NodeSettings, ReadError, Settings, SettingsError,
+    Configuration, EngineList, Fault, FaultReason, NodeSettings, Patch, ReadError, Settings,
+    SettingsError,
 };
 
 #[test]
@@ -32,6 +33,126 @@
     assert!(matches!(EngineList::read(text), Err(ReadError::Faults(_))));
 }
 
+/// Checks that the text is rejected with exactly this message, which includes names of structs.
+fn assert_wrong_shape<T: std::fmt::Debug>(text: &str, read: Result<T, ReadError>, message: &str) {
+    let (_, place) = message.split_once(" at ").expect("a message with a location");
+    let reason = FaultReason::Shape(message.to_owned());
+    let expected = ReadError::Faults(vec![Fault { place: place.to_owned(), reason }]);
+    assert_eq!(read.expect_err(text), expected, "{text}");
+}
+
+// Callers receive these texts. serde builds them from names of structs, so a renamed struct would
+// change them.
+#[test]
+fn configurations_of_the_wrong_json_type_are_rejected_with_stable_texts() {
+    for (text, message) in [
+        ("3", "invalid type: integer `3`, expected struct Bundle at line 1 column 1"),
+        (r#""x""#, r#"invalid type: string "x", expected struct Bundle at line 1 column 3"#),
+        ("null", "invalid type: null, expected struct Bundle at line 1 column 4"),
+        ("[]", "invalid length 0, expected struct Bundle with 6 elements at line 1 column 2"),
+        (r#"{"lanes":[3]}"#, "invalid type: integer `3`, expected struct Lane at line 1 column 11"),
+        (
+            r#"{"lanes":[[]]}"#,
+            "invalid length 0, expected struct Lane with 5 elements at line 1 column 12",
+        ),
+        (
+            r#"{"lanes":[["a"]]}"#,
+            "invalid length 1, expected struct Lane with 5 elements at line 1 column 15",
+        ),
+        (
+            r#"{"lanes":[{"name":3}]}"#,
+            "invalid type: integer `3`, expected a string at line 1 column 19",
+        ),
+        (
+            r#"{"lanes":[{"kind":"x"}]}"#,
+            "unknown variant `x`, expected one of `live`, `batch`, `parcel`, `both` \
+             at line 1 column 21",
+        ),
+        (
+            r#"{"lanes":[{"kind":{"live":3}}]}"#,
+            "invalid type: integer `3`, expected unit at line 1 column 27",
+        ),
+        (r#"{"pools":[3]}"#, "invalid type: integer `3`, expected struct Pool at line 1 column 11"),
+        (
+            r#"{"pools":[[]]}"#,
+            "invalid length 0, expected struct Pool with 6 elements at line 1 column 12",
+        ),
+        (
+            r#"{"pools":[{"engine":3}]}"#,
+            "invalid type: integer `3`, expected struct EngineShape at line 1 column 21",
+        ),
+        (
+            r#"{"routes":[3]}"#,
+            "invalid type: integer `3`, expected struct Route at line 1 column 12",
+        ),
+        (
+            r#"{"routes":[[]]}"#,
+            "invalid length 0, expected struct Route with 13 elements at line 1 column 13",
+        ),
+        (
+            r#"{"routes":[{"kind":"x"}]}"#,
+            "unknown variant `x`, expected one of `safe`, `unsafe`, `streaming`, `batch` \
+             at line 1 column 22",
+        ),
+        (
+            r#"{"routes":[{"pools":[3]}]}"#,
+            "invalid type: integer `3`, expected struct PoolShare at line 1 column 22",
+        ),
+        (
+            r#"{"routes":[{"batch":3}]}"#,
+            "invalid type: integer `3`, expected struct BatchTerms at line 1 column 21",
+        ),
+        (
+            r#"{"clients":3}"#,
+            "invalid type: integer `3`, expected struct ClientLimits at line 1 column 12",
+        ),
+        (
+            r#"{"batches":3}"#,
+            "invalid type: integer `3`, expected struct BatchLimits at line 1 column 12",
+        ),
+        (
+            r#"{"weights":3}"#,
+            "invalid type: integer `3`, expected struct WeightBounds at line 1 column 12",
+        ),
+    ] {
+        assert_wrong_shape(text, Configuration::read(text), message);
+    }
+    // A kind that is neither a string nor an object counts as a syntax error.
+    for (text, column) in [(r#"{"lanes":[{"kind":3}]}"#, 19), (r#"{"routes":[{"kind":3}]}"#, 20)] {
+        let expected = ReadError::NotJson { line: 1, column };
+        assert_eq!(Configuration::read(text), Err(expected), "{text}");
+    }
+}
+
+// Like configurations: these texts contain names of structs too.
+#[test]
+fn engine_lists_and_patches_of_the_wrong_json_type_are_rejected_with_stable_texts() {
+    for (text, message) in [
+        ("3", "invalid type: integer `3`, expected struct EngineList at line 1 column 1"),
+        ("[]", "invalid length 0, expected struct EngineList with 1 element at line 1 column 2"),
+        (
+            r#"{"engines":[3]}"#,
+            "invalid type: integer `3`, expected struct Engine at line 1 column 13",
+        ),
+        (
+            r#"{"engines":[[]]}"#,
+            "invalid length 0, expected struct Engine with 7 elements at line 1 column 14",
+        ),
+        (
+            r#"{"engines":[{"state":"x"}]}"#,
+            "unknown variant `x`, expected one of `ready`, `cold`, `leaving` at line 1 column 24",
+        ),
+    ] {
+        assert_wrong_shape(text, EngineList::read(text), message);
+    }
+    for (text, message) in [
+        ("3", "invalid type: integer `3`, expected struct Patch at line 1 column 1"),
+        (r#"{"upsert":3}"#, "invalid type: integer `3`, expected a map at line 1 column 11"),
+    ] {
+        assert_wrong_shape(text, Patch::read(text), message);
+    }
+}
+
 #[test]
 fn any_text_gives_a_declaration_or_a_typed_error() {
     bolero::check!().with_type::<Vec<u8>>().with_iterations(3_000).for_each(|bytes| {
