--- a/fleet-measure/src/simulated.rs
+++ b/fleet-measure/src/simulated.rs
@@ -1,8 +1,8 @@
 //! Measurements of simulated fleets.
 
 use fleet_simulator::check::Figures;
-use fleet_simulator::people::Habits;
-use fleet_simulator::run::{habits, run_with};
+use fleet_simulator::run::{run_with, workload_settings};
+use fleet_simulator::workload::WorkloadSettings;
 use fleet_simulator::{Deployment, Scenario, run};
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -60,9 +60,9 @@
         ];
         for (name, live_percents) in ways {
             let all = over_seeds(seeds, |seed| {
-                let usual = habits(&deployment, Scenario::Crowds);
-                let habits = Habits { live_percents, ..usual };
-                run_with(&deployment, Scenario::Crowds, seed, None, habits).figures
+                let usual = workload_settings(&deployment, Scenario::Crowds);
+                let settings = WorkloadSettings { live_percents, ..usual };
+                run_with(&deployment, Scenario::Crowds, seed, None, settings).figures
             });
             println!(
                 "| {} | {name} | {:.1} % | {:.0} | {:.0} |",
--- a/fleet-simulator/src/deployment.rs
+++ b/fleet-simulator/src/deployment.rs
@@ -26,7 +26,7 @@
     /// Items of a batch.
     pub items_per_batch: u64,
     /// Seconds between batches.
-    pub batch_every_s: u64,
+    pub batch_interval_s: u64,
 }
 
 impl Deployment {
@@ -53,7 +53,7 @@
             words: 150,
             new_tokens: 64,
             items_per_batch: 20,
-            batch_every_s: 2,
+            batch_interval_s: 2,
         }
     }
 
@@ -75,7 +75,7 @@
             words: 40,
             new_tokens: 32,
             items_per_batch: 80,
-            batch_every_s: 10,
+            batch_interval_s: 10,
         }
     }
 
--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -1,8 +1,10 @@
 //! Faults, as they are caused.
 
 use crate::history::{FaultSeen, Struck};
-use crate::people::Doing;
-use crate::world::{Caller, EngineMood, Event, Kind, NodeIndex, Plant, REPLACED, World};
+use crate::workload::Activity;
+use crate::world::{
+    Caller, EngineHealth, Event, InjectedBug, NodeIndex, NodeKind, REPLACED, World,
+};
 use topazyard_relay::RelayCall;
 use topazyard_relay::drain::DrainTimes;
 use topazyard_types::{DurationMs, ShardId};
@@ -71,7 +73,7 @@
     /// All disks have room again.
     Room,
     /// An engine fares so.
-    Engine(u16, EngineMood),
+    Engine(u16, EngineHealth),
     /// The platform lists an engine as leaving.
     EngineLeaves(u16),
     /// The platform lists an engine as ready again.
@@ -132,13 +134,13 @@
                 let primary = self.control_primary();
                 (0..self.nodes.len()).map(NodeIndex).find(|index| {
                     let node = &self.nodes[index.0];
-                    node.kind == Kind::Control && node.is_on() && Some(*index) != primary
+                    node.kind == NodeKind::Control && node.is_running() && Some(*index) != primary
                 })
             }
             Whom::ControlBackup => self.control_backup(),
             Whom::ControlSpare => self.control_spare(),
             Whom::ShardPrimary(shard) => self.shard_primary(ShardId(*shard)),
-            Whom::ShardHolder(shard) => self.other_holder(ShardId(*shard)),
+            Whom::ShardHolder(shard) => self.other_replica(ShardId(*shard)),
         }
     }
 
@@ -199,13 +201,13 @@
             }
             Fault::CutOffFromCore(_, way) => {
                 if let Some(index) = struck {
-                    let core = self.addresses_of(Kind::Control);
+                    let core = self.addresses_of(NodeKind::Control);
                     self.cut_off(index, way, |other| core.contains(&other));
                 }
             }
             Fault::SplitCoreFromStorage => {
-                let core = self.addresses_of(Kind::Control);
-                let storage = self.addresses_of(Kind::Storage);
+                let core = self.addresses_of(NodeKind::Control);
+                let storage = self.addresses_of(NodeKind::Storage);
                 self.cut_where(|from, to| {
                     (core.contains(&from) && storage.contains(&to))
                         || (storage.contains(&from) && core.contains(&to))
@@ -223,7 +225,7 @@
                     self.stop(index, true);
                 }
             }
-            Fault::Untidy(share) => self.network.untidy_per_10000 = share,
+            Fault::Untidy(share) => self.network.disordered_per_10000 = share,
             Fault::Drift => {
                 for at in 0..self.nodes.len() {
                     let rate_ppm = self.draw(0..20_001) as i64 - 10_000;
@@ -262,18 +264,18 @@
                 (0..self.nodes.len()).for_each(|at| self.make_room(NodeIndex(at)));
                 self.mend(Struck::FullDisk);
             }
-            Fault::Engine(at, mood) => self.set_mood(usize::from(at), mood),
+            Fault::Engine(at, health) => self.set_engine_health(usize::from(at), health),
             Fault::EngineLeaves(at) => {
                 let name = self.engines[usize::from(at)].name.clone();
-                self.people.listed_ready.remove(&name);
+                self.workload.listed_ready.remove(&name);
                 self.list_engines();
             }
             Fault::EngineReady(at) => {
                 let name = self.engines[usize::from(at)].name.clone();
-                self.people.listed_ready.insert(name);
+                self.workload.listed_ready.insert(name);
                 self.list_engines();
             }
-            Fault::Crowd(rate) => self.people.habits.prompts_per_s = rate,
+            Fault::Crowd(rate) => self.workload.settings.prompts_per_s = rate,
             Fault::Batches(count) => (0..count).for_each(|_| self.hand_in_batch()),
             Fault::Replace(_) => {
                 if let Some(index) = struck {
@@ -298,21 +300,21 @@
             }
             Fault::Retire(_) => {
                 if let Some(index) = struck {
-                    self.after(0, Event::Person(Doing::Retire(index)));
+                    self.after(0, Event::Activity(Activity::Retire(index)));
                 }
             }
-            Fault::LoseAnswers(percent) => self.people.habits.answers_lost_percent = percent,
-            Fault::OrdersEvery(ms) => self.people.habits.orders_every_ms = ms,
+            Fault::LoseAnswers(percent) => self.workload.settings.lost_responses_percent = percent,
+            Fault::OrdersEvery(ms) => self.workload.settings.order_interval_ms = ms,
             Fault::AddStorage => {
-                let number = self.nodes.iter().filter(|n| n.kind == Kind::Storage).count() + 1;
+                let number = self.nodes.iter().filter(|n| n.kind == NodeKind::Storage).count() + 1;
                 let zone = number as u16 % self.zones;
                 let port = 2_100 + number as u16;
                 let name = format!("storage-{number}");
-                let index = self.add_node(name, Kind::Storage, port, None, zone);
+                let index = self.add_node(name, NodeKind::Storage, port, None, zone);
                 self.start(index);
             }
             Fault::Drain(_) => {
-                if self.plant == Some(Plant::HastyDrain) {
+                if self.injected_bug == Some(InjectedBug::SkipDrain) {
                     self.strike(struck, false);
                 } else if let Some(relay) = struck {
                     let grace = topazyard_spec::Bounds::default().grace;
@@ -321,13 +323,13 @@
                 }
             }
             Fault::Empty(_) => {
-                if let (Some(index), Some(control)) = (struck, self.draw_node(Kind::Control)) {
+                if let (Some(index), Some(control)) = (struck, self.draw_node(NodeKind::Control)) {
                     let command = Command::EmptyStorage(self.nodes[index.0].id);
                     self.call_control(control, OperatorRequest::Command(command), Caller::Nobody);
                 }
             }
-            Fault::Ceiling(tokens) => self.people.habits.waiting_ceiling = tokens,
-            Fault::MoreLanes(lanes) => self.people.habits.more_lanes = lanes,
+            Fault::Ceiling(tokens) => self.workload.settings.waiting_ceiling = tokens,
+            Fault::MoreLanes(lanes) => self.workload.settings.extra_model_routes = lanes,
             Fault::WipeAfterAnswers(answers, dark_ms) => self.wipe_after = (answers, dark_ms),
             Fault::Halves(seed) => self.split_into_halves(seed),
         }
@@ -340,7 +342,7 @@
         if answers != 1 {
             return;
         }
-        let mut wiped = self.holders(shard);
+        let mut wiped = self.replica_nodes(shard);
         if self.draw(0..4) == 0 {
             let primary = self.control_primary().into_iter();
             wiped.extend(primary.chain(self.control_backup()));
@@ -354,7 +356,7 @@
         let text = format!("all lose their power, and their disks {}", names.join(" "));
         self.history.faults.push(FaultSeen { text, at: self.time });
         for index in (0..self.nodes.len()).map(NodeIndex) {
-            if self.nodes[index.0].is_on() {
+            if self.nodes[index.0].is_running() {
                 self.stop(index, true);
             }
         }
@@ -367,7 +369,7 @@
         use rand::{SeedableRng as _, seq::SliceRandom as _};
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
         let mut half = std::collections::BTreeSet::new();
-        for kind in [Kind::Control, Kind::Storage] {
+        for kind in [NodeKind::Control, NodeKind::Storage] {
             let mut all: Vec<NodeIndex> = (0..self.nodes.len()).map(NodeIndex).collect();
             all.retain(|at| self.nodes[at.0].kind == kind && !self.nodes[at.0].is_replaced());
             all.iter().for_each(|index| self.strike_for(*index, Struck::Cut));
@@ -375,7 +377,7 @@
             let inside = &all[..all.len() / 2];
             half.extend(inside.iter().map(|index| self.nodes[index.0].address));
         }
-        let with_disk: std::collections::BTreeSet<_> = [Kind::Control, Kind::Storage]
+        let with_disk: std::collections::BTreeSet<_> = [NodeKind::Control, NodeKind::Storage]
             .into_iter()
             .flat_map(|kind| self.addresses_of(kind))
             .collect();
@@ -413,7 +415,7 @@
         }
     }
 
-    fn addresses_of(&self, kind: Kind) -> std::collections::BTreeSet<std::net::SocketAddr> {
+    fn addresses_of(&self, kind: NodeKind) -> std::collections::BTreeSet<std::net::SocketAddr> {
         let nodes = self.nodes.iter().filter(|node| node.kind == kind);
         nodes.map(|node| node.address).collect()
     }
@@ -444,7 +446,7 @@
         let name = self.nodes[index.0].name.clone();
         self.nodes[index.0].name = format!("{name}{REPLACED}");
         let port = 3_000 + self.nodes.len() as u16;
-        if kind == Kind::Control {
+        if kind == NodeKind::Control {
             // Whoever sets up machines from now on names the new one as a seed.
             let old = self.nodes[index.0].address;
             let address = std::net::SocketAddr::from(([10, 0, 0, 1], port));
@@ -455,7 +457,7 @@
     }
 
     /// Plans a fault.
-    pub fn plan(&mut self, at_ms: u64, fault: Fault) {
+    pub fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
         self.at(at_ms * 1_000, Event::Fault(fault));
     }
 }
--- a/fleet-simulator/src/lib.rs
+++ b/fleet-simulator/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod faults;
 pub mod history;
 pub mod model;
-pub mod people;
 mod plan;
 pub mod run;
 pub mod scenario;
+pub mod workload;
 pub mod world;
 
 pub use deployment::Deployment;
--- a/fleet-simulator/src/plan/chaos.rs
+++ b/fleet-simulator/src/plan/chaos.rs
@@ -2,7 +2,7 @@
 
 use super::Draft;
 use crate::faults::{Fault, Way};
-use crate::world::EngineMood;
+use crate::world::EngineHealth;
 use rand::Rng as _;
 
 impl Draft<'_> {
@@ -36,7 +36,7 @@
                 6 => Fault::SlowDisk(self.with_disk(), 2_500),
                 7 => Fault::Engine(
                     self.rng.random_range(0..self.deployment.engines),
-                    EngineMood::Gone,
+                    EngineHealth::Gone,
                 ),
                 _ => Fault::Lossy(200),
             };
@@ -47,7 +47,7 @@
             self.add(0, Fault::FastDisks);
             self.add(0, Fault::Lossy(0));
             for engine in 0..self.deployment.engines {
-                self.add(0, Fault::Engine(engine, EngineMood::Well));
+                self.add(0, Fault::Engine(engine, EngineHealth::Well));
             }
             self.at += self.rng.random_range(3_000..7_000);
         }
--- a/fleet-simulator/src/plan/load.rs
+++ b/fleet-simulator/src/plan/load.rs
@@ -2,7 +2,7 @@
 
 use super::{Draft, named};
 use crate::faults::{Fault, Whom};
-use crate::world::EngineMood;
+use crate::world::EngineHealth;
 use rand::Rng as _;
 
 impl Draft<'_> {
@@ -57,20 +57,20 @@
         let engines = self.deployment.engines;
         for n in 0..6 {
             let engine = (self.rng.random_range(0..engines) + n) % engines;
-            let mood = match n % 4 {
-                0 => EngineMood::Gone,
-                1 => EngineMood::Dark,
-                2 => EngineMood::Slow(10),
-                _ => EngineMood::Cutting,
+            let health = match n % 4 {
+                0 => EngineHealth::Gone,
+                1 => EngineHealth::Dark,
+                2 => EngineHealth::Slow(10),
+                _ => EngineHealth::Cutting,
             };
-            self.add(0, Fault::Engine(engine, mood));
-            self.add(4_000, Fault::Engine(engine, EngineMood::Well));
+            self.add(0, Fault::Engine(engine, health));
+            self.add(4_000, Fault::Engine(engine, EngineHealth::Well));
             self.at += self.rng.random_range(500..2_500);
         }
         for n in 0..4_u16 {
             self.add(0, Fault::EngineLeaves(n));
-            self.add(3_500, Fault::Engine(n, EngineMood::Gone));
-            self.add(5_000, Fault::Engine(n, EngineMood::Well));
+            self.add(3_500, Fault::Engine(n, EngineHealth::Gone));
+            self.add(5_000, Fault::Engine(n, EngineHealth::Well));
             self.add(5_500, Fault::EngineReady(n));
             self.at += 2_000;
         }
--- a/fleet-simulator/src/plan/losses.rs
+++ b/fleet-simulator/src/plan/losses.rs
@@ -2,7 +2,7 @@
 
 use super::{Draft, named, numbered};
 use crate::faults::{Fault, Whom};
-use crate::world::EngineMood;
+use crate::world::EngineHealth;
 use rand::Rng as _;
 
 impl Draft<'_> {
@@ -109,13 +109,13 @@
         let lost = self.rng.random_range(0..self.deployment.zones);
         self.add(0, Fault::LoseZone(lost));
         for engine in of(lost) {
-            self.add(0, Fault::Engine(engine, EngineMood::Gone));
+            self.add(0, Fault::Engine(engine, EngineHealth::Gone));
             self.add(3_000, Fault::EngineLeaves(engine));
         }
         self.at += 40_000;
         self.add(0, Fault::StartAll);
         for engine in of(lost) {
-            self.add(0, Fault::Engine(engine, EngineMood::Well));
+            self.add(0, Fault::Engine(engine, EngineHealth::Well));
             self.add(500, Fault::EngineReady(engine));
         }
         self.at += 15_000;
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -2,9 +2,9 @@
 
 use crate::Scenario;
 use crate::check::{Bounds, Figures, Violation};
-use crate::people::{Doing, Habits};
 use crate::plan::FAULTS_MS;
-use crate::world::{Event, Kind, NodeIndex, Plant, World};
+use crate::workload::{Activity, WorkloadSettings};
+use crate::world::{Event, InjectedBug, NodeIndex, NodeKind, World};
 
 /// When load begins.
 const LOAD_MS: u64 = 7_000;
@@ -37,7 +37,7 @@
     for n in 1..=deployment.controls {
         world.add_node(
             format!("control-{n}"),
-            Kind::Control,
+            NodeKind::Control,
             1_000 + n,
             None,
             n % deployment.zones,
@@ -46,7 +46,7 @@
     for n in 1..=deployment.storages {
         world.add_node(
             format!("storage-{n}"),
-            Kind::Storage,
+            NodeKind::Storage,
             2_000 + n,
             None,
             n % deployment.zones,
@@ -54,12 +54,12 @@
     }
     for n in 1..=deployment.relays {
         let zone = n % deployment.zones;
-        world.add_node(format!("agent-{n}"), Kind::Agent, 4_000 + n, Some(5_000 + n), zone);
-        world.add_node(format!("relay-{n}"), Kind::Relay, 5_000 + n, Some(4_000 + n), zone);
+        world.add_node(format!("agent-{n}"), NodeKind::Agent, 4_000 + n, Some(5_000 + n), zone);
+        world.add_node(format!("relay-{n}"), NodeKind::Relay, 5_000 + n, Some(4_000 + n), zone);
     }
     for n in 1..=deployment.engines {
         let name = format!("engine-{n}");
-        world.people.listed_ready.insert(name.clone());
+        world.workload.listed_ready.insert(name.clone());
         world.add_engine(name, 6_000 + n);
     }
     for index in 0..world.nodes.len() {
@@ -69,28 +69,28 @@
 }
 
 /// What people do in a scenario, unless told otherwise.
-pub fn habits(deployment: &crate::Deployment, scenario: Scenario) -> Habits {
+pub fn workload_settings(deployment: &crate::Deployment, scenario: Scenario) -> WorkloadSettings {
     let cost = deployment.words + deployment.new_tokens;
-    let usual = Habits {
+    let usual = WorkloadSettings {
         prompts_per_s: deployment.prompts_per_s,
         words: deployment.words,
         new_tokens: deployment.new_tokens,
         items_per_batch: deployment.items_per_batch,
-        batch_every_s: deployment.batch_every_s,
+        batch_interval_s: deployment.batch_interval_s,
         // In a crowd the budget is what must hold.
         limit_tokens: if scenario == Scenario::Crowds { 25 * cost } else { 40_000 },
-        spec_every_s: if scenario == Scenario::Operators { 2 } else { 6 },
-        ..Habits::default()
+        rollout_interval_s: if scenario == Scenario::Operators { 2 } else { 6 },
+        ..WorkloadSettings::default()
     };
     if !scenario.has_orders() {
         return usual;
     }
     // What is watched here is control; a lighter load makes room for longer runs.
-    Habits {
+    WorkloadSettings {
         prompts_per_s: 12,
         items_per_batch: 10,
-        batch_every_s: 4,
-        orders_every_ms: 300,
+        batch_interval_s: 4,
+        order_interval_ms: 300,
         ..usual
     }
 }
@@ -100,9 +100,9 @@
     deployment: &crate::Deployment,
     scenario: Scenario,
     seed: u64,
-    plant: Option<Plant>,
+    injected_bug: Option<InjectedBug>,
 ) -> Report {
-    run_with(deployment, scenario, seed, plant, habits(deployment, scenario))
+    run_with(deployment, scenario, seed, injected_bug, workload_settings(deployment, scenario))
 }
 
 /// Runs a scenario from a seed with habits other than the usual ones.
@@ -110,48 +110,53 @@
     deployment: &crate::Deployment,
     scenario: Scenario,
     seed: u64,
-    plant: Option<Plant>,
-    habits: Habits,
+    injected_bug: Option<InjectedBug>,
+    habits: WorkloadSettings,
 ) -> Report {
     let violated_before = topazyard_wire::invariants::counts_of_thread();
     let mut world = build(deployment, seed);
-    world.plant = plant;
-    world.people.habits = Habits { is_open: false, ..habits };
+    world.injected_bug = injected_bug;
+    world.workload.settings = WorkloadSettings { is_active: false, ..habits };
     if world.has_orders() {
         world.first_order();
     } else {
-        world.first_spec();
+        world.first_rollout();
     }
     world.list_engines();
-    let usual =
-        [Doing::NextPrompt, Doing::AskReady, Doing::NextBatch, Doing::NextSpec, Doing::ReadSpec];
+    let usual = [
+        Activity::NextPrompt,
+        Activity::AskReady,
+        Activity::NextBatch,
+        Activity::NextSpec,
+        Activity::ReadSpec,
+    ];
     for doing in usual {
-        world.at(0, Event::Person(doing));
+        world.at(0, Event::Activity(doing));
     }
     if matches!(scenario, Scenario::Crowds | Scenario::Ceiling) {
-        world.at(0, Event::Person(Doing::WeighWaiting));
+        world.at(0, Event::Activity(Activity::WeighWaiting));
     }
     world.run_until(LOAD_MS * 1_000);
-    world.people.habits.is_open = true;
+    world.workload.settings.is_active = true;
     let plan = crate::plan::plan(deployment, scenario, seed);
     for (at_ms, fault) in &plan.faults {
-        world.plan(*at_ms, fault.clone());
+        world.schedule_fault(*at_ms, fault.clone());
     }
     let closed = plan.closed_ms * 1_000;
     world.run_until(closed + 18_000_000);
-    world.people.habits.is_open = false;
+    world.workload.settings.is_active = false;
     world.run_until(closed + 30_000_000);
     // Until nothing runs any more and every batch is done, within reason.
     for _ in 0..30 {
-        if world.is_at_rest() {
+        if world.is_idle() {
             break;
         }
         world.run_until(world.time + 5_000_000);
     }
     world.run_until(world.time + 5_000_000);
-    world.history.holds_at_rest = world.holds();
+    world.history.holds_at_rest = world.counter_holds();
     let bounds = Bounds {
-        limit_tokens: world.people.habits.limit_tokens,
+        limit_tokens: world.workload.settings.limit_tokens,
         before: ((LOAD_MS + 2_000) * 1_000, FAULTS_MS * 1_000),
         closed: Some(closed).filter(|_| !plan.faults.is_empty()),
         lost_machines: deployment.lost_machines,
--- a/fleet-simulator/src/people/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -1,8 +1,8 @@
 //! Clients with batches: they hand in, read, list, ask items back and end.
 
-use super::Doing;
+use super::Activity;
 use crate::history::{BatchSeen, ListedReturn, ReadSeen, ReadTold, Us};
-use crate::world::{Caller, Event, Plant, World};
+use crate::world::{Caller, Event, InjectedBug, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
 use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, ItemEnd};
@@ -42,16 +42,16 @@
 
 impl World {
     pub(super) fn next_batch(&mut self) {
-        let every = self.people.habits.batch_every_s;
-        self.after(every.max(1) * 1_000_000, Event::Person(Doing::NextBatch));
-        if every > 0 && self.people.habits.is_open {
+        let every = self.workload.settings.batch_interval_s;
+        self.after(every.max(1) * 1_000_000, Event::Activity(Activity::NextBatch));
+        if every > 0 && self.workload.settings.is_active {
             self.hand_in_batch();
         }
     }
 
     /// Somebody hands in a batch now.
     pub fn hand_in_batch(&mut self) {
-        let habits = self.people.habits.clone();
+        let habits = self.workload.settings.clone();
         let batch = self.history.batches.len();
         let first_work = self.history.works.len();
         let mut cost = 0;
@@ -78,7 +78,7 @@
         let ends_at = ends.then(|| self.time + 1_000_000 + 500_000 * (first_work as u64 % 7));
         let recalls =
             (self.draw(0..5) == 0).then(|| self.draw(0..habits.items_per_batch.max(1)) as u32);
-        self.people.batches.push(BatchClient {
+        self.workload.batches.push(BatchClient {
             serial: 0,
             asked: None,
             page: Vec::new(),
@@ -87,12 +87,12 @@
             recalls,
             turn: 0,
         });
-        self.after(0, Event::Person(Doing::Batch(batch)));
+        self.after(0, Event::Activity(Activity::Batch(batch)));
     }
 
     /// Whether every accepted batch was listed whole.
     pub(crate) fn batches_are_done(&self) -> bool {
-        let all = self.history.batches.iter().zip(&self.people.batches);
+        let all = self.history.batches.iter().zip(&self.workload.batches);
         all.into_iter()
             .all(|(seen, client)| seen.accepted.is_none() || client.lists_whole >= CONTENT)
     }
@@ -100,7 +100,7 @@
     fn next_asked(&mut self, batch: usize) -> Asked {
         let time = self.time;
         let seen = &self.history.batches[batch];
-        let client = &mut self.people.batches[batch];
+        let client = &mut self.workload.batches[batch];
         if seen.accepted.is_none() {
             return Asked::Submit;
         }
@@ -117,11 +117,11 @@
     pub(super) fn look_after_batch(&mut self, batch: usize) {
         let accepted = self.history.batches[batch].accepted;
         let reads_on = accepted.is_some_and(|at| self.time < at + READS_FOR_US);
-        if self.people.batches[batch].lists_whole >= CONTENT && !reads_on {
+        if self.workload.batches[batch].lists_whole >= CONTENT && !reads_on {
             return;
         }
-        self.after(400_000, Event::Person(Doing::Batch(batch)));
-        let asked = self.people.batches[batch].asked;
+        self.after(400_000, Event::Activity(Activity::Batch(batch)));
+        let asked = self.workload.batches[batch].asked;
         if asked.is_some_and(|asked| self.time - asked < 6_000_000) {
             return;
         }
@@ -144,7 +144,7 @@
             }
             Asked::Read => RelayCall::Batch(BatchCall::Read(id), limit),
             Asked::List => {
-                let after = self.people.batches[batch].page.len() as u32;
+                let after = self.workload.batches[batch].page.len() as u32;
                 RelayCall::Batch(BatchCall::ItemResults { batch: id, after }, limit)
             }
             Asked::Recall(item) => {
@@ -158,11 +158,11 @@
             let read = ReadSeen { asked: time, relay, told: None };
             self.history.batches[batch].reads.push(read);
         }
-        let client = &mut self.people.batches[batch];
+        let client = &mut self.workload.batches[batch];
         client.serial += 1;
         client.asked = Some(time);
-        let doing = Doing::BatchCall(batch, client.serial, asked);
-        self.call_relay(relay, request, Caller::Person(doing));
+        let doing = Activity::BatchCall(batch, client.serial, asked);
+        self.call_relay(relay, request, Caller::Activity(doing));
     }
 
     pub(super) fn batch_told(
@@ -172,10 +172,10 @@
         asked: &Asked,
         value: RelayResponse,
     ) {
-        if self.people.batches[batch].serial != serial {
+        if self.workload.batches[batch].serial != serial {
             return;
         }
-        self.people.batches[batch].asked = None;
+        self.workload.batches[batch].asked = None;
         let time = self.time;
         if matches!(asked, Asked::Read | Asked::List) {
             let told = match &value {
@@ -217,8 +217,9 @@
 
     /// A page of the list: an empty one ends the list, and the next is read from the start.
     fn listed(&mut self, batch: usize, returns: &[topazyard_wire::message::batch::ItemResult]) {
-        let changes = self.plant == Some(Plant::ChangeReturn) && self.draw(0..30) == 0;
-        let client = &mut self.people.batches[batch];
+        let changes =
+            self.injected_bug == Some(InjectedBug::ChangeListedResult) && self.draw(0..30) == 0;
+        let client = &mut self.workload.batches[batch];
         for item_return in returns {
             let (text, body) = match &item_return.end {
                 ItemEnd::Complete { status, body } => {
--- a/fleet-simulator/src/people/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -1,18 +1,18 @@
 //! Clients, operators and the platform, as they act on the fleet from outside.
 
 mod batches;
-mod configurations;
-mod operators;
+mod orders;
 mod platform;
 mod prompts;
 mod retirement;
+mod rollouts;
 
 use crate::world::{NodeIndex, World};
-pub(crate) use configurations::fingerprint;
+pub(crate) use orders::fingerprint;
 
 /// Something that somebody outside does.
 #[derive(Debug, Clone)]
-pub enum Doing {
+pub enum Activity {
     /// Send the next prompt, and so on.
     NextPrompt,
     /// A prompt arrives at its relay.
@@ -30,7 +30,7 @@
     /// Look after a spec.
     Spec(usize),
     /// A spec's step, by its serial number.
-    SpecCall(usize, u64, operators::Step),
+    SpecCall(usize, u64, rollouts::Step),
     /// Begin the next spec, and so on.
     NextSpec,
     /// Send the newest engine list until it is taken.
@@ -48,7 +48,7 @@
     /// Weigh the waiting batch work, and so on.
     WeighWaiting,
     /// Something about numbered configurations.
-    Configuration(configurations::OrderDoing),
+    Configuration(orders::OrderActivity),
     /// Read the spec in force, and so on.
     ReadSpec,
     /// The spec in force was asked for.
@@ -57,7 +57,7 @@
 
 /// How much people do.
 #[derive(Debug, Clone)]
-pub struct Habits {
+pub struct WorkloadSettings {
     /// Prompts a second.
     pub prompts_per_s: u64,
     /// Words of a prompt.
@@ -67,17 +67,17 @@
     /// Items of a batch.
     pub items_per_batch: u64,
     /// Seconds between batches; 0 for none.
-    pub batch_every_s: u64,
+    pub batch_interval_s: u64,
     /// Seconds between specs; 0 for none.
-    pub spec_every_s: u64,
+    pub rollout_interval_s: u64,
     /// Milliseconds between numbered configurations; 0 for specs that are signed off instead.
-    pub orders_every_ms: u64,
+    pub order_interval_ms: u64,
     /// The most orders of numbered configurations under way at once.
-    pub orders_at_once: usize,
+    pub max_open_orders: usize,
     /// Of a hundred answers to operators so many are lost.
-    pub answers_lost_percent: u64,
+    pub lost_responses_percent: u64,
     /// Lanes that specs have besides the usual ones.
-    pub more_lanes: u64,
+    pub extra_model_routes: u64,
     /// The budget of in-flight tokens.
     pub limit_tokens: u64,
     /// The ceiling on waiting batch work.
@@ -85,47 +85,47 @@
     /// Floor, start and ceiling of the live share, in percent.
     pub live_percents: (u8, u8, u8),
     /// Whether anybody still begins something.
-    pub is_open: bool,
+    pub is_active: bool,
 }
 
-impl Default for Habits {
+impl Default for WorkloadSettings {
     fn default() -> Self {
         Self {
             prompts_per_s: 0,
             words: 40,
             new_tokens: 32,
             items_per_batch: 20,
-            batch_every_s: 0,
-            spec_every_s: 0,
-            orders_every_ms: 0,
-            orders_at_once: 8,
-            answers_lost_percent: 0,
-            more_lanes: 0,
+            batch_interval_s: 0,
+            rollout_interval_s: 0,
+            order_interval_ms: 0,
+            max_open_orders: 8,
+            lost_responses_percent: 0,
+            extra_model_routes: 0,
             limit_tokens: 40_000,
             waiting_ceiling: 60_000,
             live_percents: (40, 70, 90),
-            is_open: true,
+            is_active: true,
         }
     }
 }
 
 /// Everybody outside.
 #[derive(Debug, Default)]
-pub struct People {
+pub struct Workload {
     /// How much they do.
-    pub habits: Habits,
+    pub settings: WorkloadSettings,
     works: std::collections::BTreeMap<bytes::Bytes, usize>,
     ready: std::collections::BTreeSet<NodeIndex>,
     batches: Vec<batches::BatchClient>,
-    specs: Vec<operators::SpecOperator>,
-    orders: configurations::Orders,
+    specs: Vec<rollouts::SpecOperator>,
+    orders: orders::Orders,
     /// Storage nodes whose retirement was acknowledged.
     retiring: std::collections::BTreeSet<NodeIndex>,
     /// Engines that the platform wants listed as ready.
     pub listed_ready: std::collections::BTreeSet<String>,
 }
 
-impl People {
+impl Workload {
     /// Which work a body is, if anybody handed it in.
     pub(crate) fn work_of(&self, body: &bytes::Bytes) -> Option<usize> {
         self.works.get(body).copied()
@@ -135,7 +135,7 @@
 impl World {
     /// Whether operators order numbered configurations.
     pub(crate) fn has_orders(&self) -> bool {
-        self.people.habits.orders_every_ms > 0
+        self.workload.settings.order_interval_ms > 0
     }
 
     /// Hands in a kind of work with a body of its own.
@@ -155,7 +155,7 @@
             Some(topazyard_types::Tokens(new_tokens)),
         );
         let body = bytes::Bytes::from(format!("{{\"inputs\":\"work {work}\"}}"));
-        self.people.works.insert(body.clone(), work);
+        self.workload.works.insert(body.clone(), work);
         let model = model.to_owned();
         self.history.works.push(crate::history::Work {
             body,
@@ -168,13 +168,13 @@
     }
 
     /// A process of a kind that runs and is not frozen, drawn by chance.
-    pub(crate) fn draw_node(&mut self, kind: crate::world::Kind) -> Option<NodeIndex> {
+    pub(crate) fn draw_node(&mut self, kind: crate::world::NodeKind) -> Option<NodeIndex> {
         let time = self.time;
         let nodes: Vec<NodeIndex> = (0..self.nodes.len())
             .filter(|at| {
                 let node = &self.nodes[*at];
                 let awake = node.frozen_until.is_none_or(|until| until <= time);
-                node.kind == kind && node.is_on() && awake
+                node.kind == kind && node.is_running() && awake
             })
             .map(NodeIndex)
             .collect();
@@ -187,48 +187,48 @@
 
     /// The relay that the platform hands a client to: a ready one, or any if none is.
     fn draw_relay(&mut self) -> Option<NodeIndex> {
-        let ready: Vec<NodeIndex> = self.people.ready.iter().copied().collect();
+        let ready: Vec<NodeIndex> = self.workload.ready.iter().copied().collect();
         if ready.is_empty() {
-            return self.draw_node(crate::world::Kind::Relay);
+            return self.draw_node(crate::world::NodeKind::Relay);
         }
         let at = self.draw(0..ready.len() as u64) as usize;
         Some(ready[at])
     }
 
-    pub(crate) fn person_does(&mut self, doing: Doing) {
+    pub(crate) fn person_does(&mut self, doing: Activity) {
         match doing {
-            Doing::NextPrompt => self.next_prompt(),
-            Doing::PromptArrives(prompt, relay) => self.prompt_arrives(prompt, relay),
-            Doing::AskReady => self.ask_ready(),
-            Doing::NextBatch => self.next_batch(),
-            Doing::Batch(batch) => self.look_after_batch(batch),
-            Doing::NextSpec => self.next_spec(),
-            Doing::Spec(spec) => self.look_after_spec(spec),
-            Doing::PutEngines => self.put_engines(),
-            Doing::Configuration(doing) => self.order_doing(doing),
-            Doing::ReadSpec => self.read_spec(),
-            Doing::WeighWaiting => {
-                self.after(250_000, crate::world::Event::Person(Doing::WeighWaiting));
+            Activity::NextPrompt => self.next_prompt(),
+            Activity::PromptArrives(prompt, relay) => self.prompt_arrives(prompt, relay),
+            Activity::AskReady => self.ask_ready(),
+            Activity::NextBatch => self.next_batch(),
+            Activity::Batch(batch) => self.look_after_batch(batch),
+            Activity::NextSpec => self.next_spec(),
+            Activity::Spec(spec) => self.look_after_spec(spec),
+            Activity::PutEngines => self.put_engines(),
+            Activity::Configuration(doing) => self.order_doing(doing),
+            Activity::ReadSpec => self.read_spec(),
+            Activity::WeighWaiting => {
+                self.after(250_000, crate::world::Event::Activity(Activity::WeighWaiting));
                 let waiting = self.waiting_work();
                 self.history.waiting.push((self.time, waiting));
             }
-            Doing::Retire(node) => self.retire(node),
-            Doing::AskRetired(node) => self.ask_retired(node),
-            Doing::Ready(_)
-            | Doing::RetireAnswered(_)
-            | Doing::RetiredAnswered(_)
-            | Doing::BatchCall(..)
-            | Doing::SpecCall(..)
-            | Doing::EnginesSent(_)
-            | Doing::SpecAsked(_) => {}
+            Activity::Retire(node) => self.retire(node),
+            Activity::AskRetired(node) => self.ask_retired(node),
+            Activity::Ready(_)
+            | Activity::RetireAnswered(_)
+            | Activity::RetiredAnswered(_)
+            | Activity::BatchCall(..)
+            | Activity::SpecCall(..)
+            | Activity::EnginesSent(_)
+            | Activity::SpecAsked(_) => {}
         }
     }
 
     /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, doing: Doing, value: topazyard_relay::RelayResponse) {
+    pub(crate) fn relay_told(&mut self, doing: Activity, value: topazyard_relay::RelayResponse) {
         match doing {
-            Doing::Ready(relay) => self.ready_told(relay, &value),
-            Doing::BatchCall(batch, serial, asked) => {
+            Activity::Ready(relay) => self.ready_told(relay, &value),
+            Activity::BatchCall(batch, serial, asked) => {
                 self.batch_told(batch, serial, &asked, value);
             }
             _ => {}
@@ -238,16 +238,16 @@
     /// A control node returned a call that somebody outside made.
     pub(crate) fn control_told(
         &mut self,
-        doing: Doing,
+        doing: Activity,
         outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
         match doing {
-            Doing::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
-            Doing::RetireAnswered(node) => self.retire_told(node, &outcome),
-            Doing::RetiredAnswered(node) => self.retired_told(node, &outcome),
-            Doing::EnginesSent(list) => self.engines_told(list, &outcome),
-            Doing::SpecAsked(asked) => self.spec_read(asked, &outcome),
-            Doing::Configuration(doing) => self.order_told(doing, outcome),
+            Activity::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
+            Activity::RetireAnswered(node) => self.retire_told(node, &outcome),
+            Activity::RetiredAnswered(node) => self.retired_told(node, &outcome),
+            Activity::EnginesSent(list) => self.engines_told(list, &outcome),
+            Activity::SpecAsked(asked) => self.spec_read(asked, &outcome),
+            Activity::Configuration(doing) => self.order_told(doing, outcome),
             _ => {}
         }
     }
--- a/fleet-simulator/src/people/configurations.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -4,9 +4,9 @@
 mod contents;
 mod sending;
 
-use super::Doing;
+use super::Activity;
 use crate::history::{OrderAnswer, OrderSeen, ReadBack, ReadBackSeen, Us};
-use crate::world::{Caller, Event, Kind, NodeIndex, Plant, World};
+use crate::world::{Caller, Event, InjectedBug, NodeIndex, NodeKind, World};
 use contents::Fault;
 pub(crate) use contents::fingerprint;
 use topazyard_wire::api::Code;
@@ -14,7 +14,7 @@
 
 /// Something that an operator with numbered configurations does.
 #[derive(Debug, Clone, Copy)]
-pub enum OrderDoing {
+pub enum OrderActivity {
     /// Begin the next orders, and so on.
     Begin,
     /// Send an order to a node.
@@ -31,9 +31,9 @@
     ReadAnswered(usize),
 }
 
-impl OrderDoing {
+impl OrderActivity {
     pub(super) fn event(self) -> Event {
-        Event::Person(Doing::Configuration(self))
+        Event::Activity(Activity::Configuration(self))
     }
 }
 
@@ -67,40 +67,43 @@
     pub fn first_order(&mut self) {
         let content = self.new_content(None);
         self.begin_order(1, 0, content, 0);
-        self.after(0, OrderDoing::Begin.event());
-        self.after(READ_EVERY_US, OrderDoing::Read.event());
+        self.after(0, OrderActivity::Begin.event());
+        self.after(READ_EVERY_US, OrderActivity::Read.event());
     }
 
-    pub(super) fn order_doing(&mut self, doing: OrderDoing) {
+    pub(super) fn order_doing(&mut self, doing: OrderActivity) {
         match doing {
-            OrderDoing::Begin => self.begin_orders(),
-            OrderDoing::Send(order) => self.send_order(order),
-            OrderDoing::Arrives(order, attempt, node) => self.order_arrives(order, attempt, node),
-            OrderDoing::Answered(order, attempt) => {
+            OrderActivity::Begin => self.begin_orders(),
+            OrderActivity::Send(order) => self.send_order(order),
+            OrderActivity::Arrives(order, attempt, node) => {
+                self.order_arrives(order, attempt, node)
+            }
+            OrderActivity::Answered(order, attempt) => {
                 self.order_answered(order, attempt, OrderAnswer::Unclear);
             }
-            OrderDoing::Read => self.read_back(),
-            OrderDoing::ReadArrives(read, node) => self.read_arrives(read, node),
-            OrderDoing::ReadAnswered(_) => {}
+            OrderActivity::Read => self.read_back(),
+            OrderActivity::ReadArrives(read, node) => self.read_arrives(read, node),
+            OrderActivity::ReadAnswered(_) => {}
         }
     }
 
     /// A control node answered an operator.
-    pub(super) fn order_told(&mut self, doing: OrderDoing, outcome: OperatorOutcome) {
-        let lost = self.people.habits.answers_lost_percent;
-        let loses_all = self.plant == Some(Plant::LoseAnswers) && self.people.orders.newest > 0;
+    pub(super) fn order_told(&mut self, doing: OrderActivity, outcome: OperatorOutcome) {
+        let lost = self.workload.settings.lost_responses_percent;
+        let loses_all = self.injected_bug == Some(InjectedBug::LoseResponses)
+            && self.workload.orders.newest > 0;
         if loses_all || (lost > 0 && self.draw(0..100) < lost) {
             return;
         }
         match doing {
-            OrderDoing::Answered(order, attempt) => {
+            OrderActivity::Answered(order, attempt) => {
                 let asked = self.history.orders[order].attempts[attempt].asked;
                 if self.time < asked + ANSWER_WITHIN_US {
                     let answer = self.spoiled(attempt, answer_of(&outcome));
                     self.order_answered(order, attempt, answer);
                 }
             }
-            OrderDoing::ReadAnswered(read) => self.read_told(read, outcome),
+            OrderActivity::ReadAnswered(read) => self.read_told(read, outcome),
             _ => {}
         }
     }
@@ -108,22 +111,22 @@
     /// An answer as the planted bug would have it.
     fn spoiled(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
         use OrderAnswer::{Acknowledged, Refused};
-        match (self.plant, answer) {
-            (Some(Plant::AcknowledgeAll), Refused) => Acknowledged,
-            (Some(Plant::RefuseSentAgain), Acknowledged) if attempt > 0 => Refused,
-            (Some(Plant::RefuseTaken), Acknowledged) if attempt == 0 => Refused,
+        match (self.injected_bug, answer) {
+            (Some(InjectedBug::AcknowledgeAll), Refused) => Acknowledged,
+            (Some(InjectedBug::RefuseResent), Acknowledged) if attempt > 0 => Refused,
+            (Some(InjectedBug::RefuseApplied), Acknowledged) if attempt == 0 => Refused,
             _ => answer,
         }
     }
 
     fn begin_orders(&mut self) {
-        let every = self.people.habits.orders_every_ms.max(1) * 1_000;
+        let every = self.workload.settings.order_interval_ms.max(1) * 1_000;
         let next = every / 2 + self.draw(0..every);
-        self.after(next, OrderDoing::Begin.event());
-        let open = self.people.orders.standings.iter().filter(|s| **s == Standing::Open).count();
-        let room = self.people.habits.orders_at_once.saturating_sub(open);
-        let base = self.people.orders.newest;
-        if !self.people.habits.is_open || base == 0 || room == 0 {
+        self.after(next, OrderActivity::Begin.event());
+        let open = self.workload.orders.standings.iter().filter(|s| **s == Standing::Open).count();
+        let room = self.workload.settings.max_open_orders.saturating_sub(open);
+        let base = self.workload.orders.newest;
+        if !self.workload.settings.is_active || base == 0 || room == 0 {
             return;
         }
         match self.draw(0..10) {
@@ -211,15 +214,15 @@
             patch: content.patch,
             attempts: Vec::new(),
         });
-        self.people.orders.standings.push(Standing::Open);
-        self.after(after, OrderDoing::Send(order).event());
+        self.workload.orders.standings.push(Standing::Open);
+        self.after(after, OrderActivity::Send(order).event());
     }
 
     /// Sends an order again that was acknowledged, the newest or any before it.
     fn send_again(&mut self) {
         let acknowledged: Vec<usize> = (0..self.history.orders.len())
             .filter(|order| {
-                let is_closed = self.people.orders.standings[*order] == Standing::Closed;
+                let is_closed = self.workload.orders.standings[*order] == Standing::Closed;
                 let seen = &self.history.orders[*order];
                 is_closed && seen.first(OrderAnswer::Acknowledged).is_some()
             })
@@ -229,8 +232,8 @@
             0 => acknowledged[self.draw(0..acknowledged.len() as u64) as usize],
             _ => newest,
         };
-        self.people.orders.standings[order] = Standing::Open;
-        self.after(0, OrderDoing::Send(order).event());
+        self.workload.orders.standings[order] = Standing::Open;
+        self.after(0, OrderActivity::Send(order).event());
     }
 
     fn order_answered(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
@@ -244,35 +247,36 @@
         *known = Some((time, answer));
         match answer {
             OrderAnswer::Unclear => self.send_later(order),
-            OrderAnswer::Refused => self.people.orders.standings[order] = Standing::Closed,
+            OrderAnswer::Refused => self.workload.orders.standings[order] = Standing::Closed,
             OrderAnswer::Acknowledged => {
-                self.people.orders.standings[order] = Standing::Closed;
+                self.workload.orders.standings[order] = Standing::Closed;
                 self.saw_newest(number);
             }
         }
     }
 
     fn saw_newest(&mut self, number: u64) {
-        let newest = &mut self.people.orders.newest;
+        let newest = &mut self.workload.orders.newest;
         *newest = number.max(*newest);
     }
 
     fn read_back(&mut self) {
-        self.after(READ_EVERY_US, OrderDoing::Read.event());
-        let Some(node) = self.draw_node(Kind::Control) else { return };
+        self.after(READ_EVERY_US, OrderActivity::Read.event());
+        let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
         let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
         self.history.read_backs.push(ReadBackSeen { node: name, asked, told: None });
         let way = self.way();
-        self.after(way, OrderDoing::ReadArrives(read, node).event());
+        self.after(way, OrderActivity::ReadArrives(read, node).event());
     }
 
     fn read_arrives(&mut self, read: usize, node: NodeIndex) {
-        if self.defer_if_frozen(node, || OrderDoing::ReadArrives(read, node).event()) {
+        if self.defer_if_frozen(node, || OrderActivity::ReadArrives(read, node).event()) {
             return;
         }
-        if self.nodes[node.0].is_on() {
-            let caller = Caller::Person(Doing::Configuration(OrderDoing::ReadAnswered(read)));
+        if self.nodes[node.0].is_running() {
+            let caller =
+                Caller::Activity(Activity::Configuration(OrderActivity::ReadAnswered(read)));
             self.call_control(node, OperatorRequest::Query(Query::ReadSource), caller);
         }
     }
@@ -284,8 +288,8 @@
             OperatorOutcome::Refused(error) if error.code == Code::NotFound => ReadBack::Missing,
             OperatorOutcome::Refused(_) => ReadBack::Unclear,
         };
-        let read_back = match (self.plant, read_back) {
-            (Some(Plant::ReadFirst), ReadBack::Given(_)) => {
+        let read_back = match (self.injected_bug, read_back) {
+            (Some(InjectedBug::ReadFirstConfiguration), ReadBack::Given(_)) => {
                 ReadBack::Given(self.history.orders[0].source.clone())
             }
             (_, read_back) => read_back,
--- a/fleet-simulator/src/people/configurations/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -1,10 +1,10 @@
 //! How an order travels: to any node that the operator's list names, again after a failure or a
 //! second of silence, with a pause that grows.
 
-use super::{OrderDoing, Standing};
+use super::{OrderActivity, Standing};
 use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
-use crate::people::Doing;
-use crate::world::{Caller, Kind, NodeIndex, Plant, World};
+use crate::workload::Activity;
+use crate::world::{Caller, InjectedBug, NodeIndex, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
@@ -18,7 +18,7 @@
 impl World {
     /// Sends an order to any control node on the list: ones that just went still stand there.
     pub(super) fn send_order(&mut self, order: usize) {
-        if self.people.orders.standings[order] == Standing::Closed {
+        if self.workload.orders.standings[order] == Standing::Closed {
             return;
         }
         let Some(node) = self.draw_listed_control() else { return };
@@ -27,15 +27,15 @@
         let sent = OrderAttempt { node: name, asked, answer: None };
         self.history.orders[order].attempts.push(sent);
         let way = self.way();
-        self.after(way, OrderDoing::Arrives(order, attempt, node).event());
-        self.after(SILENCE_US, OrderDoing::Answered(order, attempt).event());
+        self.after(way, OrderActivity::Arrives(order, attempt, node).event());
+        self.after(SILENCE_US, OrderActivity::Answered(order, attempt).event());
     }
 
     fn draw_listed_control(&mut self) -> Option<NodeIndex> {
         let listed: Vec<usize> = (0..self.nodes.len())
             .filter(|at| {
                 let node = &self.nodes[*at];
-                node.kind == Kind::Control && !node.is_replaced()
+                node.kind == NodeKind::Control && !node.is_replaced()
             })
             .collect();
         let at = self.draw(0..listed.len().max(1) as u64) as usize;
@@ -43,22 +43,23 @@
     }
 
     pub(super) fn order_arrives(&mut self, order: usize, attempt: usize, node: NodeIndex) {
-        let again = OrderDoing::Arrives(order, attempt, node);
+        let again = OrderActivity::Arrives(order, attempt, node);
         // What lies in a frozen process's socket is taken when it wakes.
         if self.defer_if_frozen(node, || again.event()) {
             return;
         }
-        if !self.nodes[node.0].is_on() {
+        if !self.nodes[node.0].is_running() {
             self.order_answered(order, attempt, OrderAnswer::Unclear);
             return;
         }
-        if self.plant == Some(Plant::RefuseIdly) && attempt == 0 && order > 0 {
+        if self.injected_bug == Some(InjectedBug::RefuseWithoutCause) && attempt == 0 && order > 0 {
             self.order_answered(order, attempt, OrderAnswer::Refused);
             return;
         }
         let seen = &self.history.orders[order];
         let command = command_of(seen);
-        let caller = Caller::Person(Doing::Configuration(OrderDoing::Answered(order, attempt)));
+        let caller =
+            Caller::Activity(Activity::Configuration(OrderActivity::Answered(order, attempt)));
         self.call_control(node, OperatorRequest::Command(command), caller);
     }
 
@@ -66,7 +67,7 @@
         let sent = self.history.orders[order].attempts.len().min(8) as u32;
         let pause = (PAUSE_US << sent).min(LONGEST_PAUSE_US);
         let pause = pause / 2 + self.draw(0..pause);
-        self.after(pause, OrderDoing::Send(order).event());
+        self.after(pause, OrderActivity::Send(order).event());
     }
 }
 
--- a/fleet-simulator/src/people/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -1,43 +1,43 @@
 //! The platform: which engines there are, and which relays are ready.
 
-use super::Doing;
+use super::Activity;
 use crate::history::EngineListSeen;
-use crate::world::{Caller, Event, Kind, NodeIndex, World};
+use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 
 impl World {
     pub(super) fn ask_ready(&mut self) {
-        self.after(500_000, Event::Person(Doing::AskReady));
+        self.after(500_000, Event::Activity(Activity::AskReady));
         for at in 0..self.nodes.len() {
             let relay = NodeIndex(at);
             let node = &self.nodes[at];
-            if node.kind != Kind::Relay {
+            if node.kind != NodeKind::Relay {
                 continue;
             }
             let awake = node.frozen_until.is_none_or(|until| until <= self.time);
-            if node.is_on() && awake {
-                self.call_relay(relay, RelayCall::Ready, Caller::Person(Doing::Ready(relay)));
+            if node.is_running() && awake {
+                self.call_relay(relay, RelayCall::Ready, Caller::Activity(Activity::Ready(relay)));
             } else {
-                self.people.ready.remove(&relay);
+                self.workload.ready.remove(&relay);
             }
         }
     }
 
     pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayResponse) {
         if matches!(value, RelayResponse::Done) {
-            self.people.ready.insert(relay);
+            self.workload.ready.insert(relay);
         } else {
-            self.people.ready.remove(&relay);
+            self.workload.ready.remove(&relay);
         }
     }
 
     /// Lists the engines anew, with these ready and all others leaving.
     pub fn list_engines(&mut self) {
-        let ready = self.people.listed_ready.clone();
+        let ready = self.workload.listed_ready.clone();
         let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
         self.history.engine_lists.push(seen);
-        self.after(0, Event::Person(Doing::PutEngines));
+        self.after(0, Event::Activity(Activity::PutEngines));
     }
 
     pub(super) fn put_engines(&mut self) {
@@ -45,8 +45,8 @@
         if self.history.engine_lists[list].acknowledged.is_some() {
             return;
         }
-        self.after(1_000_000, Event::Person(Doing::PutEngines));
-        let Some(control) = self.draw_node(Kind::Control) else { return };
+        self.after(1_000_000, Event::Activity(Activity::PutEngines));
+        let Some(control) = self.draw_node(NodeKind::Control) else { return };
         let ready = &self.history.engine_lists[list].ready;
         let models: Vec<String> = (0..200).map(|n| format!("only-{n}")).collect();
         let models: Vec<&str> =
@@ -64,7 +64,7 @@
             .collect();
         let text = serde_json::json!({ "engines": engines }).to_string();
         let request = OperatorRequest::Command(Command::PutEngines { text });
-        self.call_control(control, request, Caller::Person(Doing::EnginesSent(list)));
+        self.call_control(control, request, Caller::Activity(Activity::EnginesSent(list)));
     }
 
     pub(super) fn engines_told(&mut self, list: usize, outcome: &OperatorOutcome) {
--- a/fleet-simulator/src/people/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -1,19 +1,19 @@
 //! Clients with prompts.
 
-use super::Doing;
+use super::Activity;
 use crate::history::{PromptEnd, PromptSeen};
 use crate::world::{NodeIndex, World};
 
 impl World {
     pub(super) fn next_prompt(&mut self) {
-        let rate = self.people.habits.prompts_per_s;
-        if !self.people.habits.is_open || rate == 0 {
-            self.after(50_000, crate::world::Event::Person(Doing::NextPrompt));
+        let rate = self.workload.settings.prompts_per_s;
+        if !self.workload.settings.is_active || rate == 0 {
+            self.after(50_000, crate::world::Event::Activity(Activity::NextPrompt));
             return;
         }
         let gap = 1_000_000 / rate;
         let jitter = self.draw(0..gap.max(1));
-        self.after(gap / 2 + jitter, crate::world::Event::Person(Doing::NextPrompt));
+        self.after(gap / 2 + jitter, crate::world::Event::Activity(Activity::NextPrompt));
         self.send_prompt();
     }
 
@@ -32,7 +32,7 @@
     }
 
     fn send_prompt(&mut self) {
-        let habits = self.people.habits.clone();
+        let habits = self.workload.settings.clone();
         let model = self.draw_model();
         let repeatable = self.draw(0..4) == 0;
         let words = self.draw(habits.words / 2..habits.words * 3 / 2 + 1);
@@ -54,20 +54,20 @@
         let prompt = self.history.prompts.len() - 1;
         if let Some(relay) = relay {
             let way = self.way();
-            let arrives = Doing::PromptArrives(prompt, relay);
-            self.after(way, crate::world::Event::Person(arrives));
+            let arrives = Activity::PromptArrives(prompt, relay);
+            self.after(way, crate::world::Event::Activity(arrives));
         } else {
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
         }
     }
 
     pub(super) fn prompt_arrives(&mut self, prompt: usize, relay: NodeIndex) {
-        if !self.nodes[relay.0].is_on() {
+        if !self.nodes[relay.0].is_running() {
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
             return;
         }
-        let again = Doing::PromptArrives(prompt, relay);
-        if self.defer_if_frozen(relay, || crate::world::Event::Person(again)) {
+        let again = Activity::PromptArrives(prompt, relay);
+        if self.defer_if_frozen(relay, || crate::world::Event::Activity(again)) {
             return;
         }
         let seen = &self.history.prompts[prompt];
--- a/fleet-simulator/src/people/retirement.rs
+++ b/fleet-simulator/src/workload/retirement.rs
@@ -1,8 +1,8 @@
 //! Operators who have a storage node retired, and take it away once that is done.
 
-use super::Doing;
+use super::Activity;
 use crate::history::Us;
-use crate::world::{Caller, Event, Kind, NodeIndex, World};
+use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// How often it is asked for and after.
@@ -11,17 +11,17 @@
 impl World {
     /// Asks for it, again and again until it is acknowledged.
     pub(super) fn retire(&mut self, node: NodeIndex) {
-        if self.people.retiring.contains(&node) {
+        if self.workload.retiring.contains(&node) {
             return;
         }
-        self.after(ASK_EVERY_US, Event::Person(Doing::Retire(node)));
+        self.after(ASK_EVERY_US, Event::Activity(Activity::Retire(node)));
         let command = Command::RetireNamed(self.name_in_fleet(node));
-        self.ask_of_retirement(OperatorRequest::Command(command), Doing::RetireAnswered(node));
+        self.ask_of_retirement(OperatorRequest::Command(command), Activity::RetireAnswered(node));
     }
 
     pub(super) fn retire_told(&mut self, node: NodeIndex, outcome: &OperatorOutcome) {
-        if matches!(outcome, OperatorOutcome::Done(_)) && self.people.retiring.insert(node) {
-            self.after(0, Event::Person(Doing::AskRetired(node)));
+        if matches!(outcome, OperatorOutcome::Done(_)) && self.workload.retiring.insert(node) {
+            self.after(0, Event::Activity(Activity::AskRetired(node)));
         }
     }
 
@@ -30,9 +30,9 @@
         if self.nodes[node.0].is_replaced() {
             return;
         }
-        self.after(ASK_EVERY_US, Event::Person(Doing::AskRetired(node)));
+        self.after(ASK_EVERY_US, Event::Activity(Activity::AskRetired(node)));
         let query = Query::Retirement(self.name_in_fleet(node));
-        self.ask_of_retirement(OperatorRequest::Query(query), Doing::RetiredAnswered(node));
+        self.ask_of_retirement(OperatorRequest::Query(query), Activity::RetiredAnswered(node));
     }
 
     pub(super) fn retired_told(&mut self, node: NodeIndex, outcome: &OperatorOutcome) {
@@ -46,9 +46,9 @@
         format!("node-{}", self.nodes[node.0].id)
     }
 
-    fn ask_of_retirement(&mut self, request: OperatorRequest, doing: Doing) {
-        if let Some(control) = self.draw_node(Kind::Control) {
-            self.call_control(control, request, Caller::Person(doing));
+    fn ask_of_retirement(&mut self, request: OperatorRequest, doing: Activity) {
+        if let Some(control) = self.draw_node(NodeKind::Control) {
+            self.call_control(control, request, Caller::Activity(doing));
         }
     }
 }
--- a/fleet-simulator/src/people/operators.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -1,9 +1,9 @@
 //! Operators: they submit, sign off and roll out specs, sometimes two at once, sometimes broken
 //! ones, and read back what is in force.
 
-use super::Doing;
+use super::Activity;
 use crate::history::{SpecRead, SpecSeen, Us};
-use crate::world::{Caller, Event, Kind, World};
+use crate::world::{Caller, Event, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Execution;
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
@@ -34,18 +34,18 @@
 
 impl World {
     /// The first spec, before anything else.
-    pub fn first_spec(&mut self) {
+    pub fn first_rollout(&mut self) {
         self.begin_spec(false);
     }
 
     pub(super) fn next_spec(&mut self) {
-        let every = self.people.habits.spec_every_s;
+        let every = self.workload.settings.rollout_interval_s;
         if self.has_orders() {
             return;
         }
-        self.after(every.max(1) * 1_000_000, Event::Person(Doing::NextSpec));
-        let all_over = self.people.specs.iter().all(|spec| spec.step == Step::Over);
-        if every == 0 || !self.people.habits.is_open || !all_over {
+        self.after(every.max(1) * 1_000_000, Event::Activity(Activity::NextSpec));
+        let all_over = self.workload.specs.iter().all(|spec| spec.step == Step::Over);
+        if every == 0 || !self.workload.settings.is_active || !all_over {
             return;
         }
         match self.draw(0..4) {
@@ -63,20 +63,20 @@
         let number = self.history.specs.len();
         self.history.specs.push(SpecSeen {
             version: None,
-            ceiling: self.people.habits.waiting_ceiling,
+            ceiling: self.workload.settings.waiting_ceiling,
             model: format!("only-{number}"),
             refused: false,
             asked: None,
             acknowledged: None,
         });
         let operator = SpecOperator { step: Step::Look, serial: 0, asked: None, is_broken };
-        self.people.specs.push(operator);
-        self.after(0, Event::Person(Doing::Spec(number)));
+        self.workload.specs.push(operator);
+        self.after(0, Event::Activity(Activity::Spec(number)));
     }
 
     fn bundle(&self, spec: usize) -> String {
         let model = &self.history.specs[spec].model;
-        let pool = if self.people.specs[spec].is_broken { "no such pool" } else { "main" };
+        let pool = if self.workload.specs[spec].is_broken { "no such pool" } else { "main" };
         self.bundle_of(model, pool, &[]).to_string()
     }
 
@@ -87,13 +87,13 @@
         pool: &str,
         routes: &[serde_json::Value],
     ) -> serde_json::Value {
-        let habits = &self.people.habits;
+        let habits = &self.workload.settings;
         let mut lanes = vec![
             serde_json::json!({"name": "live", "kind": "live", "models": ["m"], "pool": "main"}),
             serde_json::json!({"name": "batch", "kind": "batch", "models": ["m"], "pool": pool}),
             serde_json::json!({"name": model, "kind": "live", "models": [model], "pool": "main"}),
         ];
-        for lane in 0..habits.more_lanes {
+        for lane in 0..habits.extra_model_routes {
             lanes.push(serde_json::json!({
                 "name": format!("more-{lane}"), "kind": "live",
                 "models": [format!("more-{lane}")], "pool": "main",
@@ -116,12 +116,12 @@
     }
 
     pub(super) fn look_after_spec(&mut self, spec: usize) {
-        let operator = &self.people.specs[spec];
+        let operator = &self.workload.specs[spec];
         if operator.step == Step::Over {
             return;
         }
-        self.after(300_000, Event::Person(Doing::Spec(spec)));
-        let operator = &self.people.specs[spec];
+        self.after(300_000, Event::Activity(Activity::Spec(spec)));
+        let operator = &self.workload.specs[spec];
         if operator.asked.is_some_and(|asked| self.time - asked < 6_000_000) {
             return;
         }
@@ -130,9 +130,9 @@
             self.give_spec_up(spec);
             return;
         }
-        let Some(control) = self.draw_node(Kind::Control) else { return };
+        let Some(control) = self.draw_node(NodeKind::Control) else { return };
         let version = ConfigurationVersion(self.history.specs[spec].version.unwrap_or(0));
-        let step = self.people.specs[spec].step;
+        let step = self.workload.specs[spec].step;
         let request = match step {
             Step::Look => OperatorRequest::Query(Query::ListConfigurations),
             Step::Submit(base) => OperatorRequest::Command(Command::SubmitConfiguration {
@@ -151,16 +151,16 @@
             Step::Over => return,
         };
         let time = self.time;
-        let operator = &mut self.people.specs[spec];
+        let operator = &mut self.workload.specs[spec];
         operator.serial += 1;
         operator.asked = Some(time);
-        let doing = Doing::SpecCall(spec, operator.serial, step);
-        self.call_control(control, request, Caller::Person(doing));
+        let doing = Activity::SpecCall(spec, operator.serial, step);
+        self.call_control(control, request, Caller::Activity(doing));
     }
 
     fn give_spec_up(&mut self, spec: usize) {
         self.history.specs[spec].refused = true;
-        self.people.specs[spec].step = Step::Over;
+        self.workload.specs[spec].step = Step::Over;
     }
 
     pub(super) fn spec_told(
@@ -170,7 +170,7 @@
         step: Step,
         outcome: &OperatorOutcome,
     ) {
-        let operator = &mut self.people.specs[spec];
+        let operator = &mut self.workload.specs[spec];
         if operator.serial != serial || operator.step != step {
             return;
         }
@@ -208,19 +208,19 @@
             }
             Step::Over => Step::Over,
         };
-        self.people.specs[spec].step = next;
-        self.after(0, Event::Person(Doing::Spec(spec)));
+        self.workload.specs[spec].step = next;
+        self.after(0, Event::Activity(Activity::Spec(spec)));
     }
 
     pub(super) fn read_spec(&mut self) {
         if self.has_orders() {
             return;
         }
-        self.after(1_000_000, Event::Person(Doing::ReadSpec));
-        if let Some(control) = self.draw_node(Kind::Control) {
+        self.after(1_000_000, Event::Activity(Activity::ReadSpec));
+        if let Some(control) = self.draw_node(NodeKind::Control) {
             let request = OperatorRequest::Query(Query::ReadConfiguration(None));
-            let asked = Doing::SpecAsked(self.time);
-            self.call_control(control, request, Caller::Person(asked));
+            let asked = Activity::SpecAsked(self.time);
+            self.call_control(control, request, Caller::Activity(asked));
         }
     }
 
--- a/fleet-simulator/src/world/disk.rs
+++ b/fleet-simulator/src/world/disk.rs
@@ -1,6 +1,6 @@
 //! Disks: writes are synced in order after a while; what was not synced is lost with the power.
 
-use super::{Event, NodeIndex, Plant, World};
+use super::{Event, InjectedBug, NodeIndex, World};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
@@ -84,7 +84,7 @@
             self.tell_disk(node, DiskState::Full);
             return;
         }
-        let lies = self.plant == Some(Plant::LyingDisk);
+        let lies = self.injected_bug == Some(InjectedBug::EarlySyncReport);
         if std::mem::take(&mut self.nodes[node.0].disk.is_told_full) {
             self.tell_disk(node, DiskState::Healthy);
         }
--- a/fleet-simulator/src/world/engines.rs
+++ b/fleet-simulator/src/world/engines.rs
@@ -1,13 +1,13 @@
 //! Simulated engines: their pace falls with the tokens in flight; they crash, go dark, slow down
 //! or cut their returns. Each logs what it runs.
 
-use super::{Event, Plant, SessionEvent, World, sessions::ItemEvent};
+use super::{Event, InjectedBug, SessionEvent, World, sessions::ItemEvent};
 use crate::history::{EngineRun, Piece};
 use topazyard_types::EngineName;
 
 /// How an engine fares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineMood {
+pub enum EngineHealth {
     /// Well.
     Well,
     /// Gone: it takes no connection.
@@ -28,7 +28,7 @@
     /// Where it listens.
     pub address: std::net::SocketAddr,
     /// How it fares.
-    pub mood: EngineMood,
+    pub health: EngineHealth,
     pub(crate) life: u64,
     pub(crate) tokens: u64,
     pub(crate) open: std::collections::BTreeSet<usize>,
@@ -61,7 +61,7 @@
         self.engines.push(Engine {
             name,
             address: std::net::SocketAddr::from(([10, 0, 0, 2], port)),
-            mood: EngineMood::Well,
+            health: EngineHealth::Well,
             life: 1,
             tokens: 0,
             open: std::collections::BTreeSet::new(),
@@ -74,25 +74,26 @@
 
     /// Whether an engine takes connections.
     pub(crate) fn engine_connects(&self, name: &EngineName) -> bool {
-        self.engine_named(name).is_some_and(|at| self.engines[at].mood != EngineMood::Gone)
+        self.engine_named(name).is_some_and(|at| self.engines[at].health != EngineHealth::Gone)
     }
 
     pub(crate) fn engine_takes_looks(&self, name: &EngineName) -> bool {
-        self.engine_named(name)
-            .is_some_and(|at| !matches!(self.engines[at].mood, EngineMood::Gone | EngineMood::Dark))
+        self.engine_named(name).is_some_and(|at| {
+            !matches!(self.engines[at].health, EngineHealth::Gone | EngineHealth::Dark)
+        })
     }
 
     /// How many requests wait inside an engine, if it says so.
     pub(crate) fn engine_queue(&self, name: &EngineName) -> Option<u64> {
         let state = &self.engines[self.engine_named(name)?];
-        let silent = matches!(state.mood, EngineMood::Gone | EngineMood::Dark);
+        let silent = matches!(state.health, EngineHealth::Gone | EngineHealth::Dark);
         (!silent).then(|| state.tokens.saturating_sub(KNEE_TOKENS) / 256)
     }
 
     /// Changes how an engine fares. One that goes breaks all its connections.
-    pub fn set_mood(&mut self, at: usize, mood: EngineMood) {
-        self.engines[at].mood = mood;
-        if mood == EngineMood::Gone {
+    pub fn set_engine_health(&mut self, at: usize, health: EngineHealth) {
+        self.engines[at].health = health;
+        if health == EngineHealth::Gone {
             self.engines[at].life += 1;
             self.engines[at].tokens = 0;
             let open = std::mem::take(&mut self.engines[at].open);
@@ -104,7 +105,7 @@
     }
 
     /// Whether nothing runs and no batch waits.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.engines.iter().all(|engine| engine.open.is_empty()) && self.batches_are_done()
     }
 
@@ -141,18 +142,18 @@
     }
 
     fn engine_runs(&mut self, engine: usize, body: &bytes::Bytes, pieces: u32, back: RunFor) {
-        if self.engines[engine].mood == EngineMood::Gone {
+        if self.engines[engine].health == EngineHealth::Gone {
             let way = self.way();
             self.after(way, broken(back));
             return;
         }
-        let known = self.people.work_of(body);
-        let altered = self.plant == Some(Plant::AlteredBody) && self.draw(0..200) == 0;
+        let known = self.workload.work_of(body);
+        let altered = self.injected_bug == Some(InjectedBug::AlteredBody) && self.draw(0..200) == 0;
         let work = known.filter(|_| !altered);
         let cost = work.map_or(0, |work| self.history.works[work].cost);
         let name = self.engines[engine].name.clone();
         let log = EngineRun { work, engine: name, began: self.time, ended: None, cost };
-        if self.plant == Some(Plant::RunTwice) && self.draw(0..200) == 0 {
+        if self.injected_bug == Some(InjectedBug::RunTwice) && self.draw(0..200) == 0 {
             self.history.runs.push(log.clone());
         }
         self.history.runs.push(log);
@@ -162,10 +163,10 @@
         state.tokens += cost;
         self.mark_run(back, run);
         let state = &mut self.engines[engine];
-        if state.mood == EngineMood::Dark {
+        if state.health == EngineHealth::Dark {
             return;
         }
-        let slow = if let EngineMood::Slow(factor) = state.mood { factor } else { 1 };
+        let slow = if let EngineHealth::Slow(factor) = state.health { factor } else { 1 };
         let crowding = 100 + 100 * (state.tokens * state.tokens) / (KNEE_TOKENS * KNEE_TOKENS);
         let took = (30_000 + cost * 250) * slow * crowding / 100;
         let life = state.life;
@@ -177,19 +178,21 @@
 
     fn engine_returns(&mut self, engine: usize, life: u64, run: usize, piece: Piece, back: RunFor) {
         let state = &self.engines[engine];
-        if state.life != life || state.mood == EngineMood::Dark || !state.open.contains(&run) {
+        if state.life != life || state.health == EngineHealth::Dark || !state.open.contains(&run) {
             return;
         }
-        if state.mood == EngineMood::Cutting && piece.index >= piece.of / 2 {
+        if state.health == EngineHealth::Cutting && piece.index >= piece.of / 2 {
             self.end_run(engine, run);
             let way = self.way();
             self.after(way, broken(back));
             return;
         }
         let way = self.way();
-        let lost = self.plant == Some(Plant::LosePiece) && piece.of > 1 && self.draw(0..300) == 0;
+        let lost = self.injected_bug == Some(InjectedBug::LosePiece)
+            && piece.of > 1
+            && self.draw(0..300) == 0;
         let mut shown = piece;
-        if self.plant == Some(Plant::WrongReturn) && self.draw(0..300) == 0 {
+        if self.injected_bug == Some(InjectedBug::WrongResponse) && self.draw(0..300) == 0 {
             shown.work = shown.work.wrapping_add(1);
         }
         let event = match back {
@@ -202,7 +205,7 @@
             // Pieces of one connection arrive in the order they were sent.
             self.after(900 + u64::from(piece.index), event);
         }
-        if self.plant == Some(Plant::RepeatPiece)
+        if self.injected_bug == Some(InjectedBug::RepeatPiece)
             && piece.of > 1
             && self.draw(0..300) == 0
             && let RunFor::Session(session, tries) = back
--- a/fleet-simulator/src/world/mod.rs
+++ b/fleet-simulator/src/world/mod.rs
@@ -10,10 +10,10 @@
 use rand::{Rng as _, SeedableRng as _};
 
 pub use disk::Disk;
-pub use engines::{Engine, EngineMood};
+pub use engines::{Engine, EngineHealth};
 pub use network::Network;
 pub(crate) use nodes::REPLACED;
-pub use nodes::{Kind, Node, NodeIndex};
+pub use nodes::{Node, NodeIndex, NodeKind};
 pub use sessions::{Session, SessionEvent};
 
 /// Something that is to happen.
@@ -41,7 +41,7 @@
     /// What engines said of their load reaches a control node.
     Loads(NodeIndex, u64, Vec<topazyard_types::EngineName>),
     /// Somebody outside does something.
-    Person(crate::people::Doing),
+    Activity(crate::workload::Activity),
     /// A fault.
     Fault(crate::faults::Fault),
 }
@@ -54,7 +54,7 @@
     /// An item's run.
     Item(usize),
     /// Somebody outside.
-    Person(crate::people::Doing),
+    Activity(crate::workload::Activity),
     /// Nobody waits.
     Nobody,
 }
@@ -74,7 +74,7 @@
     pub engines: Vec<Engine>,
     pub(crate) sessions: Vec<Session>,
     pub(crate) item_runs: Vec<sessions::ItemRun>,
-    pub(crate) people: crate::people::People,
+    pub(crate) workload: crate::workload::Workload,
     /// What was seen from outside.
     pub history: History,
     /// What the processes noted in their logs.
@@ -91,7 +91,7 @@
     /// What each relay last had in force, by its place in the history.
     pub(crate) last_in_force: std::collections::BTreeMap<NodeIndex, usize>,
     /// Bugs planted to show that the checker can fail.
-    pub plant: Option<Plant>,
+    pub injected_bug: Option<InjectedBug>,
     /// After how many more answers on batches disks and power are lost, none if 0, and for how many
     /// milliseconds.
     pub(crate) wipe_after: (u64, u64),
@@ -99,7 +99,7 @@
 
 /// A bug planted in the world, to show that the checker sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedBug {
     /// An engine runs a body twice.
     RunTwice,
     /// A stream's piece is lost.
@@ -107,53 +107,53 @@
     /// A stream's piece is repeated.
     RepeatPiece,
     /// A cut return looks whole.
-    CutLooksWhole,
+    InterruptedLooksComplete,
     /// A return goes to another client.
-    WrongReturn,
+    WrongResponse,
     /// A sent prompt is said not to have run.
-    SayNotRun,
+    ReportNotRun,
     /// An engine runs a body that nobody sent.
     AlteredBody,
     /// A listed return changes.
-    ChangeReturn,
+    ChangeListedResult,
     /// A process's clock stands still while it is frozen.
     StoppedClock,
     /// A prompt that was checked a last time is sent only seconds later.
-    SentLate,
+    SendLate,
     /// An item that was checked a last time is sent only seconds later.
-    ItemsSentLate,
+    SendItemsLate,
     /// Every check against the budget says yes.
-    GrantBudget,
+    AlwaysGrantBudget,
     /// Every check against the ceiling on waiting work says yes.
-    GrantCeiling,
+    AlwaysGrantCeiling,
     /// Holds are never let go.
     LoseReleases,
     /// Refusals don't say when to come back.
-    MuteRefusals,
+    OmitRetryAfter,
     /// A relay that is asked to drain goes at once.
-    HastyDrain,
+    SkipDrain,
     /// Changes of the spec in force are lost on their way to whoever follows the feed.
-    KeepOldSpec,
+    KeepOldConfiguration,
     /// Whoever follows the feed reads a lane into the spec that nobody declared.
-    MapAll,
+    RouteUndeclaredModel,
     /// Refused numbered configurations are said to be acknowledged.
     AcknowledgeAll,
     /// A numbered configuration that is sent again is said to be refused.
-    RefuseSentAgain,
+    RefuseResent,
     /// A numbered configuration that was taken is said to be refused.
-    RefuseTaken,
+    RefuseApplied,
     /// A node refuses numbered configurations without asking anybody.
-    RefuseIdly,
+    RefuseWithoutCause,
     /// Every answer to an operator is lost once the first configuration is taken.
-    LoseAnswers,
+    LoseResponses,
     /// Every read-back gives the first configuration.
-    ReadFirst,
+    ReadFirstConfiguration,
     /// A route is lost on its way to whoever follows the feed.
     LoseRoute,
     /// A relay that learns of a configuration goes on with the one before it for once.
-    GoBack,
+    RevertConfiguration,
     /// Syncs are said before they happen, so that a power loss takes acknowledged writes.
-    LyingDisk,
+    EarlySyncReport,
 }
 
 impl World {
@@ -169,7 +169,7 @@
             engines: Vec::new(),
             sessions: Vec::new(),
             item_runs: Vec::new(),
-            people: crate::people::People::default(),
+            workload: crate::workload::Workload::default(),
             history: History::default(),
             notes: Vec::new(),
             sent: std::collections::BTreeMap::new(),
@@ -178,7 +178,7 @@
             bounds: topazyard_spec::Bounds::default(),
             weighed: std::collections::BTreeMap::new(),
             last_in_force: std::collections::BTreeMap::new(),
-            plant: None,
+            injected_bug: None,
             wipe_after: (0, 0),
         }
     }
@@ -221,7 +221,7 @@
             Event::Item(event) => self.item_event(event),
             Event::Looked(node, life, engine, is_well) => self.looked(node, life, engine, is_well),
             Event::Loads(node, life, engines) => self.loads(node, life, engines),
-            Event::Person(doing) => self.person_does(doing),
+            Event::Activity(doing) => self.person_does(doing),
             Event::Fault(fault) => self.cause(fault),
         }
     }
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -1,6 +1,6 @@
 //! The network: delays, losses and cuts, one way or both.
 
-use super::{Event, Plant, World};
+use super::{Event, InjectedBug, World};
 use topazyard_wire::message::counter::CounterBody;
 use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 
@@ -10,7 +10,7 @@
     /// Frames lost, of ten thousand.
     pub loss_per_10000: u64,
     /// Frames that come twice, and as many that come late, of ten thousand.
-    pub untidy_per_10000: u64,
+    pub disordered_per_10000: u64,
     cuts: std::collections::BTreeSet<(std::net::SocketAddr, std::net::SocketAddr)>,
 }
 
@@ -45,14 +45,14 @@
         to: std::net::SocketAddr,
         mut message: topazyard_wire::Message,
     ) {
-        if self.plant.is_some_and(|plant| spoil(plant, &mut message)) {
+        if self.injected_bug.is_some_and(|injected_bug| spoil(injected_bug, &mut message)) {
             return;
         }
         *self.sent.entry(kind_of(&message)).or_default() += 1;
         if self.network.is_cut(from, to) || self.draw(0..10_000) < self.network.loss_per_10000 {
             return;
         }
-        let untidy = self.network.untidy_per_10000;
+        let untidy = self.network.disordered_per_10000;
         if untidy > 0 && self.draw(0..10_000) < untidy {
             let way = self.way() + self.draw(0..500_000);
             let message = message.clone();
@@ -65,16 +65,18 @@
 }
 
 /// Spoils a frame as the planted bug would; gives whether it is lost.
-fn spoil(plant: Plant, message: &mut topazyard_wire::Message) -> bool {
+fn spoil(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
     if let topazyard_wire::Message::Feed(FeedMessage::Update { content, .. }) = message {
-        spoil_news(plant, content);
+        spoil_news(injected_bug, content);
     }
     let topazyard_wire::Message::Counter(message) = message else { return false };
-    match (plant, &mut message.body) {
-        (Plant::GrantBudget, CounterBody::Added { granted, .. })
-        | (Plant::GrantCeiling, CounterBody::WaitingSettled { granted, .. }) => *granted = true,
-        (Plant::LoseReleases, CounterBody::Release(_)) => return true,
-        (Plant::LoseReleases, CounterBody::Renew { up_to, .. }) => {
+    match (injected_bug, &mut message.body) {
+        (InjectedBug::AlwaysGrantBudget, CounterBody::Added { granted, .. })
+        | (InjectedBug::AlwaysGrantCeiling, CounterBody::WaitingSettled { granted, .. }) => {
+            *granted = true
+        }
+        (InjectedBug::LoseReleases, CounterBody::Release(_)) => return true,
+        (InjectedBug::LoseReleases, CounterBody::Renew { up_to, .. }) => {
             *up_to = topazyard_types::HoldId(0);
         }
         _ => {}
@@ -82,7 +84,7 @@
     false
 }
 
-fn spoil_news(plant: Plant, content: &mut UpdateContent) {
+fn spoil_news(injected_bug: InjectedBug, content: &mut UpdateContent) {
     use topazyard_wire::rows::{decode, encode};
     use topazyard_wire::state::{IN_FORCE, InForceRow, ROUTES};
     let mapped = |value: &mut bytes::Bytes| {
@@ -91,19 +93,19 @@
             *value = encode(&InForceRow { text, ..row });
         }
     };
-    match (plant, content) {
-        (Plant::KeepOldSpec, UpdateContent::Changes(changes)) => {
+    match (injected_bug, content) {
+        (InjectedBug::KeepOldConfiguration, UpdateContent::Changes(changes)) => {
             changes.retain(|change| change.key != IN_FORCE && !change.key.starts_with(ROUTES));
         }
-        (Plant::LoseRoute, UpdateContent::Changes(changes)) => {
+        (InjectedBug::LoseRoute, UpdateContent::Changes(changes)) => {
             let of_route = changes.iter().position(|change| change.key.starts_with(ROUTES));
             of_route.map(|at| changes.remove(at));
         }
-        (Plant::MapAll, UpdateContent::Changes(changes)) => {
+        (InjectedBug::RouteUndeclaredModel, UpdateContent::Changes(changes)) => {
             let of_spec = changes.iter_mut().filter(|change| change.key == IN_FORCE);
             of_spec.filter_map(|change| change.value.as_mut()).for_each(mapped);
         }
-        (Plant::MapAll, UpdateContent::Snapshot(rows)) => {
+        (InjectedBug::RouteUndeclaredModel, UpdateContent::Snapshot(rows)) => {
             let of_spec = rows.iter_mut().filter(|(key, _)| key == IN_FORCE);
             of_spec.for_each(|(_, value)| mapped(value));
         }
--- a/fleet-simulator/src/world/nodes/in_force.rs
+++ b/fleet-simulator/src/world/nodes/in_force.rs
@@ -2,8 +2,8 @@
 
 use super::{Body, NodeIndex};
 use crate::history::InForceSeen;
-use crate::people::fingerprint;
-use crate::world::{Plant, World};
+use crate::workload::fingerprint;
+use crate::world::{InjectedBug, World};
 
 impl World {
     /// Notes what a relay has in force after it heard of the feed.
@@ -28,7 +28,7 @@
         };
         match before {
             Some(before) if is_same(&before) => self.extend_in_force(index),
-            Some(before) if self.plant == Some(Plant::GoBack) => {
+            Some(before) if self.injected_bug == Some(InjectedBug::RevertConfiguration) => {
                 self.note_in_force(index, seen);
                 self.note_in_force(index, InForceSeen { from: time, until: time, ..before });
             }
--- a/fleet-simulator/src/world/nodes/watch.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -43,7 +43,7 @@
     }
 
     /// A storage node that runs, has a copy of a shard and doesn't serve it.
-    pub fn other_holder(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
+    pub fn other_replica(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
         let holds = |node: &Node| match &node.body {
             Body::Storage(machine) => machine.copy(shard).is_some() && !machine.is_serving(shard),
             _ => false,
@@ -52,7 +52,7 @@
     }
 
     /// The storage nodes that run and have a copy of a shard.
-    pub(crate) fn holders(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
+    pub(crate) fn replica_nodes(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
         let holds = |node: &Node| match &node.body {
             Body::Storage(machine) => machine.copy(shard).is_some(),
             _ => false,
@@ -83,7 +83,7 @@
     }
 
     /// Holds at the counter, where one leads it.
-    pub fn holds(&self) -> Option<usize> {
+    pub fn counter_holds(&self) -> Option<usize> {
         self.nodes.iter().find_map(|node| match &node.body {
             Body::Storage(machine) if machine.is_serving(topazyard_types::ShardId::COUNTER) => {
                 machine.holds()
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -2,10 +2,10 @@
 
 mod clocks;
 mod in_force;
+mod inspection;
 mod steps;
-mod watch;
 
-use super::{Caller, Disk, Event, Plant, World};
+use super::{Caller, Disk, Event, InjectedBug, World};
 use crate::history::{Struck, StruckSeen, Us};
 use topazyard_control::ControlMachine;
 use topazyard_edge_agent::AgentMachine;
@@ -22,7 +22,7 @@
 
 /// What a process is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum NodeKind {
     /// A control node.
     Control,
     /// A storage node.
@@ -55,7 +55,7 @@
     /// Its name.
     pub name: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// Where it takes frames.
     pub address: std::net::SocketAddr,
     /// Its neighbour, for relays and agents.
@@ -87,7 +87,7 @@
     }
 
     /// Whether it runs.
-    pub fn is_on(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         !matches!(self.body, Body::Off)
     }
 }
@@ -97,7 +97,7 @@
     pub fn add_node(
         &mut self,
         name: String,
-        kind: Kind,
+        kind: NodeKind,
         port: u16,
         beside: Option<u16>,
         zone: u16,
@@ -127,7 +127,7 @@
 
     /// Starts a process from what its disk holds.
     pub fn start(&mut self, index: NodeIndex) {
-        if self.nodes[index.0].is_on() {
+        if self.nodes[index.0].is_running() {
             return;
         }
         if self.nodes[index.0].disk.is_full {
@@ -147,7 +147,7 @@
         node.stood_still = 0;
         node.frozen_until = None;
         node.calls.clear();
-        let keeps_id = matches!(node.kind, Kind::Control | Kind::Storage);
+        let keeps_id = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let rows = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
         let kept = rows.get("id").and_then(|value| topazyard_wire::rows::decode(value));
         node.id = match kept {
@@ -160,9 +160,9 @@
             }
         };
         let role = match node.kind {
-            Kind::Control => MemberRole::Control,
-            Kind::Storage => MemberRole::Storage,
-            Kind::Agent | Kind::Relay => MemberRole::Edge,
+            NodeKind::Control => MemberRole::Control,
+            NodeKind::Storage => MemberRole::Storage,
+            NodeKind::Agent | NodeKind::Relay => MemberRole::Edge,
         };
         let member = Member {
             id: node.id,
@@ -180,7 +180,7 @@
         let now = self.node_clock(index);
         let mut first = Vec::new();
         let body = match kind {
-            Kind::Control => {
+            NodeKind::Control => {
                 let resources = topazyard_spec::Resources::default();
                 let start = DiskStart {
                     member,
@@ -195,7 +195,7 @@
                 first = effects;
                 Body::Control(Box::new(machine))
             }
-            Kind::Storage => {
+            NodeKind::Storage => {
                 let resources = topazyard_spec::Resources::default();
                 let start = DiskStart {
                     member,
@@ -208,7 +208,7 @@
                 };
                 Body::Storage(Box::new(StorageMachine::new(start)))
             }
-            Kind::Agent => {
+            NodeKind::Agent => {
                 let remembered = topazyard_wire::driver::disked::Remembered::read(&loaded);
                 let start = topazyard_edge_agent::Start {
                     member,
@@ -219,7 +219,7 @@
                 };
                 Body::Agent(Box::new(AgentMachine::new(start)))
             }
-            Kind::Relay => {
+            NodeKind::Relay => {
                 let start = topazyard_relay::Start { node: id, agent: beside, bounds };
                 Body::Relay(Box::new(RelayMachine::new(&start)))
             }
@@ -236,7 +236,7 @@
     /// Ends a process; `power` says whether the power goes with it.
     pub fn stop(&mut self, index: NodeIndex, power: bool) {
         let more = self.draw(0..4) as usize;
-        if self.nodes[index.0].is_on() {
+        if self.nodes[index.0].is_running() {
             self.strike_for(index, Struck::Off);
         }
         let node = &mut self.nodes[index.0];
@@ -259,7 +259,7 @@
         if let Some(struck) = self.history.struck.last_mut() {
             struck.until = Some(until);
         }
-        if self.plant == Some(Plant::StoppedClock) {
+        if self.injected_bug == Some(InjectedBug::StoppedClock) {
             self.nodes[index.0].stood_still += us;
         }
     }
@@ -267,7 +267,7 @@
     /// Notes that a process's machine is struck from now on.
     pub(crate) fn strike_for(&mut self, index: NodeIndex, by: Struck) {
         let node = &self.nodes[index.0];
-        let has_disk = matches!(node.kind, Kind::Control | Kind::Storage);
+        let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let (name, from) = (node.name.clone(), self.time);
         self.history.struck.push(StruckSeen { name, by, has_disk, from, until: None });
     }
@@ -323,7 +323,7 @@
     }
 
     pub(crate) fn find(&self, address: std::net::SocketAddr) -> Option<NodeIndex> {
-        let found = |node: &Node| node.address == address && node.is_on();
+        let found = |node: &Node| node.address == address && node.is_running();
         self.nodes.iter().position(found).map(NodeIndex)
     }
 
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -218,8 +218,8 @@
                 self.session_returned(session, value);
             }
             (Caller::Item(run), Outcome::Relay(value)) => self.item_returned(run, value),
-            (Caller::Person(doing), Outcome::Relay(value)) => self.relay_told(doing, value),
-            (Caller::Person(doing), Outcome::Operate(value)) => self.control_told(doing, value),
+            (Caller::Activity(doing), Outcome::Relay(value)) => self.relay_told(doing, value),
+            (Caller::Activity(doing), Outcome::Operate(value)) => self.control_told(doing, value),
             _ => {}
         }
     }
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -2,7 +2,7 @@
 //! the real process, and runs of items.
 
 use super::engines::{EngineEvent, RunFor};
-use super::{Caller, Event, NodeIndex, Plant, World};
+use super::{Caller, Event, InjectedBug, NodeIndex, World};
 use crate::history::{Piece, PromptEnd, Us};
 use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId, Target};
 use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine, State};
@@ -131,10 +131,10 @@
 
     fn answer_error(&mut self, at: usize, engine_outcome: EngineOutcome, error: &ApiError) {
         let mut ran = error.ran;
-        if self.plant == Some(Plant::SayNotRun) {
+        if self.injected_bug == Some(InjectedBug::ReportNotRun) {
             ran = Execution::NotRun;
         }
-        let mute = self.plant == Some(Plant::MuteRefusals);
+        let mute = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
         let says_when = error.code.retry_after_s().is_some() && !mute;
         let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
         self.end_session(at, engine_outcome, end);
@@ -190,13 +190,13 @@
         let timeout = session.state_machine.timeout(now);
         let Some(engine) = name.and_then(|name| self.engine_named(&name)) else { return };
         let back = RunFor::Session(at, tries);
-        let way = self.way_to_engine(Plant::SentLate);
+        let way = self.way_to_engine(InjectedBug::SendLate);
         self.after(way, Event::Engine(EngineEvent::Arrives { engine, body, pieces, back }));
         self.after(timeout.0 * 1_000, Event::Session(at, SessionEvent::HeadLate(tries)));
     }
 
-    fn way_to_engine(&mut self, late: Plant) -> Us {
-        let late = if self.plant == Some(late) { 7_000_000 } else { 0 };
+    fn way_to_engine(&mut self, late: InjectedBug) -> Us {
+        let late = if self.injected_bug == Some(late) { 7_000_000 } else { 0 };
         late + self.way()
     }
 
@@ -241,7 +241,7 @@
             SessionEvent::Piece(at_try, piece) if at_try == tries => self.relay_piece(at, piece),
             SessionEvent::Broken(at_try) if at_try == tries => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
-                if sent && self.plant == Some(Plant::CutLooksWhole) {
+                if sent && self.injected_bug == Some(InjectedBug::InterruptedLooksComplete) {
                     self.end_session(at, EngineOutcome::Failed, PromptEnd::Whole);
                 } else if sent {
                     self.failed(at, Failure::ConnectionLost);
@@ -339,7 +339,7 @@
                 let body = self.item_runs[at].body.clone();
                 let name: EngineName = self.item_runs[at].target.engine.clone();
                 let Some(engine) = self.engine_named(&name) else { return };
-                let way = self.way_to_engine(Plant::ItemsSentLate);
+                let way = self.way_to_engine(InjectedBug::SendItemsLate);
                 let back = RunFor::Item(at);
                 let event = EngineEvent::Arrives { engine, body, pieces: 1, back };
                 self.after(way, Event::Engine(event));
