--- a/fleet-measure/src/knee.rs
+++ b/fleet-measure/src/knee.rs
@@ -61,8 +61,13 @@
                 let limit = std::time::Duration::from_secs(60);
                 let post = hyper::Method::POST;
                 let body = body.to_string().into();
-                let answer =
-                    topazyard_wire::http::outward::exchange(engine, post, "/generate", body, limit);
+                let answer = topazyard_wire::http::outbound::exchange(
+                    engine,
+                    post,
+                    "/generate",
+                    body,
+                    limit,
+                );
                 if matches!(answer.await, Ok((200, _))) {
                     took.push(begun.elapsed().as_millis() as u64);
                 }
--- a/fleet-measure/src/watch.rs
+++ b/fleet-measure/src/watch.rs
@@ -66,7 +66,7 @@
     let relay = flags.relays[number as usize % flags.relays.len()];
     let limit = std::time::Duration::from_millis(flags.wait_ms + 500);
     let work = async {
-        let connection = topazyard_wire::http::outward::connect(relay, limit).await.ok()?;
+        let connection = topazyard_wire::http::outbound::connect(relay, limit).await.ok()?;
         let body = serde_json::json!({
             "inputs": format!("watch {number}"), "parameters": { "max_new_tokens": 32 },
         });
@@ -76,7 +76,7 @@
             .header(hyper::header::HOST, relay.to_string())
             .header("Topazyard-Model", "m")
             .header("Topazyard-Time-Remaining", flags.wait_ms)
-            .body(topazyard_wire::http::whole(body.to_string()))
+            .body(topazyard_wire::http::full_body(body.to_string()))
             .ok()?;
         let response = connection.send(request).await.ok()?;
         let is_whole = response.status().as_u16() == 200;
--- a/fleet-simulator/src/check/invariants.rs
+++ b/fleet-simulator/src/check/invariants.rs
@@ -6,7 +6,7 @@
 /// The invariants that this thread violated since its counts were taken. A run has a thread of its
 /// own, so these are the run's.
 pub fn violated_since(before: &[(Invariant, u64)]) -> Vec<Violation> {
-    let counts = invariants::counts_of_thread().into_iter().zip(before);
+    let counts = invariants::thread_counts().into_iter().zip(before);
     let newly = counts.map(|((invariant, count), (_, before))| (invariant, count - before));
     let newly = newly.filter(|(_, count)| *count > 0);
     newly.map(|(invariant, count)| violation(invariant, count)).collect()
--- a/fleet-simulator/src/model/world.rs
+++ b/fleet-simulator/src/model/world.rs
@@ -233,7 +233,7 @@
             resources: topazyard_spec::Resources::default(),
             member,
             seeds,
-            chance: (node.lives << 40) + ((number as u64) << 32) + 1,
+            random_seed: (node.lives << 40) + ((number as u64) << 32) + 1,
             loaded: node.disk.synced.clone(),
             bounds,
             may_bootstrap: self.founding,
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/carry.rs
@@ -71,9 +71,9 @@
                         self.step(number, Input::Written(token));
                     }
                 }
-                Effect::Return { call, value } => self.answer(number, call, value),
-                Effect::Note { text, .. } => self.note(|| format!("    n{number}: {text}")),
-                Effect::Start(_) => {}
+                Effect::Respond { call, value } => self.answer(number, call, value),
+                Effect::Log { text, .. } => self.note(|| format!("    n{number}: {text}")),
+                Effect::StartTask(_) => {}
             }
         }
     }
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -113,7 +113,7 @@
     injected_bug: Option<InjectedBug>,
     habits: WorkloadSettings,
 ) -> Report {
-    let violated_before = topazyard_wire::invariants::counts_of_thread();
+    let violated_before = topazyard_wire::invariants::thread_counts();
     let mut world = build(deployment, seed);
     world.injected_bug = injected_bug;
     world.workload.settings = WorkloadSettings { is_active: false, ..habits };
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -134,7 +134,7 @@
             self.nodes[index.0].disk.is_awaited = true;
             return;
         }
-        let chance = self.draw(0..u64::MAX);
+        let random_seed = self.draw(0..u64::MAX);
         let fresh = NodeId(self.draw(1..u64::MAX) | 1);
         let time = self.time;
         let name = self.nodes[index.0].name.clone();
@@ -185,7 +185,7 @@
                 let start = DiskStart {
                     member,
                     seeds,
-                    chance,
+                    random_seed,
                     loaded,
                     bounds,
                     resources,
@@ -200,7 +200,7 @@
                 let start = DiskStart {
                     member,
                     seeds,
-                    chance,
+                    random_seed,
                     loaded,
                     bounds,
                     resources,
@@ -209,13 +209,14 @@
                 Body::Storage(Box::new(StorageMachine::new(start)))
             }
             NodeKind::Agent => {
-                let remembered = topazyard_wire::driver::disked::Remembered::read(&loaded);
+                let remembered =
+                    topazyard_wire::driver::disk_start::KnownControlNodes::read(&loaded);
                 let start = topazyard_edge_agent::Start {
                     member,
                     seeds,
                     remembered: Some(remembered),
                     relay: beside,
-                    chance,
+                    random_seed,
                 };
                 Body::Agent(Box::new(AgentMachine::new(start)))
             }
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -123,11 +123,11 @@
                 for effect in effects {
                     match effect {
                         Effect::Send { to, message } => self.send_from(index, to, message),
-                        Effect::Return { call, value } => {
+                        Effect::Respond { call, value } => {
                             self.returned(index, call, Outcome::Relay(value));
                         }
-                        Effect::Start(task) => self.begin_task(index, task),
-                        Effect::Note { text, .. } => self.note(index, &text),
+                        Effect::StartTask(task) => self.begin_task(index, task),
+                        Effect::Log { text, .. } => self.note(index, &text),
                         Effect::Write { .. } => {}
                     }
                 }
@@ -150,9 +150,9 @@
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
             Effect::Write { token, changes } => self.write(index, token, changes),
-            Effect::Note { text, .. } => self.note(index, &text),
-            Effect::Return { .. } => {}
-            Effect::Start(never) => match never {},
+            Effect::Log { text, .. } => self.note(index, &text),
+            Effect::Respond { .. } => {}
+            Effect::StartTask(never) => match never {},
         }
     }
 
@@ -164,11 +164,11 @@
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
             Effect::Write { token, changes } => self.write(index, token, changes),
-            Effect::Return { call, value } => self.returned(index, call, Outcome::Operate(value)),
-            Effect::Note { text, .. } => self.note(index, &text),
+            Effect::Respond { call, value } => self.returned(index, call, Outcome::Operate(value)),
+            Effect::Log { text, .. } => self.note(index, &text),
             // The platform hands the list of engines in.
-            Effect::Start(topazyard_control::ControlTask::ListEngines) => {}
-            Effect::Start(topazyard_control::ControlTask::FetchLoads(engines)) => {
+            Effect::StartTask(topazyard_control::ControlTask::ListEngines) => {}
+            Effect::StartTask(topazyard_control::ControlTask::FetchLoads(engines)) => {
                 let life = self.nodes[index.0].life;
                 let names = engines.into_iter().map(|engine| engine.name).collect();
                 let us = 2 * self.way();
--- a/fleet-simulator/tests/invariants.rs
+++ b/fleet-simulator/tests/invariants.rs
@@ -2,15 +2,16 @@
 
 use fleet_simulator::check::Line;
 use fleet_simulator::check::invariants::violated_since;
-use topazyard_wire::invariants::{Invariant, counts_of_thread, violated};
+use topazyard_wire::invariants::{Invariant, report_violation, thread_counts};
 
 #[test]
 fn a_run_reports_its_own_violations_alone() {
-    let before = counts_of_thread();
-    let other_run = std::thread::spawn(|| violated(Invariant::FeedPlaceHasOneState, "planted"));
+    let before = thread_counts();
+    let other_run =
+        std::thread::spawn(|| report_violation(Invariant::FeedPositionHasOneState, "planted"));
     other_run.join().unwrap();
     assert!(violated_since(&before).is_empty());
-    violated(Invariant::EpochHasOneRecord, "planted");
+    report_violation(Invariant::EpochHasOneRecord, "planted");
     let seen = violated_since(&before);
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].line, Line::Invariant);
--- a/libraries/topazyard-replication/src/follower.rs
+++ b/libraries/topazyard-replication/src/follower.rs
@@ -290,7 +290,9 @@
         let before = is_repeated.then(|| self.copy.digests().to_vec());
         self.copy.apply(position.epoch, position.sequence, changes);
         let is_same = before.is_none_or(|digests| digests == self.copy.digests());
-        invariants::check(is_same, Invariant::FeedPlaceHasOneState, || format!("place={position}"));
+        invariants::check(is_same, Invariant::FeedPositionHasOneState, || {
+            format!("place={position}")
+        });
         FollowOutcome::Changed
     }
 }
--- a/libraries/topazyard-replication/tests/invariants.rs
+++ b/libraries/topazyard-replication/tests/invariants.rs
@@ -41,7 +41,7 @@
     let mut follower = FeedFollower::new(sources, BootId(1));
     follow(&mut follower, 1_000, 5);
     follow(&mut follower, 2_000, 5);
-    assert_eq!(violations(Invariant::FeedPlaceHasOneState), 0);
+    assert_eq!(violations(Invariant::FeedPositionHasOneState), 0);
     follow(&mut follower, 3_000, 6);
-    assert_eq!(violations(Invariant::FeedPlaceHasOneState), 1);
+    assert_eq!(violations(Invariant::FeedPositionHasOneState), 1);
 }
--- a/libraries/topazyard-wire/src/disk/error.rs
+++ b/libraries/topazyard-wire/src/disk/error.rs
@@ -8,7 +8,7 @@
     /// the disk that holds {0:?} is full
     Full(PathBuf),
     /// the file {0:?} is held by another process
-    Held(PathBuf),
+    Locked(PathBuf),
     /// the file {0:?} is damaged: {1}
     Damaged(PathBuf, String),
     /// the file {0:?} is of the unknown format {1}
@@ -23,12 +23,12 @@
 
 impl DiskError {
     /// What an error of the database means for its file.
-    pub fn of_database(file: &Path, error: impl Into<redb::Error>) -> Self {
+    pub fn from_database_error(file: &Path, error: impl Into<redb::Error>) -> Self {
         let file = file.to_owned();
         match error.into() {
-            redb::Error::Io(error) => Self::of_io(&file, &error),
+            redb::Error::Io(error) => Self::from_io_error(&file, &error),
             redb::Error::DatabaseAlreadyOpen | redb::Error::LockProtocolMismatch => {
-                Self::Held(file)
+                Self::Locked(file)
             }
             redb::Error::UpgradeRequired(version) => Self::UnknownFormat(file, version.into()),
             error @ (redb::Error::PreviousIo
@@ -44,12 +44,12 @@
     /// ```
     /// use std::io::{Error, ErrorKind};
     /// use topazyard_wire::disk::DiskError;
-    /// let of = |kind| DiskError::of_io("node.redb".as_ref(), &Error::from(kind));
+    /// let of = |kind| DiskError::from_io_error("node.redb".as_ref(), &Error::from(kind));
     /// assert!(matches!(of(ErrorKind::StorageFull), DiskError::Full(_)));
     /// assert!(matches!(of(ErrorKind::InvalidData), DiskError::Damaged(..)));
     /// assert!(matches!(of(ErrorKind::PermissionDenied), DiskError::Failed(..)));
     /// ```
-    pub fn of_io(file: &Path, error: &std::io::Error) -> Self {
+    pub fn from_io_error(file: &Path, error: &std::io::Error) -> Self {
         use std::io::ErrorKind;
         let file = file.to_owned();
         match error.kind() {
--- a/libraries/topazyard-wire/src/disk/open.rs
+++ b/libraries/topazyard-wire/src/disk/open.rs
@@ -46,7 +46,7 @@
 /// A file that is damaged or of an unknown format is refused, never mended by guessing. A disk that
 /// is full is said to be full: what it holds may be opened once there is room.
 pub fn open(folder: &Path) -> Result<OpenDisk, DiskError> {
-    std::fs::create_dir_all(folder).map_err(|error| DiskError::of_io(folder, &error))?;
+    std::fs::create_dir_all(folder).map_err(|error| DiskError::from_io_error(folder, &error))?;
     read_all(open_file(folder)?, folder.join(FILE))
 }
 
@@ -55,7 +55,7 @@
 /// # Errors
 /// As with [`open`].
 pub fn reopen(folder: &Path) -> Result<redb::Database, DiskError> {
-    find_room(folder)?;
+    check_free_space(folder)?;
     open_file(folder)
 }
 
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// The disk is full, or the folder can't be written.
-pub fn find_room(folder: &Path) -> Result<(), DiskError> {
+pub fn check_free_space(folder: &Path) -> Result<(), DiskError> {
     let probe = folder.join(PROBE);
     let written = std::fs::File::create(&probe).and_then(|mut file| {
         std::io::Write::write_all(&mut file, &vec![0; ROOM_BYTES])?;
@@ -71,7 +71,7 @@
     });
     // One that stays is written over by the next.
     let _ = std::fs::remove_file(&probe);
-    written.map_err(|error| DiskError::of_io(folder, &error))
+    written.map_err(|error| DiskError::from_io_error(folder, &error))
 }
 
 fn open_file(folder: &Path) -> Result<redb::Database, DiskError> {
@@ -79,7 +79,7 @@
     match path.try_exists() {
         Ok(true) => open_database(&path),
         Ok(false) => make_file(folder, &path),
-        Err(error) => Err(DiskError::of_io(&path, &error)),
+        Err(error) => Err(DiskError::from_io_error(&path, &error)),
     }
 }
 
@@ -90,7 +90,7 @@
     let database = match open_database(&new) {
         Err(DiskError::Damaged(..)) => {
             // It was never whole, so nothing was ever kept in it.
-            std::fs::File::create(&new).map_err(|error| DiskError::of_io(&new, &error))?;
+            std::fs::File::create(&new).map_err(|error| DiskError::from_io_error(&new, &error))?;
             open_database(&new)?
         }
         opened => opened?,
@@ -98,15 +98,15 @@
     let named = std::fs::rename(&new, path)
         .and_then(|()| std::fs::File::open(folder))
         .and_then(|folder| folder.sync_all());
-    named.map_err(|error| DiskError::of_io(path, &error))?;
+    named.map_err(|error| DiskError::from_io_error(path, &error))?;
     Ok(database)
 }
 
 fn open_database(path: &Path) -> Result<redb::Database, DiskError> {
     let mut options = std::fs::OpenOptions::new();
     let file = options.read(true).write(true).create(true).truncate(false).open(path);
-    let file = file.map_err(|error| DiskError::of_io(path, &error))?;
-    let of_database = |error| DiskError::of_database(path, error);
+    let file = file.map_err(|error| DiskError::from_io_error(path, &error))?;
+    let of_database = |error| DiskError::from_database_error(path, error);
     let backend = redb::backends::FileBackend::new(file).map_err(of_database)?;
     let mut builder = redb::Database::builder();
     builder.set_cache_size(CACHE_BYTES);
@@ -118,7 +118,7 @@
 /// # Errors
 /// As with [`open`].
 pub fn read_all(database: redb::Database, file: PathBuf) -> Result<OpenDisk, DiskError> {
-    let of_database = |error: redb::Error| DiskError::of_database(&file, error);
+    let of_database = |error: redb::Error| DiskError::from_database_error(&file, error);
     match settled_format(&database).map_err(of_database)? {
         FORMAT => {}
         other => return Err(DiskError::UnknownFormat(file, other)),
--- a/libraries/topazyard-wire/src/disk/state.rs
+++ b/libraries/topazyard-wire/src/disk/state.rs
@@ -43,7 +43,7 @@
 impl DiskWatch {
     /// The disk thread says that the disk is full, or no longer. What waited for room counts as
     /// begun once there is some: the disk did not stall.
-    pub fn take_state(&mut self, state: DiskState, now: MonotonicMs) {
+    pub fn set_state(&mut self, state: DiskState, now: MonotonicMs) {
         let was_full = std::mem::replace(&mut self.is_full, state == DiskState::Full);
         if was_full && !self.is_full {
             self.unsynced.iter_mut().for_each(|(_, begun)| *begun = now);
@@ -51,12 +51,12 @@
     }
 
     /// A write is handed to the disk.
-    pub fn begun(&mut self, token: WriteToken, now: MonotonicMs) {
+    pub fn write_started(&mut self, token: WriteToken, now: MonotonicMs) {
         self.unsynced.push_back((token, now));
     }
 
     /// A write is synced, and with it all that were begun before it.
-    pub fn synced(&mut self, token: WriteToken) {
+    pub fn write_synced(&mut self, token: WriteToken) {
         if let Some(at) = self.unsynced.iter().position(|(begun, _)| *begun == token) {
             self.unsynced.drain(..=at);
         }
@@ -68,12 +68,12 @@
     }
 
     /// Whether a duty may be taken on that needs another write.
-    pub fn takes_more(&self) -> bool {
+    pub fn accepts_writes(&self) -> bool {
         !self.is_full && self.unsynced.len() < MOST_UNSYNCED
     }
 
     /// How long the oldest write that is not synced has taken.
-    pub fn oldest_write(&self, now: MonotonicMs) -> DurationMs {
+    pub fn oldest_write_age(&self, now: MonotonicMs) -> DurationMs {
         self.unsynced.front().map_or(DurationMs(0), |(_, begun)| now.since(*begun))
     }
 
@@ -84,21 +84,21 @@
     /// use topazyard_wire::{Group, WriteToken, disk::{DiskState, DiskWatch}};
     /// let mut watch = DiskWatch::default();
     /// let token = WriteToken { group: Group::Node, number: 1 };
-    /// watch.begun(token, MonotonicMs(0));
+    /// watch.write_started(token, MonotonicMs(0));
     /// assert_eq!(watch.state(MonotonicMs(5_000)), DiskState::Stalled);
-    /// watch.synced(token);
+    /// watch.write_synced(token);
     /// assert_eq!(watch.state(MonotonicMs(5_000)), DiskState::Healthy);
     /// ```
     pub fn state(&self, now: MonotonicMs) -> DiskState {
         match self.is_full {
             true => DiskState::Full,
-            false if self.oldest_write(now) >= STALLED_AFTER => DiskState::Stalled,
+            false if self.oldest_write_age(now) >= STALLED_AFTER => DiskState::Stalled,
             false => DiskState::Healthy,
         }
     }
 
     /// The state, if it is another than when this was last asked.
-    pub fn news(&mut self, now: MonotonicMs) -> Option<DiskState> {
+    pub fn take_state_change(&mut self, now: MonotonicMs) -> Option<DiskState> {
         let state = self.state(now);
         (std::mem::replace(&mut self.noted, state) != state).then_some(state)
     }
--- a/libraries/topazyard-wire/src/disk/writer.rs
+++ b/libraries/topazyard-wire/src/disk/writer.rs
@@ -113,7 +113,7 @@
             None => (self.reopen)()?,
         };
         commit(&database, batch)
-            .map_err(|error| DiskError::of_database(super::open::FILE.as_ref(), error))?;
+            .map_err(|error| DiskError::from_database_error(super::open::FILE.as_ref(), error))?;
         self.database = Some(database);
         Ok(())
     }
--- a/libraries/topazyard-wire/src/driver/actor.rs
+++ b/libraries/topazyard-wire/src/driver/actor.rs
@@ -14,18 +14,18 @@
     /// The disk is full, or has room again.
     Disk(crate::disk::DiskState),
     /// A call from within the process, with where its return goes if anyone waits for it.
-    Call(M::Call, Option<tokio::sync::oneshot::Sender<M::Return>>),
+    Call(M::Call, Option<tokio::sync::oneshot::Sender<M::Response>>),
 }
 
 /// Owns a machine, its links, its disk and the calls that wait for a return.
 pub(crate) struct Driver<M: Machine> {
     pub(crate) machine: M,
     pub(crate) clock: super::Clock,
-    pub(crate) place: super::Place,
+    pub(crate) place: super::NodeIdentity,
     pub(crate) links: crate::link::Links,
     pub(crate) disk: Option<crate::disk::Writer>,
     pub(crate) tasks: tokio::sync::mpsc::Sender<M::Task>,
-    pub(crate) calls: std::collections::HashMap<CallId, tokio::sync::oneshot::Sender<M::Return>>,
+    pub(crate) calls: std::collections::HashMap<CallId, tokio::sync::oneshot::Sender<M::Response>>,
     pub(crate) last_call: CallId,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl<M: Machine> Driver<M> {
-    pub(super) fn make_happen(&mut self, effect: Effect<M::Return, M::Task>) {
+    pub(super) fn make_happen(&mut self, effect: Effect<M::Response, M::Task>) {
         match effect {
             Effect::Send { to, message } => {
                 let frame = crate::Frame {
@@ -91,19 +91,19 @@
                     super::give_up::give_up("a write could not be handed to the disk");
                 }
             }
-            Effect::Return { call, value } => {
+            Effect::Respond { call, value } => {
                 if let Some(waiting) = self.calls.remove(&call) {
                     // Whoever asked may have gone; nothing depends on it.
                     let _ = waiting.send(value);
                 }
             }
-            Effect::Start(task) => {
+            Effect::StartTask(task) => {
                 if self.tasks.try_send(task).is_err() {
                     super::give_up::give_up("a task could not be handed on");
                 }
             }
-            Effect::Note { grave: true, text } => spdlog::error!("{text}"),
-            Effect::Note { grave: false, text } => spdlog::info!("{text}"),
+            Effect::Log { is_error: true, text } => spdlog::error!("{text}"),
+            Effect::Log { is_error: false, text } => spdlog::info!("{text}"),
         }
     }
 }
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// The machine has ended, or let the call go.
-    pub async fn call(&self, request: M::Call) -> Result<M::Return, CallError> {
+    pub async fn call(&self, request: M::Call) -> Result<M::Response, CallError> {
         let (sender, receiver) = tokio::sync::oneshot::channel();
         let sent = self.actor.tell(Signal::Call(request, Some(sender))).await;
         sent.map_err(|_| CallError)?;
@@ -144,7 +144,7 @@
     }
 
     /// Tells without waiting for a return, even from where nothing can be awaited.
-    pub fn tell(&self, request: M::Call) {
+    pub fn notify(&self, request: M::Call) {
         let actor = self.actor.clone();
         // Without a runtime the process is ending, and its machine with it.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
--- a/libraries/topazyard-wire/src/driver/disked.rs
+++ b/libraries/topazyard-wire/src/driver/disk_start.rs
@@ -1,6 +1,6 @@
 //! Starting a node that has a disk: control and storage begin alike.
 
-use super::{Place, StartError};
+use super::{NodeIdentity, StartError};
 use crate::disk::{DiskError, OpenFile};
 use crate::message::membership::{Member, MemberRole};
 
@@ -12,7 +12,7 @@
     /// Control nodes to begin with.
     pub seeds: Vec<std::net::SocketAddr>,
     /// Drawn for this life.
-    pub chance: u64,
+    pub random_seed: u64,
     /// What its disk held.
     pub loaded: crate::rows::LoadedRows,
     /// The bounds of the place that the fleet runs at.
@@ -34,17 +34,17 @@
 pub async fn start_with_disk(
     settings: &topazyard_spec::NodeSettings,
     role: MemberRole,
-) -> Result<(DiskStart, Place, OpenFile), StartError> {
+) -> Result<(DiskStart, NodeIdentity, OpenFile), StartError> {
     let folder = settings.require_data()?;
     crate::log::start(Some(folder.clone())).map_err(|_| StartError::Log)?;
-    open_with_room(settings.http, || open_start(settings, &folder, role)).await
+    open_once_disk_has_space(settings.http, || open_start(settings, &folder, role)).await
 }
 
 /// Opens something, again and again while its disk is full, and answers callers meanwhile.
 ///
 /// # Errors
 /// It can't be opened for another reason than want of room, or the address can't be listened on.
-pub async fn open_with_room<T>(
+pub async fn open_once_disk_has_space<T>(
     http: Option<std::net::SocketAddr>,
     mut open: impl FnMut() -> Result<T, StartError>,
 ) -> Result<T, StartError> {
@@ -76,14 +76,14 @@
     http: Option<std::net::SocketAddr>,
 ) -> Result<tokio::task::JoinHandle<()>, StartError> {
     let listener = match http {
-        Some(http) => Some(crate::http::inward::bind(http).await?),
+        Some(http) => Some(crate::http::inbound::bind(http).await?),
         None => None,
     };
     Ok(tokio::spawn(async move {
         let Some(listener) = listener else { return };
         let full = || crate::ApiError::not_run(crate::api::Code::DiskFull);
         let answer = move |_| async move { crate::http::error(&full()) };
-        crate::http::inward::serve(listener, answer).await;
+        crate::http::inbound::serve(listener, answer).await;
     }))
 }
 
@@ -93,7 +93,7 @@
     loop {
         tokio::time::sleep(ROOM_AGAIN).await;
         // Any other error than want of room is told by who opens the folder.
-        if !matches!(crate::disk::open::find_room(folder), Err(DiskError::Full(_))) {
+        if !matches!(crate::disk::open::check_free_space(folder), Err(DiskError::Full(_))) {
             return;
         }
     }
@@ -103,7 +103,7 @@
     settings: &topazyard_spec::NodeSettings,
     folder: &std::path::Path,
     role: MemberRole,
-) -> Result<(DiskStart, Place, OpenFile), StartError> {
+) -> Result<(DiskStart, NodeIdentity, OpenFile), StartError> {
     let disk = crate::disk::open(folder)?;
     let node = super::settled_id(&disk)?;
     let member = Member {
@@ -114,12 +114,12 @@
         role,
         zone: settings.zone.clone(),
     };
-    let place = Place { fleet: settings.fleet, node, address: settings.address };
+    let place = NodeIdentity { fleet: settings.fleet, node, address: settings.address };
     let seeds = settings.seeds.clone();
     let start = DiskStart {
         member,
         seeds,
-        chance: rand::random(),
+        random_seed: rand::random(),
         loaded: disk.loaded,
         bounds: settings.bounds.clone(),
         resources: settings.resources.clone(),
@@ -131,26 +131,26 @@
 
 impl DiskStart {
     /// Addresses of control nodes that the node remembered when it last ran.
-    pub fn remembered(&self) -> Remembered {
-        Remembered::read(&self.loaded)
+    pub fn known_control_nodes(&self) -> KnownControlNodes {
+        KnownControlNodes::read(&self.loaded)
     }
 
     /// The seeds and the remembered addresses, each once.
-    pub fn known_control(&self) -> Vec<std::net::SocketAddr> {
-        self.remembered().with_seeds(&self.seeds)
+    pub fn control_addresses(&self) -> Vec<std::net::SocketAddr> {
+        self.known_control_nodes().with_seeds(&self.seeds)
     }
 }
 
 /// Where control nodes were when they were last heard of, so that old seeds strand nobody.
 #[derive(Debug, Clone, Default)]
-pub struct Remembered(Vec<std::net::SocketAddr>);
+pub struct KnownControlNodes(Vec<std::net::SocketAddr>);
 
-impl Remembered {
+impl KnownControlNodes {
     /// What a disk remembers.
     ///
     /// ```
-    /// use topazyard_wire::driver::disked::Remembered;
-    /// assert!(Remembered::read(&Default::default()).with_seeds(&[]).is_empty());
+    /// use topazyard_wire::driver::disk_start::KnownControlNodes;
+    /// assert!(KnownControlNodes::read(&Default::default()).with_seeds(&[]).is_empty());
     /// ```
     pub fn read(loaded: &crate::rows::LoadedRows) -> Self {
         let rows = loaded.get(&crate::Group::Node);
@@ -166,7 +166,7 @@
     }
 
     /// Takes the addresses known now; gives the row to write if they are others.
-    pub fn learn(
+    pub fn update(
         &mut self,
         addresses: impl Iterator<Item = std::net::SocketAddr>,
     ) -> Option<crate::RowChange> {
--- a/libraries/topazyard-wire/src/driver/identity.rs
+++ b/libraries/topazyard-wire/src/driver/identity.rs
@@ -25,6 +25,6 @@
         transaction.commit()?;
         Ok(())
     };
-    write().map_err(|error| crate::disk::DiskError::of_database(&disk.file, error))?;
+    write().map_err(|error| crate::disk::DiskError::from_database_error(&disk.file, error))?;
     Ok(id)
 }
--- a/libraries/topazyard-wire/src/driver/mod.rs
+++ b/libraries/topazyard-wire/src/driver/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod actor;
 pub mod clock;
-pub mod disked;
+pub mod disk_start;
 mod give_up;
 pub mod identity;
 pub mod signals;
@@ -10,7 +10,7 @@
 
 pub use actor::{CallError, Handle};
 pub use clock::Clock;
-pub use disked::{DiskStart, start_with_disk};
+pub use disk_start::{DiskStart, start_with_disk};
 pub use identity::{fresh_id, settled_id};
 pub use signals::{follow_settings, terminated};
-pub use spawn::{Place, StartError, daemon, exit_code, run_process, spawn, spawn_at};
+pub use spawn::{NodeIdentity, StartError, exit_code, run_daemon, run_process, spawn, spawn_at};
--- a/libraries/topazyard-wire/src/driver/spawn.rs
+++ b/libraries/topazyard-wire/src/driver/spawn.rs
@@ -4,7 +4,7 @@
 
 /// Where a process stands in the fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Place {
+pub struct NodeIdentity {
     /// The fleet.
     pub fleet: topazyard_types::FleetId,
     /// Its id.
@@ -89,7 +89,7 @@
 /// Its address can't be listened on, or the thread's runtime can't be made.
 pub fn spawn<M: crate::Machine>(
     make: impl FnOnce(topazyard_types::MonotonicMs) -> (M, crate::machine::Effects<M>),
-    place: Place,
+    place: NodeIdentity,
     disk: Option<crate::disk::OpenFile>,
     tasks: tokio::sync::mpsc::Sender<M::Task>,
 ) -> Result<super::Handle<M>, StartError> {
@@ -103,7 +103,7 @@
 pub fn spawn_at<M: crate::Machine>(
     listen: std::net::SocketAddr,
     make: impl FnOnce(topazyard_types::MonotonicMs) -> (M, crate::machine::Effects<M>),
-    place: Place,
+    place: NodeIdentity,
     disk: Option<crate::disk::OpenFile>,
     tasks: tokio::sync::mpsc::Sender<M::Task>,
 ) -> Result<super::Handle<M>, StartError> {
@@ -186,7 +186,7 @@
     let frames = actor.clone();
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => {
-            tokio::spawn(crate::link::inward::listen(listener, fleet, move |frame| {
+            tokio::spawn(crate::link::inbound::listen(listener, fleet, move |frame| {
                 // A frame that doesn't fit is dropped; its sender asks again.
                 let _ = frames.tell(super::actor::Signal::Frame(frame)).try_send();
             }));
@@ -197,7 +197,7 @@
 }
 
 /// A daemon's whole `main`: runs it on its flags and gives the exit code.
-pub fn daemon(
+pub fn run_daemon(
     flags: topazyard_spec::Settings,
     run: impl FnOnce(topazyard_spec::NodeSettings) -> Result<(), StartError>,
 ) -> std::process::ExitCode {
--- a/libraries/topazyard-wire/src/http/inward.rs
+++ b/libraries/topazyard-wire/src/http/inbound.rs
@@ -63,7 +63,7 @@
         let Ok(permit) = room.clone().acquire_owned().await else { return };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = reached(&mut ends, Stage::Ending) => break,
+            () = wait_for_stage(&mut ends, Stage::Ending) => break,
         };
         let Ok((stream, _)) = accepted else { continue };
         let _ = stream.set_nodelay(true);
@@ -111,7 +111,7 @@
     // A cut return ends here as an error, by which the caller's connection breaks.
     tokio::select! {
         ended = &mut served => return drop(ended),
-        () = reached(&mut drain, closed_at) => {}
+        () = wait_for_stage(&mut drain, closed_at) => {}
     }
     served.as_mut().graceful_shutdown();
     drop(served.await);
@@ -119,7 +119,7 @@
 
 /// Waits until a server has come so far on its way to its end; for ever if nobody is left who could
 /// tell.
-pub async fn reached(drain: &mut Drain, stage: Stage) {
+pub async fn wait_for_stage(drain: &mut Drain, stage: Stage) {
     if drain.wait_for(|now| *now >= stage).await.is_err() {
         std::future::pending().await
     }
--- a/libraries/topazyard-wire/src/http/mod.rs
+++ b/libraries/topazyard-wire/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP by library, with the few helpers that the programs share.
 
-pub mod inward;
-pub mod outward;
+pub mod inbound;
+pub mod outbound;
 pub mod server;
 
 /// A body of either side.
@@ -17,9 +17,9 @@
 ///
 /// ```
 /// use hyper::body::Body as _;
-/// assert_eq!(topazyard_wire::http::whole("hi").size_hint().exact(), Some(2));
+/// assert_eq!(topazyard_wire::http::full_body("hi").size_hint().exact(), Some(2));
 /// ```
-pub fn whole(bytes: impl Into<bytes::Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<bytes::Bytes>) -> Body {
     use http_body_util::BodyExt as _;
     http_body_util::Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -37,7 +37,7 @@
 
 /// A return with a body that is JSON already.
 pub fn json_text(status: u16, text: impl Into<bytes::Bytes>) -> hyper::Response<Body> {
-    let mut response = hyper::Response::new(whole(text));
+    let mut response = hyper::Response::new(full_body(text));
     *response.status_mut() =
         hyper::StatusCode::from_u16(status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
     let json = hyper::header::HeaderValue::from_static("application/json");
--- a/libraries/topazyard-wire/src/http/outward.rs
+++ b/libraries/topazyard-wire/src/http/outbound.rs
@@ -4,16 +4,16 @@
 
 /// Why a call failed, told apart by whether a byte can have been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
-pub enum OutwardError {
+pub enum OutboundError {
     /// no connection could be made: nothing was sent
     NotConnected,
     /// the connection broke after the request was handed over
-    Broken,
+    ConnectionLost,
     /// nothing came back in time
     TimedOut,
 }
 
-impl std::error::Error for OutwardError {}
+impl std::error::Error for OutboundError {}
 
 /// A connection that has sent nothing yet.
 pub struct Connection {
@@ -27,16 +27,16 @@
 pub async fn connect(
     address: std::net::SocketAddr,
     limit: std::time::Duration,
-) -> Result<Connection, OutwardError> {
+) -> Result<Connection, OutboundError> {
     let stream = tokio::time::timeout(limit, tokio::net::TcpStream::connect(address))
         .await
         .ok()
         .and_then(Result::ok)
-        .ok_or(OutwardError::NotConnected)?;
+        .ok_or(OutboundError::NotConnected)?;
     let _ = stream.set_nodelay(true);
     let io = hyper_util::rt::TokioIo::new(stream);
     let (sender, connection) =
-        hyper::client::conn::http1::handshake(io).await.map_err(|_| OutwardError::NotConnected)?;
+        hyper::client::conn::http1::handshake(io).await.map_err(|_| OutboundError::NotConnected)?;
     // The connection's end shows in the request's own outcome.
     tokio::spawn(async move { drop(connection.await) });
     Ok(Connection { sender })
@@ -50,8 +50,8 @@
     pub async fn send(
         mut self,
         request: hyper::Request<super::Body>,
-    ) -> Result<hyper::Response<hyper::body::Incoming>, OutwardError> {
-        self.sender.send_request(request).await.map_err(|_| OutwardError::Broken)
+    ) -> Result<hyper::Response<hyper::body::Incoming>, OutboundError> {
+        self.sender.send_request(request).await.map_err(|_| OutboundError::ConnectionLost)
     }
 }
 
@@ -65,7 +65,7 @@
     path: &str,
     body: bytes::Bytes,
     limit: std::time::Duration,
-) -> Result<(u16, bytes::Bytes), OutwardError> {
+) -> Result<(u16, bytes::Bytes), OutboundError> {
     let work = async {
         let connection = connect(address, limit).await?;
         let request = hyper::Request::builder()
@@ -73,12 +73,13 @@
             .uri(path)
             .header(hyper::header::HOST, address.to_string())
             .header(hyper::header::CONTENT_TYPE, "application/json")
-            .body(super::whole(body))
-            .map_err(|_| OutwardError::NotConnected)?;
+            .body(super::full_body(body))
+            .map_err(|_| OutboundError::NotConnected)?;
         let response = connection.send(request).await?;
         let status = response.status().as_u16();
-        let body = response.into_body().collect().await.map_err(|_| OutwardError::Broken)?;
+        let body =
+            response.into_body().collect().await.map_err(|_| OutboundError::ConnectionLost)?;
         Ok((status, body.to_bytes()))
     };
-    tokio::time::timeout(limit, work).await.unwrap_or(Err(OutwardError::TimedOut))
+    tokio::time::timeout(limit, work).await.unwrap_or(Err(OutboundError::TimedOut))
 }
--- a/libraries/topazyard-wire/src/http/server.rs
+++ b/libraries/topazyard-wire/src/http/server.rs
@@ -1,6 +1,6 @@
 //! A server of HTTP that a process ends in order: what was read is answered.
 
-use super::inward::{Stage, serve_draining};
+use super::inbound::{Stage, serve_draining};
 
 /// A server that runs until it is ended.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 
     /// Takes no more connections, closes idle ones, and waits until what was read is answered.
     /// False if that took longer than `limit`.
-    pub async fn end(self, limit: std::time::Duration) -> bool {
+    pub async fn shut_down(self, limit: std::time::Duration) -> bool {
         self.stage.send_replace(Stage::Ending);
         tokio::time::timeout(limit, self.served).await.is_ok()
     }
--- a/libraries/topazyard-wire/src/invariants.rs
+++ b/libraries/topazyard-wire/src/invariants.rs
@@ -43,9 +43,9 @@
     /// no two decided records have the same epoch
     EpochHasOneRecord = "epoch_has_one_record",
     /// two followers of the feed at the same place hold the same rows
-    FeedPlaceHasOneState = "feed_place_has_one_state",
+    FeedPositionHasOneState = "feed_place_has_one_state",
     /// a request changes its state only as its chart allows, and ends once
-    RequestFollowsItsChart = "request_follows_its_chart",
+    RequestFollowsStateMachine = "request_follows_its_chart",
     /// the configuration in force is never older than one that this node acknowledged
     AcknowledgedConfigurationStays = "acknowledged_configuration_stays",
     /// what is acknowledged is synced on as many copies as its record asks for
@@ -55,7 +55,7 @@
     /// each item of a batch is open or listed, and each listed result is there
     BatchIsWhole = "batch_is_whole",
     /// a request that a draining relay takes has the time that it may need
-    TakenWithTimeLeft = "taken_with_time_left",
+    AdmittedWithTimeLeft = "taken_with_time_left",
     /// each request that a relay has taken gets its final answer before the process ends
     AnsweredBeforeEnd = "answered_before_end",
 }
@@ -92,7 +92,7 @@
 #[track_caller]
 pub fn check(holds: bool, invariant: Invariant, details: impl FnOnce() -> String) {
     if !holds {
-        violated(invariant, &details());
+        report_violation(invariant, &details());
     }
 }
 
@@ -102,7 +102,7 @@
 /// Always, after [`panic_on_violation`].
 #[cold]
 #[track_caller]
-pub fn violated(invariant: Invariant, details: &str) {
+pub fn report_violation(invariant: Invariant, details: &str) {
     let record = &RECORDS[invariant as usize];
     let violations = record.violations.fetch_add(1, Ordering::Relaxed) + 1;
     OF_THREAD.with(|counts| counts[invariant as usize].update(|count| count + 1));
@@ -127,7 +127,7 @@
 
 /// Each invariant with how often this thread violated it. Where whole fleets are simulated side by
 /// side, each on a thread of its own, it tells them apart.
-pub fn counts_of_thread() -> Vec<(Invariant, u64)> {
+pub fn thread_counts() -> Vec<(Invariant, u64)> {
     let count = |invariant: Invariant| OF_THREAD.with(|counts| counts[invariant as usize].get());
     Invariant::ALL.iter().map(|invariant| (*invariant, count(*invariant))).collect()
 }
--- a/libraries/topazyard-wire/src/link/mod.rs
+++ b/libraries/topazyard-wire/src/link/mod.rs
@@ -1,9 +1,9 @@
 //! Links between processes: frames over TCP, length-delimited by library.
 
-pub mod inward;
-pub mod outward;
+pub mod inbound;
+pub mod outbound;
 
-pub use outward::Links;
+pub use outbound::Links;
 
 pub(crate) fn codec() -> tokio_util::codec::LengthDelimitedCodec {
     tokio_util::codec::LengthDelimitedCodec::builder()
--- a/libraries/topazyard-wire/src/link/outward.rs
+++ b/libraries/topazyard-wire/src/link/outbound.rs
@@ -41,7 +41,7 @@
 
 /// Makes attempts, each a while after the one before, until one of them has any outcome: that of the
 /// first to end. Gives up after a while.
-pub async fn first_of_several<T, E, F>(attempt: impl Fn() -> F) -> Option<T>
+pub async fn race_staggered_attempts<T, E, F>(attempt: impl Fn() -> F) -> Option<T>
 where
     F: Future<Output = Result<T, E>>,
 {
@@ -62,7 +62,7 @@
 
 /// Writes frames until the link breaks or nobody sends any more.
 async fn run(to: std::net::SocketAddr, mut queue: tokio::sync::mpsc::Receiver<bytes::Bytes>) {
-    let connected = first_of_several(|| tokio::net::TcpStream::connect(to)).await;
+    let connected = race_staggered_attempts(|| tokio::net::TcpStream::connect(to)).await;
     let Some(stream) = connected else { return };
     let _ = stream.set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, UNCONFIRMED_MS);
--- a/libraries/topazyard-wire/src/log/mod.rs
+++ b/libraries/topazyard-wire/src/log/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod ring;
 
-pub use ring::{finish, start, to_output};
+pub use ring::{finish, mirror_to_stdout, start};
--- a/libraries/topazyard-wire/src/log/ring.rs
+++ b/libraries/topazyard-wire/src/log/ring.rs
@@ -9,7 +9,7 @@
 static TO_OUTPUT: std::sync::atomic::AtomicBool = std::sync::atomic::AtomicBool::new(false);
 
 /// Lets each line go to standard output too, as it comes.
-pub fn to_output() {
+pub fn mirror_to_stdout() {
     TO_OUTPUT.store(true, std::sync::atomic::Ordering::Relaxed);
 }
 
--- a/libraries/topazyard-wire/src/machine.rs
+++ b/libraries/topazyard-wire/src/machine.rs
@@ -59,18 +59,18 @@
         changes: Vec<crate::RowChange>,
     },
     /// Give a call its return.
-    Return {
+    Respond {
         /// The call.
         call: CallId,
         /// Its return.
         value: R,
     },
     /// Begin a task outside the machine, which reports by a call.
-    Start(T),
+    StartTask(T),
     /// Put a line into the log's ring; a grave one writes the ring out.
-    Note {
+    Log {
         /// Whether something went wrong.
-        grave: bool,
+        is_error: bool,
         /// The line.
         text: String,
     },
@@ -81,7 +81,7 @@
     /// What may be asked from within the process.
     type Call: Send + std::fmt::Debug + 'static;
     /// What such a call returns.
-    type Return: Send + std::fmt::Debug + 'static;
+    type Response: Send + std::fmt::Debug + 'static;
     /// What it may begin outside.
     type Task: Send + std::fmt::Debug + 'static;
 
@@ -90,11 +90,11 @@
         &mut self,
         input: Input<Self::Call>,
         now: MonotonicMs,
-    ) -> Vec<Effect<Self::Return, Self::Task>>;
+    ) -> Vec<Effect<Self::Response, Self::Task>>;
 }
 
 /// The effects of a machine.
-pub type Effects<M> = Vec<Effect<<M as Machine>::Return, <M as Machine>::Task>>;
+pub type Effects<M> = Vec<Effect<<M as Machine>::Response, <M as Machine>::Task>>;
 
 /// The machine in which no task is ever begun.
 #[derive(Debug)]
--- a/libraries/topazyard-wire/src/metrics.rs
+++ b/libraries/topazyard-wire/src/metrics.rs
@@ -16,7 +16,7 @@
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A role's figures at one moment.
-pub trait Figures: std::fmt::Debug + Send + Sync + 'static {
+pub trait MetricSource: std::fmt::Debug + Send + Sync + 'static {
     /// Writes each of them.
     ///
     /// # Errors
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 struct Collected<F>(F);
 
-impl<F: Figures> Collector for Collected<F> {
+impl<F: MetricSource> Collector for Collected<F> {
     fn encode(&self, encoder: DescriptorEncoder<'_>) -> std::fmt::Result {
         self.0.write(&mut Writer(encoder))
     }
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 struct Invariants;
 
-impl Figures for Invariants {
+impl MetricSource for Invariants {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let counts = crate::invariants::counts().map(|(at, violations)| (at.name(), violations));
         let help = "Violations of an invariant since the process began";
@@ -130,7 +130,7 @@
 #[derive(Debug)]
 struct Process;
 
-impl Figures for Process {
+impl MetricSource for Process {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let start_s = started_at().duration_since(std::time::UNIX_EPOCH);
         let start_s = start_s.map_or(0.0, |since| since.as_secs_f64());
@@ -150,7 +150,7 @@
 /// ```
 /// #[derive(Debug)]
 /// struct Queue(u64);
-/// impl topazyard_wire::metrics::Figures for Queue {
+/// impl topazyard_wire::metrics::MetricSource for Queue {
 ///     fn write(&self, to: &mut topazyard_wire::metrics::Writer<'_>) -> std::fmt::Result {
 ///         to.gauge("queue_requests", "Requests that wait", self.0)
 ///     }
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// A figure could not be written.
-pub fn text(figures: Option<impl Figures>) -> Result<String, std::fmt::Error> {
+pub fn text(figures: Option<impl MetricSource>) -> Result<String, std::fmt::Error> {
     let mut registry = Registry::default();
     registry.register_collector(Box::new(Collected(Process)));
     let own = registry.sub_registry_with_prefix(PREFIX);
@@ -180,12 +180,12 @@
     address: Option<std::net::SocketAddr>,
     fetch: impl Fn() -> R + Clone + Send + Sync + 'static,
 ) where
-    F: Figures,
+    F: MetricSource,
     R: Future<Output = Option<F>> + Send + 'static,
 {
     started_at();
     let Some(address) = address else { return };
-    let listener = match crate::http::inward::bind(address).await {
+    let listener = match crate::http::inbound::bind(address).await {
         Ok(listener) => listener,
         Err(error) => return spdlog::error!("no metrics are served: {error}"),
     };
@@ -201,15 +201,15 @@
             }
         }
     };
-    tokio::spawn(crate::http::inward::serve(listener, answer));
+    tokio::spawn(crate::http::inbound::serve(listener, answer));
 }
 
-fn response(figures: Option<impl Figures>) -> hyper::Response<crate::http::Body> {
+fn response(figures: Option<impl MetricSource>) -> hyper::Response<crate::http::Body> {
     // Text that is cut short is no answer: a reader would take it for whole.
     let Ok(text) = text(figures) else {
         return crate::http::error(&crate::ApiError::not_run(crate::api::Code::OutcomeUnknown));
     };
-    let mut response = hyper::Response::new(crate::http::whole(text));
+    let mut response = hyper::Response::new(crate::http::full_body(text));
     let content_type = hyper::header::HeaderValue::from_static(CONTENT_TYPE);
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
     response
--- a/libraries/topazyard-wire/tests/disks.rs
+++ b/libraries/topazyard-wire/tests/disks.rs
@@ -34,7 +34,7 @@
     let disk = loop {
         match open(&folder) {
             Ok(disk) => break disk,
-            Err(DiskError::Held(_)) => std::thread::yield_now(),
+            Err(DiskError::Locked(_)) => std::thread::yield_now(),
             Err(other) => panic!("{other}"),
         }
     };
@@ -71,7 +71,7 @@
 fn a_file_that_another_process_holds_is_not_called_damaged() {
     let folder = folder("held");
     let holder = open(&folder).expect("a new folder");
-    assert!(matches!(open(&folder).map(drop), Err(DiskError::Held(_))));
+    assert!(matches!(open(&folder).map(drop), Err(DiskError::Locked(_))));
     drop(holder);
     open(&folder).expect("a folder that nobody holds");
     std::fs::remove_dir_all(&folder).expect("its own folder");
@@ -89,11 +89,11 @@
 fn room_is_looked_for_and_nothing_stays_behind() {
     let folder = folder("room");
     drop(open(&folder).expect("a new folder"));
-    topazyard_wire::disk::open::find_room(&folder).expect("room");
+    topazyard_wire::disk::open::check_free_space(&folder).expect("room");
     assert_eq!(std::fs::read_dir(&folder).expect("a folder").count(), 1);
     // Whoever writes there finds no room.
     std::os::unix::fs::symlink("/dev/full", folder.join("node.room")).expect("a link");
-    let found = topazyard_wire::disk::open::find_room(&folder);
+    let found = topazyard_wire::disk::open::check_free_space(&folder);
     assert!(matches!(found, Err(DiskError::Full(_))), "{found:?}");
     std::fs::remove_dir_all(&folder).expect("its own folder");
 }
@@ -132,14 +132,14 @@
 fn what_waited_for_room_is_no_stall_once_there_is_some() {
     let mut watch = DiskWatch::default();
     let token = |number| WriteToken { group: Group::Node, number };
-    watch.begun(token(1), MonotonicMs(0));
-    watch.take_state(DiskState::Full, MonotonicMs(10));
-    watch.begun(token(2), MonotonicMs(20));
-    assert_eq!(watch.news(MonotonicMs(5_000)), Some(DiskState::Full));
-    assert!(!watch.takes_more());
-    watch.take_state(DiskState::Healthy, MonotonicMs(6_000));
-    assert_eq!(watch.news(MonotonicMs(6_000)), Some(DiskState::Healthy));
-    watch.synced(token(1));
+    watch.write_started(token(1), MonotonicMs(0));
+    watch.set_state(DiskState::Full, MonotonicMs(10));
+    watch.write_started(token(2), MonotonicMs(20));
+    assert_eq!(watch.take_state_change(MonotonicMs(5_000)), Some(DiskState::Full));
+    assert!(!watch.accepts_writes());
+    watch.set_state(DiskState::Healthy, MonotonicMs(6_000));
+    assert_eq!(watch.take_state_change(MonotonicMs(6_000)), Some(DiskState::Healthy));
+    watch.write_synced(token(1));
     assert_eq!(watch.state(MonotonicMs(6_900)), DiskState::Healthy);
     assert_eq!(watch.state(MonotonicMs(7_000)), DiskState::Stalled);
 }
--- a/libraries/topazyard-wire/tests/invariants.rs
+++ b/libraries/topazyard-wire/tests/invariants.rs
@@ -6,7 +6,7 @@
 fn each_listed_invariant_is_counted_by_its_own_name() {
     for invariant in Invariant::ALL {
         let before: Vec<(Invariant, u64)> = invariants::counts().collect();
-        invariants::violated(*invariant, "planted");
+        invariants::report_violation(*invariant, "planted");
         for ((at, count), (_, old)) in invariants::counts().zip(before) {
             assert_eq!(count - old, u64::from(at == *invariant), "{at:?} after {invariant:?}");
         }
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct Nothing;
 
-impl topazyard_wire::metrics::Figures for Nothing {
+impl topazyard_wire::metrics::MetricSource for Nothing {
     fn write(&self, _: &mut topazyard_wire::metrics::Writer<'_>) -> std::fmt::Result {
         Ok(())
     }
--- a/libraries/topazyard-wire/tests/metrics.rs
+++ b/libraries/topazyard-wire/tests/metrics.rs
@@ -1,12 +1,12 @@
 //! The metrics that a process serves, fetched over loopback.
 
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-use topazyard_wire::metrics::{Figures, Writer, serve};
+use topazyard_wire::metrics::{MetricSource, Writer, serve};
 
 #[derive(Debug)]
 struct Queue(u64);
 
-impl Figures for Queue {
+impl MetricSource for Queue {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         to.gauge("queue_requests", "Requests that wait", self.0)?;
         to.counters("queue_refused", "Requests refused, by code", "code", [("budget", 2)])?;
--- a/libraries/topazyard-wire/tests/power.rs
+++ b/libraries/topazyard-wire/tests/power.rs
@@ -199,7 +199,7 @@
 
 fn open_file_on(backend: Backend) -> Result<redb::Database, DiskError> {
     let database = redb::Builder::new().create_with_backend(SyncBackend(backend));
-    database.map_err(|error| DiskError::of_database("node.redb".as_ref(), error))
+    database.map_err(|error| DiskError::from_database_error("node.redb".as_ref(), error))
 }
 
 fn open_on(backend: Backend) -> Result<OpenDisk, DiskError> {
--- a/libraries/topazyard-wire/tests/waiting.rs
+++ b/libraries/topazyard-wire/tests/waiting.rs
@@ -3,7 +3,7 @@
 use std::io::{Read as _, Write as _};
 use topazyard_wire::disk::DiskError;
 use topazyard_wire::driver::StartError;
-use topazyard_wire::driver::disked::open_with_room;
+use topazyard_wire::driver::disk_start::open_once_disk_has_space;
 
 fn folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("topazyard-{name}-{}", std::process::id()));
@@ -44,7 +44,7 @@
             tried.send(attempts).expect("a waiting test");
             if attempts < 3 { full(&place) } else { Ok(attempts) }
         };
-        open_with_room(Some(address), open).await
+        open_once_disk_has_space(Some(address), open).await
     });
     assert_eq!(tries.recv().await, Some(1));
     // The listener is there a moment after the first attempt.
@@ -72,7 +72,7 @@
         let error = DiskError::Damaged("node.redb".into(), "a torn page".to_owned());
         Err(StartError::Disk(error))
     };
-    let refused = open_with_room(None, open).await;
+    let refused = open_once_disk_has_space(None, open).await;
     assert!(matches!(refused, Err(StartError::Disk(DiskError::Damaged(..)))));
     assert_eq!(attempts, 1);
 }
--- a/programs/topazyard-control/src/engine_load.rs
+++ b/programs/topazyard-control/src/engine_load.rs
@@ -26,7 +26,7 @@
             let get = hyper::Method::GET;
             let empty = bytes::Bytes::new();
             let answer =
-                topazyard_wire::http::outward::exchange(address, get, "/metrics", empty, LIMIT);
+                topazyard_wire::http::outbound::exchange(address, get, "/metrics", empty, LIMIT);
             let (_, body) = answer.await.ok()?;
             let queued = queued(std::str::from_utf8(&body).ok()?)?;
             Some(EngineLoad { engine: name, queued })
--- a/programs/topazyard-control/src/http.rs
+++ b/programs/topazyard-control/src/http.rs
@@ -39,7 +39,7 @@
     if head.method == hyper::Method::GET && head.uri.path() == "/health" {
         return returned(handle.call(crate::ControlCall::Health).await);
     }
-    let operate = match topazyard_wire::http::inward::read_body(body, MOST_BYTES).await {
+    let operate = match topazyard_wire::http::inbound::read_body(body, MOST_BYTES).await {
         Ok(body) => parse_request(&head.method, head.uri.path(), &body),
         Err(error) => Err(error),
     };
--- a/programs/topazyard-control/src/machine/core.rs
+++ b/programs/topazyard-control/src/machine/core.rs
@@ -144,7 +144,7 @@
             record.primary.address,
             backups.join(" ")
         );
-        out.push(Effect::Note { grave: false, text });
+        out.push(Effect::Log { is_error: false, text });
         self.claim = None;
         self.founding = None;
         // Told before anything is asked in its epoch: a backup confirms nothing before it knows.
@@ -242,7 +242,7 @@
             return;
         }
         // A vote counts once it is synced: who votes anew in the meantime is asked again.
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
         if let Some((changes, say)) = ask(&mut self.witness) {
--- a/programs/topazyard-control/src/machine/leaving.rs
+++ b/programs/topazyard-control/src/machine/leaving.rs
@@ -38,7 +38,7 @@
         if waited >= self.timeouts.leaving || !self.is_needed() || !self.can_be_replaced(now) {
             self.leaving = None;
             let value = OperatorOutcome::Done(String::new());
-            out.push(Effect::Return { call, value });
+            out.push(Effect::Respond { call, value });
         } else if is_due {
             self.say_leaving(now, out);
         }
--- a/programs/topazyard-control/src/machine/listing.rs
+++ b/programs/topazyard-control/src/machine/listing.rs
@@ -33,7 +33,7 @@
         }
         self.listing.begun = Some(now);
         self.listing.under_way = true;
-        out.push(Effect::Start(ControlTask::ListEngines));
+        out.push(Effect::StartTask(ControlTask::ListEngines));
     }
 
     /// Puts a list in place of the one before, if it says anything new.
--- a/programs/topazyard-control/src/machine/mod.rs
+++ b/programs/topazyard-control/src/machine/mod.rs
@@ -117,7 +117,7 @@
     last_plan: MonotonicMs,
     /// When no storage node was heard at all: then it is this node that is cut off.
     last_alone: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disked::Remembered,
+    remembered: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) disk: topazyard_wire::disk::DiskWatch,
 }
 
@@ -162,13 +162,13 @@
         let is_new = start.may_bootstrap && !held(Group::Control) && !held(Group::Witness);
         let copy = Copy::from_rows(start.loaded.remove(&Group::Control).unwrap_or_default());
         let witness_rows = start.loaded.remove(&Group::Witness).unwrap_or_default();
-        let remembered = start.remembered();
-        let ask = start.known_control();
-        let boot_id = topazyard_types::BootId(start.chance);
+        let remembered = start.known_control_nodes();
+        let ask = start.control_addresses();
+        let boot_id = topazyard_types::BootId(start.random_seed);
         let mut machine = Self {
             me,
             boot_id,
-            membership: Membership::new(start.member, ask, start.chance),
+            membership: Membership::new(start.member, ask, start.random_seed),
             seeds: start.seeds,
             timeouts: timeouts::Timeouts::within(&start.bounds),
             bounds: start.bounds,
@@ -304,7 +304,7 @@
                         self.serving_since = Some(now);
                         let text =
                             format!("control primary serves in epoch {}", self.replica.epoch());
-                        out.push(Effect::Note { grave: false, text });
+                        out.push(Effect::Log { is_error: false, text });
                     }
                 }
                 ReplicaOutput::LearnersReady => self.propose(now, out),
@@ -384,15 +384,15 @@
     fn watch_writes(&mut self, out: &Out, now: MonotonicMs) {
         for effect in out {
             if let Effect::Write { token, .. } = effect {
-                self.disk.begun(*token, now);
+                self.disk.write_started(*token, now);
             }
         }
     }
 
     /// Says in the log when the disk is full, stalls or is well again.
     fn note_disk(&mut self, now: MonotonicMs, out: &mut Out) {
-        if let Some(state) = self.disk.news(now) {
-            out.push(Effect::Note { grave: false, text: state.to_string() });
+        if let Some(state) = self.disk.take_state_change(now) {
+            out.push(Effect::Log { is_error: false, text: state.to_string() });
         }
     }
 
@@ -405,7 +405,7 @@
             primary: record.map(|record| record.primary.address),
             serving: self.replica.is_serving(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now),
+            write_wait_ms: self.disk.oldest_write_age(now),
             configurations_acknowledged: self.configurations.acknowledged,
             configurations_refused: self.configurations.refused,
             orders_waiting: self.operate.waiting(),
@@ -415,10 +415,10 @@
 
     /// Remembers where others are, so that stale seeds don't strand this node.
     fn remember_addresses(&mut self, out: &mut Out) {
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
+        if let Some(row) = self.remembered.update(self.membership.addresses(MemberRole::Control)) {
             self.write_own(Group::Node, vec![row], Vec::new(), out);
         }
     }
@@ -470,17 +470,17 @@
 
 impl Machine for ControlMachine {
     type Call = ControlCall;
-    type Return = OperatorOutcome;
+    type Response = OperatorOutcome;
     type Task = ControlTask;
 
     fn step(&mut self, input: Input<ControlCall>, now: MonotonicMs) -> Out {
         let mut out = Vec::new();
         if let Input::Written(token) = &input {
-            self.disk.synced(*token);
+            self.disk.write_synced(*token);
         }
         match input {
             Input::Tick => self.tick(now, &mut out),
-            Input::Disk(state) => self.disk.take_state(state, now),
+            Input::Disk(state) => self.disk.set_state(state, now),
             Input::Written(token) if token.group == Group::Control => {
                 let outputs = self.replica.write_synced(token.number);
                 self.take_replica(outputs, now, &mut out);
@@ -506,7 +506,7 @@
                 self.begin_leaving(call, now, &mut out);
             }
             Input::Call { call, request: ControlCall::Health } => {
-                out.push(Effect::Return { call, value: self.health(now) });
+                out.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Call { request: ControlCall::Seeds(seeds), .. } => {
                 self.seeds.clone_from(&seeds);
--- a/programs/topazyard-control/src/machine/operate.rs
+++ b/programs/topazyard-control/src/machine/operate.rs
@@ -94,7 +94,7 @@
         _ => return None,
     };
     let text = format!("{order} not taken: {}", error.code);
-    Some(Effect::Note { grave: false, text })
+    Some(Effect::Log { is_error: false, text })
 }
 
 /// Calls that wait.
@@ -280,7 +280,7 @@
             Origin::Tuner => return self.tuner_told(&outcome, now, out),
             // The next list says it again.
             Origin::Listing => return,
-            Origin::Local(call) => Effect::Return { call, value: outcome },
+            Origin::Local(call) => Effect::Respond { call, value: outcome },
             Origin::Passed(_, to, id) => Effect::Send {
                 to,
                 message: Message::Operate(OperatorMessage::Response { id, outcome }),
--- a/programs/topazyard-control/src/machine/tuning.rs
+++ b/programs/topazyard-control/src/machine/tuning.rs
@@ -127,7 +127,7 @@
                 self.take_operate(origin, OperatorRequest::Command(command), now, out);
             }
         }
-        out.push(Effect::Start(ControlTask::FetchLoads(load.engines)));
+        out.push(Effect::StartTask(ControlTask::FetchLoads(load.engines)));
     }
 
     pub(super) fn take_loads(&mut self, loads: Vec<EngineLoad>, now: MonotonicMs) {
--- a/programs/topazyard-control/src/main.rs
+++ b/programs/topazyard-control/src/main.rs
@@ -11,7 +11,7 @@
 }
 
 fn main() -> std::process::ExitCode {
-    topazyard_wire::driver::daemon(Flags::parse().settings, |settings| {
+    topazyard_wire::driver::run_daemon(Flags::parse().settings, |settings| {
         topazyard_control::run(settings, topazyard_control::DefaultInterface)
     })
 }
--- a/programs/topazyard-control/src/metrics.rs
+++ b/programs/topazyard-control/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::machine::{ControlCall, ControlHealth};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::message::operate::OperatorOutcome;
-use topazyard_wire::metrics::{Figures, Writer};
+use topazyard_wire::metrics::{MetricSource, Writer};
 
 /// A control node's figures at one moment.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     }
 }
 
-impl Figures for ControlFigures {
+impl MetricSource for ControlFigures {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let health = &self.0;
         let serving = u64::from(health.serving);
--- a/programs/topazyard-control/src/run.rs
+++ b/programs/topazyard-control/src/run.rs
@@ -32,7 +32,7 @@
     let http = settings.require_http()?;
     topazyard_wire::driver::run_process(async move {
         let (start, place, disk) = start_with_disk(&settings, MemberRole::Control).await?;
-        let listener = topazyard_wire::http::inward::bind(http).await?;
+        let listener = topazyard_wire::http::inbound::bind(http).await?;
         let (tasks, begun) = tokio::sync::mpsc::channel(64);
         let every = outside.engine_list_interval();
         let make = |now| {
@@ -55,7 +55,7 @@
         let told = handle.clone();
         let grace = std::time::Duration::from_millis(settings.bounds.grace.0 / 8 * 7);
         let follow = topazyard_wire::driver::follow_settings(settings, move |now| {
-            told.tell(crate::ControlCall::Seeds(now.seeds));
+            told.notify(crate::ControlCall::Seeds(now.seeds));
         });
         let server = Server::start(listener, move |request| O::respond(handle.clone(), request));
         tokio::select! {
@@ -85,7 +85,7 @@
     server.close_after_responses();
     leave(handle, grace).await;
     let replaced = begun.elapsed();
-    let is_answered = server.end(grace.saturating_sub(replaced)).await;
+    let is_answered = server.shut_down(grace.saturating_sub(replaced)).await;
     let ended = begun.elapsed();
     if is_answered {
         spdlog::info!("ends in order after {ended:?}, {replaced:?} of them to be replaced");
@@ -133,12 +133,12 @@
             crate::ControlTask::FetchLoads(engines) => {
                 let handle = handle.clone();
                 tokio::spawn(async move {
-                    handle.tell(crate::ControlCall::Loads(O::fetch_loads(engines).await));
+                    handle.notify(crate::ControlCall::Loads(O::fetch_loads(engines).await));
                 });
             }
             crate::ControlTask::ListEngines => {
                 let list = tokio::time::timeout(LIST_LIMIT, outside.list_engines()).await;
-                handle.tell(crate::ControlCall::Engines(list.ok().flatten()));
+                handle.notify(crate::ControlCall::Engines(list.ok().flatten()));
             }
         }
     }
--- a/programs/topazyard-control/tests/claims.rs
+++ b/programs/topazyard-control/tests/claims.rs
@@ -47,7 +47,7 @@
             resources: topazyard_spec::Resources::default(),
             member,
             seeds: (1..=3).map(|id| node(id).address).collect(),
-            chance: 7 << 40,
+            random_seed: 7 << 40,
             loaded: Default::default(),
             bounds: topazyard_spec::Bounds::default(),
             may_bootstrap: true,
--- a/programs/topazyard-control/tests/fleet/mod.rs
+++ b/programs/topazyard-control/tests/fleet/mod.rs
@@ -134,7 +134,7 @@
             resources: self.resources.clone(),
             member,
             seeds: self.seeds.clone(),
-            chance: (node.lives << 40) + ((number as u64) << 32) + 1,
+            random_seed: (node.lives << 40) + ((number as u64) << 32) + 1,
             loaded: node.rows.clone(),
             bounds: topazyard_spec::Bounds::default(),
             may_bootstrap: self.may_bootstrap,
@@ -199,15 +199,15 @@
                         (number, Input::Written(token))
                     }
                 }
-                Effect::Return { value, .. } => {
+                Effect::Respond { value, .. } => {
                     self.nodes[number].returned = Some(value);
                     continue;
                 }
-                Effect::Start(ControlTask::ListEngines) => {
+                Effect::StartTask(ControlTask::ListEngines) => {
                     self.nodes[number].lists_begun += 1;
                     continue;
                 }
-                Effect::Start(ControlTask::FetchLoads(_)) | Effect::Note { .. } => continue,
+                Effect::StartTask(ControlTask::FetchLoads(_)) | Effect::Log { .. } => continue,
             };
             let more = self.step(to, input);
             queue.extend(more.into_iter().map(|effect| (to, effect)));
--- a/programs/topazyard-edge-agent/src/machine.rs
+++ b/programs/topazyard-edge-agent/src/machine.rs
@@ -4,7 +4,7 @@
 
 use topazyard_membership::Membership;
 use topazyard_types::{CallId, DurationMs, MonotonicMs};
-use topazyard_wire::driver::disked::Remembered;
+use topazyard_wire::driver::disk_start::KnownControlNodes;
 use topazyard_wire::message::Message;
 use topazyard_wire::message::feed::{FeedMessage, Health, PartRequest};
 use topazyard_wire::message::membership::{Member, MemberRole};
@@ -58,11 +58,11 @@
     /// Control nodes to begin with.
     pub seeds: Vec<std::net::SocketAddr>,
     /// What its data folder remembers, if it has one.
-    pub remembered: Option<Remembered>,
+    pub remembered: Option<KnownControlNodes>,
     /// The relay beside it.
     pub relay: std::net::SocketAddr,
     /// Seeds its chances.
-    pub chance: u64,
+    pub random_seed: u64,
 }
 
 /// An asking that was passed on.
@@ -90,7 +90,7 @@
     last_nonce: u64,
     last_write: u64,
     last_synced: u64,
-    remembered: Option<Remembered>,
+    remembered: Option<KnownControlNodes>,
     relay_heard: Option<MonotonicMs>,
     /// The process's wish to end, until its relay has ended.
     leaving: Option<CallId>,
@@ -106,21 +106,21 @@
     /// let member = Member { id: topazyard_types::NodeId(1), name: None, address: at(1),
     ///     http: Some(at(2)), role: MemberRole::Edge, zone: "north".into() };
     /// let start = Start { member, seeds: vec![at(3), at(4), at(5)], remembered: None,
-    ///     relay: at(6), chance: 1 };
+    ///     relay: at(6), random_seed: 1 };
     /// AgentMachine::new(start);
     /// ```
     pub fn new(start: Start) -> Self {
         let known = start.remembered.as_ref().map(|kept| kept.with_seeds(&start.seeds));
         let sources = known.unwrap_or(start.seeds);
         Self {
-            membership: Membership::new(start.member, sources.clone(), start.chance),
+            membership: Membership::new(start.member, sources.clone(), start.random_seed),
             relay: start.relay,
             sources,
             next_source: 0,
             leader: None,
             passed: None,
             turned_away: None,
-            last_nonce: topazyard_types::BootId(start.chance).first_number(),
+            last_nonce: topazyard_types::BootId(start.random_seed).first_number(),
             last_write: 0,
             last_synced: 0,
             remembered: start.remembered,
@@ -229,7 +229,7 @@
         let is_synced = self.last_synced == self.last_write;
         let remembered = self.remembered.as_mut().filter(|_| is_synced);
         let row =
-            remembered.and_then(|kept| kept.learn(self.membership.addresses(MemberRole::Control)));
+            remembered.and_then(|kept| kept.update(self.membership.addresses(MemberRole::Control)));
         if let Some(row) = row {
             self.last_write += 1;
             let token = WriteToken { group: Group::Node, number: self.last_write };
@@ -274,14 +274,14 @@
         }
         if let Some(call) = self.leaving.take() {
             let value = self.health(now);
-            out.push(Effect::Return { call, value });
+            out.push(Effect::Respond { call, value });
         }
     }
 }
 
 impl Machine for AgentMachine {
     type Call = AgentCall;
-    type Return = AgentHealth;
+    type Response = AgentHealth;
     type Task = topazyard_wire::machine::NoTask;
 
     fn step(&mut self, input: Input<AgentCall>, now: MonotonicMs) -> Out {
@@ -303,7 +303,7 @@
                 self.leave_after_relay(now, &mut out);
             }
             Input::Call { call, request: AgentCall::Health } => {
-                out.push(Effect::Return { call, value: self.health(now) });
+                out.push(Effect::Respond { call, value: self.health(now) });
             }
             Input::Written(token) => self.last_synced = token.number,
             Input::Frame { .. } | Input::Disk(_) => {}
--- a/programs/topazyard-edge-agent/src/metrics.rs
+++ b/programs/topazyard-edge-agent/src/metrics.rs
@@ -3,7 +3,7 @@
 use crate::machine::{AgentCall, AgentHealth, AgentMachine};
 use topazyard_types::DurationMs;
 use topazyard_wire::driver::Handle;
-use topazyard_wire::metrics::{Figures, Writer};
+use topazyard_wire::metrics::{MetricSource, Writer};
 
 /// An agent's figures at one moment.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     handle.call(AgentCall::Health).await.ok().map(AgentFigures)
 }
 
-impl Figures for AgentFigures {
+impl MetricSource for AgentFigures {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let health = &self.0;
         let knows_primary = u64::from(health.knows_primary);
--- a/programs/topazyard-edge-agent/src/run.rs
+++ b/programs/topazyard-edge-agent/src/run.rs
@@ -3,17 +3,17 @@
 use std::path::Path;
 use topazyard_wire::disk::{DiskError, OpenFile};
 use topazyard_wire::driver::StartError;
-use topazyard_wire::driver::disked::Remembered;
+use topazyard_wire::driver::disk_start::KnownControlNodes;
 use topazyard_wire::message::membership::{Member, MemberRole};
 
 /// Opens the data folder, if there is one. An agent only remembers addresses there: one whose disk
 /// is full does without.
-fn open_disk(folder: Option<&Path>) -> Result<Option<(Remembered, OpenFile)>, DiskError> {
+fn open_disk(folder: Option<&Path>) -> Result<Option<(KnownControlNodes, OpenFile)>, DiskError> {
     let Some(folder) = folder else { return Ok(None) };
     match topazyard_wire::disk::open(folder) {
         Ok(disk) => {
             let file = OpenFile { folder: folder.to_owned(), database: disk.database };
-            Ok(Some((Remembered::read(&disk.loaded), file)))
+            Ok(Some((KnownControlNodes::read(&disk.loaded), file)))
         }
         Err(error @ DiskError::Full(_)) => {
             spdlog::warn!("nothing is remembered: {error}");
@@ -44,10 +44,13 @@
         seeds: settings.seeds.clone(),
         remembered,
         relay,
-        chance: rand::random(),
+        random_seed: rand::random(),
+    };
+    let place = topazyard_wire::driver::NodeIdentity {
+        fleet: settings.fleet,
+        node,
+        address: settings.address,
     };
-    let place =
-        topazyard_wire::driver::Place { fleet: settings.fleet, node, address: settings.address };
     topazyard_wire::driver::run_process(async move {
         let (tasks, _no_tasks) = tokio::sync::mpsc::channel(1);
         let make = |_| (crate::AgentMachine::new(start), Vec::new());
@@ -56,7 +59,7 @@
         let leave_limit = leave_limit(&settings.bounds);
         crate::metrics::serve(settings.metrics, &handle).await;
         let follow = topazyard_wire::driver::follow_settings(settings, |told| {
-            handle.tell(crate::AgentCall::Seeds(told.seeds));
+            handle.notify(crate::AgentCall::Seeds(told.seeds));
         });
         tokio::select! {
             biased;
--- a/programs/topazyard-edge-agent/tests/leaving.rs
+++ b/programs/topazyard-edge-agent/tests/leaving.rs
@@ -36,7 +36,7 @@
             zone: "north".into(),
         };
         let seeds = vec![at(11)];
-        let start = Start { member, seeds, remembered: None, relay: at(RELAY), chance: 1 };
+        let start = Start { member, seeds, remembered: None, relay: at(RELAY), random_seed: 1 };
         let machine = AgentMachine::new(start);
         Self { machine, now: MonotonicMs(100_000), nonce: 0, passed_on: 0, may_end: false }
     }
@@ -47,7 +47,7 @@
                 Effect::Send { message: Message::Feed(FeedMessage::Request { .. }), .. } => {
                     self.passed_on += 1;
                 }
-                Effect::Return { call: CallId(7), .. } => self.may_end = true,
+                Effect::Respond { call: CallId(7), .. } => self.may_end = true,
                 _ => {}
             }
         }
--- a/programs/topazyard-edge-agent/tests/looking.rs
+++ b/programs/topazyard-edge-agent/tests/looking.rs
@@ -42,7 +42,7 @@
             seeds: (11..11 + seeds).map(at).collect(),
             remembered: None,
             relay: at(RELAY),
-            chance: 1,
+            random_seed: 1,
         };
         let now = MonotonicMs(100_000);
         let machine = AgentMachine::new(start);
--- a/programs/topazyard-edge-agent/tests/metrics.rs
+++ b/programs/topazyard-edge-agent/tests/metrics.rs
@@ -15,7 +15,7 @@
 fn health(agent: &mut AgentMachine, now: u64) -> AgentHealth {
     let asked = Input::Call { call: CallId(1), request: AgentCall::Health };
     let health = agent.step(asked, MonotonicMs(now)).into_iter().find_map(|effect| match effect {
-        Effect::Return { value, .. } => Some(value),
+        Effect::Respond { value, .. } => Some(value),
         _ => None,
     });
     health.expect("its health")
@@ -32,7 +32,7 @@
         zone: "north".into(),
     };
     let seeds = vec![at(11), at(12), at(13)];
-    let start = Start { member, seeds, remembered: None, relay: at(9), chance: 1 };
+    let start = Start { member, seeds, remembered: None, relay: at(9), random_seed: 1 };
     let mut agent = AgentMachine::new(start);
     let before = topazyard_wire::metrics::text(Some(AgentFigures(health(&mut agent, 100_000))));
     assert!(!before.unwrap().contains("relay_heard"));
--- a/programs/topazyard-operator/src/main.rs
+++ b/programs/topazyard-operator/src/main.rs
@@ -207,7 +207,7 @@
 /// Sends to the first control node that takes a connection. A command whose connection broke is
 /// not sent again: its outcome is unknown.
 async fn send(control: &[std::net::SocketAddr], call: &Call) -> Result<String, OperatorError> {
-    use topazyard_wire::http::outward::{OutwardError, exchange};
+    use topazyard_wire::http::outbound::{OutboundError, exchange};
     let (method, path, body) = call;
     let limit = std::time::Duration::from_secs(10);
     for address in control {
@@ -215,7 +215,7 @@
         match asked.await {
             Ok((200, body)) => return Ok(String::from_utf8_lossy(&body).into_owned()),
             // It surely did nothing; another node may know the primary.
-            Ok((503, _)) | Err(OutwardError::NotConnected) => {}
+            Ok((503, _)) | Err(OutboundError::NotConnected) => {}
             Ok((status, body)) => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 return Err(OperatorError::Refused(status, text));
--- a/programs/topazyard-relay/src/drain.rs
+++ b/programs/topazyard-relay/src/drain.rs
@@ -7,7 +7,7 @@
 //! still without a response gets its final answer at once. A part of the grace is left to send it.
 
 use topazyard_types::{DurationMs, MonotonicMs};
-use topazyard_wire::http::inward::Stage;
+use topazyard_wire::http::inbound::Stage;
 
 /// So long runs of routed items may go on. After it another relay is to go on with them.
 const RUNS_SIXTEENTHS: u64 = 12;
@@ -130,7 +130,7 @@
     /// ```
     /// use topazyard_relay::drain::{DrainTimes, Draining};
     /// use topazyard_types::{DurationMs, MonotonicMs};
-    /// use topazyard_wire::http::inward::Stage;
+    /// use topazyard_wire::http::inbound::Stage;
     /// let times = DrainTimes::within(DurationMs(8_000), DurationMs(2_500));
     /// let draining = Draining::start(times, MonotonicMs(100));
     /// assert_eq!(draining.stage(true, MonotonicMs(2_599)), Stage::Closing);
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -41,7 +41,7 @@
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let body = topazyard_wire::http::inward::read_body(body, MOST_BYTES).await?;
+    let body = topazyard_wire::http::inbound::read_body(body, MOST_BYTES).await?;
     let parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
     let call = match (head.method.as_str(), &parts[1..]) {
         ("POST", []) => {
--- a/programs/topazyard-relay/src/front/ending.rs
+++ b/programs/topazyard-relay/src/front/ending.rs
@@ -24,6 +24,6 @@
 
 impl Drop for Ending {
     fn drop(&mut self) {
-        self.handle.tell((self.told)(self.id, self.engine_outcome));
+        self.handle.notify((self.told)(self.id, self.engine_outcome));
     }
 }
--- a/programs/topazyard-relay/src/front/engine.rs
+++ b/programs/topazyard-relay/src/front/engine.rs
@@ -1,7 +1,7 @@
 //! The engines' HTTP, in the published text-generation form. Nothing else here knows it.
 
 use topazyard_types::DurationMs;
-use topazyard_wire::http::outward::{Connection, OutwardError};
+use topazyard_wire::http::outbound::{Connection, OutboundError};
 
 /// How long an engine may take to accept a connection.
 pub const CONNECT_LIMIT: DurationMs = DurationMs(400);
@@ -19,9 +19,9 @@
 pub async fn connect(
     address: std::net::SocketAddr,
     limit: DurationMs,
-) -> Result<Connection, OutwardError> {
+) -> Result<Connection, OutboundError> {
     let limit = DurationMs(limit.0.min(CONNECT_LIMIT.0));
-    topazyard_wire::http::outward::connect(address, span(limit)).await
+    topazyard_wire::http::outbound::connect(address, span(limit)).await
 }
 
 /// The request that carries a body to an engine, byte for byte.
@@ -32,14 +32,14 @@
     address: std::net::SocketAddr,
     path: &'static str,
     body: bytes::Bytes,
-) -> Result<hyper::Request<topazyard_wire::http::Body>, OutwardError> {
+) -> Result<hyper::Request<topazyard_wire::http::Body>, OutboundError> {
     hyper::Request::builder()
         .method(hyper::Method::POST)
         .uri(path)
         .header(hyper::header::HOST, address.to_string())
         .header(hyper::header::CONTENT_TYPE, "application/json")
-        .body(topazyard_wire::http::whole(body))
-        .map_err(|_| OutwardError::NotConnected)
+        .body(topazyard_wire::http::full_body(body))
+        .map_err(|_| OutboundError::NotConnected)
 }
 
 /// Whether the end of a return's body can be told from a cut, in one way and no other. One that just
@@ -65,7 +65,7 @@
 
 /// Looks whether an engine is well.
 pub async fn is_well(address: std::net::SocketAddr) -> bool {
-    let asked = topazyard_wire::http::outward::exchange(
+    let asked = topazyard_wire::http::outbound::exchange(
         address,
         hyper::Method::GET,
         "/health",
--- a/programs/topazyard-relay/src/front/items.rs
+++ b/programs/topazyard-relay/src/front/items.rs
@@ -31,7 +31,7 @@
     request_id: &HeaderValue,
     names: &dyn Dialect,
 ) -> Option<hyper::Request<Body>> {
-    let body = topazyard_wire::http::whole(run.body.clone());
+    let body = topazyard_wire::http::full_body(run.body.clone());
     let mut request = hyper::Request::post(&run.routing.path).body(body).ok()?;
     let mut headers = hyper::HeaderMap::new();
     for (name, value) in &run.routing.headers {
@@ -136,7 +136,7 @@
 
 /// Says what went wrong with an item's engine.
 fn failed(handle: &Handle, run: &RoutedRun, failure: Failure) -> EngineOutcome {
-    handle.tell(RelayCall::EngineFailed(run.target.engine.clone(), failure));
+    handle.notify(RelayCall::EngineFailed(run.target.engine.clone(), failure));
     EngineOutcome::Failed
 }
 
--- a/programs/topazyard-relay/src/front/loads.rs
+++ b/programs/topazyard-relay/src/front/loads.rs
@@ -17,7 +17,7 @@
     headers: &hyper::HeaderMap,
 ) {
     match names.load(headers) {
-        Ok(Some(load)) => handle.tell(RelayCall::EngineLoad(engine.clone(), load)),
+        Ok(Some(load)) => handle.notify(RelayCall::EngineLoad(engine.clone(), load)),
         Ok(None) => {}
         Err(_) => drop(MALFORMED.fetch_add(1, Ordering::Relaxed)),
     }
--- a/programs/topazyard-relay/src/front/mod.rs
+++ b/programs/topazyard-relay/src/front/mod.rs
@@ -25,15 +25,15 @@
 /// its final answer at once.
 pub async fn answer(
     handle: Handle,
-    mut drain: topazyard_wire::http::inward::Drain,
+    mut drain: topazyard_wire::http::inbound::Drain,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
-    use topazyard_wire::http::inward;
+    use topazyard_wire::http::inbound;
     let _unanswered = ended::Unanswered::begin();
     tokio::select! {
         biased;
         response = respond(handle, request) => response,
-        () = inward::reached(&mut drain, inward::Stage::Overdue) => {
+        () = inbound::wait_for_stage(&mut drain, inbound::Stage::Overdue) => {
             topazyard_wire::http::error(&ApiError::may_have_run(Code::OutcomeUnknown))
         }
     }
--- a/programs/topazyard-relay/src/front/routed.rs
+++ b/programs/topazyard-relay/src/front/routed.rs
@@ -14,7 +14,7 @@
 use hyper::body::Body as _;
 use topazyard_types::{DurationMs, MonotonicMs};
 use topazyard_wire::api::{ApiError, Code};
-use topazyard_wire::http::{Body, inward};
+use topazyard_wire::http::{Body, inbound};
 
 /// How long a client waits that doesn't say it.
 const DEFAULT_WAIT: DurationMs = DurationMs(30_000);
@@ -67,7 +67,7 @@
 pub async fn answer(
     handle: Handle,
     names: Names,
-    mut drain: inward::Drain,
+    mut drain: inbound::Drain,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     let _unanswered = Unanswered::begin();
@@ -81,7 +81,7 @@
 async fn serve(
     handle: Handle,
     names: &Names,
-    drain: &mut inward::Drain,
+    drain: &mut inbound::Drain,
     head: hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
@@ -105,11 +105,11 @@
 }
 
 /// What work gives, if it does so before the relay's time to serve is over.
-async fn before_overdue<T>(drain: &mut inward::Drain, work: impl Future<Output = T>) -> Option<T> {
+async fn before_overdue<T>(drain: &mut inbound::Drain, work: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
         outcome = work => Some(outcome),
-        () = inward::reached(drain, inward::Stage::Overdue) => None,
+        () = inbound::wait_for_stage(drain, inbound::Stage::Overdue) => None,
     }
 }
 
@@ -119,7 +119,7 @@
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
-    let body = inward::read_body(body, MOST_BODY).await?;
+    let body = inbound::read_body(body, MOST_BODY).await?;
     Ok(names.batch_call(handle, None, head, body).await)
 }
 
@@ -154,7 +154,7 @@
 ) -> Result<Admission, ApiError> {
     let arrived_at = handle.clock().now();
     let facts = names.read(&head)?;
-    let body = inward::read_body(body, MOST_BODY).await?;
+    let body = inbound::read_body(body, MOST_BODY).await?;
     let ending = Ending::of_new(handle, RelayCall::RequestEnded);
     let arrival = Arrival {
         id: ending.id,
@@ -250,7 +250,7 @@
 
     async fn serve(
         mut self: Box<Self>,
-        drain: &mut inward::Drain,
+        drain: &mut inbound::Drain,
     ) -> Result<hyper::Response<Body>, ApiError> {
         match before_overdue(drain, self.respond()).await {
             Some(Ok(Response::Whole(response))) => Ok(response),
@@ -321,7 +321,7 @@
     /// Says what went wrong with the request's engine.
     fn tell_failure(&self, failure: Failure) {
         let engine = self.terms.chosen.target.engine.clone();
-        self.ending.handle.tell(RelayCall::EngineFailed(engine, failure));
+        self.ending.handle.notify(RelayCall::EngineFailed(engine, failure));
     }
 
     /// Connects, looks a last time whether it may be sent, sends, and judges the response's head.
@@ -399,7 +399,7 @@
         let outcome = match early {
             Ok(outcome) => Ok(outcome),
             Err(_) => {
-                self.ending.handle.tell(RelayCall::SuspectEngine(chosen.target.engine.clone()));
+                self.ending.handle.notify(RelayCall::SuspectEngine(chosen.target.engine.clone()));
                 let left = DurationMs(timeout.0.saturating_sub(chosen.suspect_after.0));
                 tokio::time::timeout(span(left), &mut response).await
             }
@@ -412,7 +412,7 @@
     }
 
     fn request(&self, chosen: &Chosen) -> hyper::Request<Body> {
-        let mut request = hyper::Request::new(topazyard_wire::http::whole(self.body.clone()));
+        let mut request = hyper::Request::new(topazyard_wire::http::full_body(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = origin_form(&self.uri);
         *request.headers_mut() = self.headers.clone();
@@ -444,7 +444,7 @@
             EngineOutcome::Failed
         };
         connections::keep(connection, &head.headers);
-        Ok(passed_on(&head, topazyard_wire::http::whole(body)))
+        Ok(passed_on(&head, topazyard_wire::http::full_body(body)))
     }
 
     /// Relays a stream event by event. One that can be resumed goes on from another engine when
--- a/programs/topazyard-relay/src/front/session.rs
+++ b/programs/topazyard-relay/src/front/session.rs
@@ -43,7 +43,7 @@
     stream: bool,
 ) -> Result<hyper::Response<Body>, ApiError> {
     let arrived = handle.clock().now();
-    let body = topazyard_wire::http::inward::read_body(body, read::MOST_BYTES).await?;
+    let body = topazyard_wire::http::inbound::read_body(body, read::MOST_BYTES).await?;
     let facts = read::read(&head.headers, &body)?;
     let deadline = arrived.plus(facts.wait);
     let ending = Ending::of_new(handle, RelayCall::PromptEnded);
@@ -167,7 +167,7 @@
         self.state_machine.start_relaying();
         self.state_machine.complete();
         self.ending.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
-        Ok(passed_on(&head, topazyard_wire::http::whole(body)))
+        Ok(passed_on(&head, topazyard_wire::http::full_body(body)))
     }
 
     /// Relays a stream piece by piece. A cut breaks the client's connection.
--- a/programs/topazyard-relay/src/front/tasks.rs
+++ b/programs/topazyard-relay/src/front/tasks.rs
@@ -22,7 +22,7 @@
             RelayTask::RunItem { run, target, body } => {
                 tokio::spawn(async move {
                     let end = run_item(&handle, run, &target, body).await;
-                    handle.tell(RelayCall::ItemEnded(run, end));
+                    handle.notify(RelayCall::ItemEnded(run, end));
                 });
             }
             RelayTask::RunRoutedItem(run) => {
@@ -35,20 +35,20 @@
                         }
                         None => (RunEnd::NotRun, EngineOutcome::NotSent),
                     };
-                    handle.tell(RelayCall::RoutedItemEnded(run.run, end, engine_outcome));
+                    handle.notify(RelayCall::RoutedItemEnded(run.run, end, engine_outcome));
                 });
             }
             RelayTask::AbortRoutedRuns => drop(break_off.send_replace(true)),
             RelayTask::ProbeConnection(target) => {
                 tokio::spawn(async move {
                     let reached = super::connections::reach(&target).await;
-                    handle.tell(RelayCall::ConnectionProbed(target.engine, reached));
+                    handle.notify(RelayCall::ConnectionProbed(target.engine, reached));
                 });
             }
             RelayTask::CheckHealth(target) => {
                 tokio::spawn(async move {
                     let is_well = super::engine::is_well(target.address).await;
-                    handle.tell(RelayCall::HealthChecked(target.engine, is_well));
+                    handle.notify(RelayCall::HealthChecked(target.engine, is_well));
                 });
             }
         }
--- a/programs/topazyard-relay/src/machine/admission.rs
+++ b/programs/topazyard-relay/src/machine/admission.rs
@@ -137,7 +137,7 @@
 
     fn refuse(&mut self, call: CallId, error: ApiError, out: &mut Out) {
         self.count_refusal(error.code);
-        out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+        out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
     }
 
     /// The checks that need no other process, cheapest first.
@@ -260,7 +260,7 @@
         if let Some(entry) = self.admission.entries.get_mut(&id) {
             entry.stage = Stage::Held(hold, target.engine.clone());
             self.admitted += 1;
-            out.push(Effect::Return { call: entry.call, value: RelayResponse::SendTo(target) });
+            out.push(Effect::Respond { call: entry.call, value: RelayResponse::SendTo(target) });
         }
         self.ask_in_order(&pool, now, out);
     }
--- a/programs/topazyard-relay/src/machine/batches.rs
+++ b/programs/topazyard-relay/src/machine/batches.rs
@@ -165,7 +165,7 @@
             }
             (code, _) => {
                 let error = ApiError::not_run(code.unwrap_or(Code::NoShard));
-                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -186,7 +186,7 @@
             }
             Err(error) => {
                 self.count_refusal(error.code);
-                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
         }
     }
@@ -206,7 +206,7 @@
         let Some((route, terms)) = of_batches else {
             self.count_refusal(Code::NoLane);
             let error = ApiError::not_run(Code::NoLane);
-            return out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+            return out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
         };
         let routed = RoutedBatch {
             batch,
@@ -329,10 +329,10 @@
             (Caller::Client(call), BatchResponse::CeilingReached) => {
                 self.count_refusal(Code::BatchCeiling);
                 let error = ApiError::not_run(Code::BatchCeiling);
-                out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
             }
             (Caller::Client(call), value) => {
-                out.push(Effect::Return { call, value: RelayResponse::Batch(value) });
+                out.push(Effect::Respond { call, value: RelayResponse::Batch(value) });
             }
             (Caller::Leasing(since), BatchResponse::Leased(items)) => {
                 self.items_leased(pending.shard, items, since, now, out);
@@ -365,7 +365,7 @@
                         ApiError::not_run(Code::NoShard)
                     };
                     self.count_refusal(error.code);
-                    out.push(Effect::Return { call, value: RelayResponse::Refused(error) });
+                    out.push(Effect::Respond { call, value: RelayResponse::Refused(error) });
                 }
                 Caller::Leasing(_) => self.items.lease_over(pending.shard),
                 Caller::Starting(run) => self.start_settled(run, false, now, out),
--- a/programs/topazyard-relay/src/machine/choice.rs
+++ b/programs/topazyard-relay/src/machine/choice.rs
@@ -106,7 +106,7 @@
         }
         self.is_logged_as_paused = is_paused;
         let what = if is_paused { "is paused after failures" } else { "is used again" };
-        Some(Effect::Note { grave: false, text: format!("engine {engine} {what}") })
+        Some(Effect::Log { is_error: false, text: format!("engine {engine} {what}") })
     }
 }
 
@@ -310,7 +310,7 @@
                 // It stays out until the answer is here.
                 known.ill_until = Some(now.plus(pause.max(DurationMs(1_000))));
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                out.push(Effect::Start(RelayTask::ProbeConnection(target)));
+                out.push(Effect::StartTask(RelayTask::ProbeConnection(target)));
             }
         }
     }
--- a/programs/topazyard-relay/src/machine/engine_failures.rs
+++ b/programs/topazyard-relay/src/machine/engine_failures.rs
@@ -56,7 +56,7 @@
         } else if now.since(self.engine_failures.span_began) >= SPAN {
             let told = std::mem::take(&mut self.engine_failures);
             self.engine_failures.span_began = now;
-            out.extend(told.line().map(|text| Effect::Note { grave: false, text }));
+            out.extend(told.line().map(|text| Effect::Log { is_error: false, text }));
         }
     }
 }
--- a/programs/topazyard-relay/src/machine/engines.rs
+++ b/programs/topazyard-relay/src/machine/engines.rs
@@ -187,7 +187,7 @@
             if known.last_look.is_none_or(|at| now.since(at) >= LOOK_EVERY) {
                 known.last_look = Some(now);
                 let target = Target { engine: engine.name.clone(), address: engine.address };
-                out.push(Effect::Start(RelayTask::CheckHealth(target)));
+                out.push(Effect::StartTask(RelayTask::CheckHealth(target)));
             }
         }
         let listed = &self.view.engines;
--- a/programs/topazyard-relay/src/machine/items.rs
+++ b/programs/topazyard-relay/src/machine/items.rs
@@ -162,7 +162,7 @@
         if self.items.break_off_at.is_some_and(|at| now >= at)
             && self.items.entries.values().any(is_routed)
         {
-            out.push(Effect::Start(RelayTask::AbortRoutedRuns));
+            out.push(Effect::StartTask(RelayTask::AbortRoutedRuns));
             self.items.break_off_at = None;
         }
     }
@@ -388,7 +388,7 @@
                 self.engines.begin(&target.engine, cost, &[]);
                 let until = asked.plus(START_WITHIN);
                 self.set_stage(run, Stage::Started(hold, until, target.engine.clone()));
-                out.push(Effect::Start(RelayTask::RunItem { run, target, body }));
+                out.push(Effect::StartTask(RelayTask::RunItem { run, target, body }));
             }
             None => {
                 // If the start was recorded after all, this says that nothing ran.
@@ -544,7 +544,7 @@
         };
         self.engines.open(&routed_run.target.engine, &prefix, now);
         self.set_stage(run, started);
-        out.push(Effect::Start(RelayTask::RunRoutedItem(Box::new(routed_run))));
+        out.push(Effect::StartTask(RelayTask::RunRoutedItem(Box::new(routed_run))));
     }
 
     /// Until when a routed item may be sent to an engine.
--- a/programs/topazyard-relay/src/machine/mod.rs
+++ b/programs/topazyard-relay/src/machine/mod.rs
@@ -416,7 +416,7 @@
         if let Some(version) = version.filter(|version| before != Some(*version)) {
             let engines = self.view.engines.len();
             let text = format!("spec {version} in force, {engines} engines listed");
-            out.push(Effect::Note { grave: false, text });
+            out.push(Effect::Log { is_error: false, text });
         }
     }
 
@@ -486,7 +486,7 @@
             },
             RelayCall::Health => RelayResponse::Health(Box::new(self.health(now))),
         };
-        out.push(Effect::Return { call, value });
+        out.push(Effect::Respond { call, value });
     }
 
     /// Takes from now on only what is over in time. A drain that was begun goes on as it is.
@@ -524,7 +524,7 @@
 
 impl Machine for RelayMachine {
     type Call = RelayCall;
-    type Return = RelayResponse;
+    type Response = RelayResponse;
     type Task = RelayTask;
 
     fn step(&mut self, input: Input<RelayCall>, now: MonotonicMs) -> Out {
--- a/programs/topazyard-relay/src/machine/requests.rs
+++ b/programs/topazyard-relay/src/machine/requests.rs
@@ -249,7 +249,7 @@
                 if let RelayResponse::Refused(error) = &refused {
                     self.count_refusal(error.code);
                 }
-                return out.push(Effect::Return { call, value: refused });
+                return out.push(Effect::Respond { call, value: refused });
             }
         };
         let (pool, id) = (judged.pool.clone(), arrival.id);
@@ -350,7 +350,7 @@
                     entry.terms.chosen = chosen;
                     let value = RelayResponse::Admitted(Box::new(entry.terms.clone()));
                     self.admitted += 1;
-                    out.push(Effect::Return { call, value });
+                    out.push(Effect::Respond { call, value });
                 }
                 None => {
                     self.forget_request(id, now);
@@ -502,7 +502,7 @@
     fn refuse_request(&mut self, call: CallId, code: Code, out: &mut Out) {
         self.count_refusal(code);
         let value = RelayResponse::Refused(ApiError::not_run(code));
-        out.push(Effect::Return { call, value });
+        out.push(Effect::Respond { call, value });
     }
 
     pub(super) fn requests_tick(&mut self, now: MonotonicMs, out: &mut Out) {
@@ -525,7 +525,7 @@
         let late_from = draining.deregistered_at();
         let left = self.requests.entries.values().filter(|entry| entry.arrived_at >= late_from);
         let left = left.count();
-        invariants::check(left == 0, Invariant::TakenWithTimeLeft, || format!("left={left}"));
+        invariants::check(left == 0, Invariant::AdmittedWithTimeLeft, || format!("left={left}"));
     }
 
     /// Those that waited as long as it makes sense get their final answer at once.
--- a/programs/topazyard-relay/src/metrics.rs
+++ b/programs/topazyard-relay/src/metrics.rs
@@ -3,8 +3,8 @@
 use crate::front::{Handle, ended, loads};
 use crate::machine::RelayHealth;
 use crate::{RelayCall, RelayResponse};
-use topazyard_wire::http::inward::{Drain, Stage};
-use topazyard_wire::metrics::{Figures, Writer};
+use topazyard_wire::http::inbound::{Drain, Stage};
+use topazyard_wire::metrics::{MetricSource, Writer};
 
 /// A relay's figures at one moment.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     }
 }
 
-impl Figures for RelayFigures {
+impl MetricSource for RelayFigures {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         self.write_requests(to)?;
         self.write_drain(to)?;
--- a/programs/topazyard-relay/src/prompt/state_machine.rs
+++ b/programs/topazyard-relay/src/prompt/state_machine.rs
@@ -146,7 +146,7 @@
 
     fn change(&mut self, from: &[State], to: State) {
         let is_allowed = from.contains(&self.state);
-        invariants::check(is_allowed, Invariant::RequestFollowsItsChart, || {
+        invariants::check(is_allowed, Invariant::RequestFollowsStateMachine, || {
             format!("from={:?} to={to:?}", self.state)
         });
         debug_assert!(is_allowed, "{:?} -> {to:?}", self.state);
--- a/programs/topazyard-relay/src/run.rs
+++ b/programs/topazyard-relay/src/run.rs
@@ -6,7 +6,7 @@
 use crate::{RelayCall, RelayResponse};
 use topazyard_types::DurationMs;
 use topazyard_wire::driver::StartError;
-use topazyard_wire::http::inward;
+use topazyard_wire::http::inbound;
 
 /// How often idle connections to engines are looked through.
 const SWEEP_MS: u64 = 500;
@@ -39,12 +39,15 @@
     topazyard_wire::log::start(settings.data.clone()).map_err(|_| StartError::Log)?;
     let node = topazyard_wire::driver::fresh_id();
     let start = crate::Start { node, agent, bounds: settings.bounds.clone() };
-    let place =
-        topazyard_wire::driver::Place { fleet: settings.fleet, node, address: settings.address };
+    let place = topazyard_wire::driver::NodeIdentity {
+        fleet: settings.fleet,
+        node,
+        address: settings.address,
+    };
     topazyard_wire::driver::run_process(async move {
-        let listener = inward::bind(http).await?;
+        let listener = inbound::bind(http).await?;
         let ready = match settings.ready {
-            Some(address) => Some(inward::bind(address).await?),
+            Some(address) => Some(inbound::bind(address).await?),
             None => None,
         };
         let (tasks, begun) = tokio::sync::mpsc::channel(1_024);
@@ -57,7 +60,7 @@
         };
         tokio::spawn(crate::front::tasks::run(handle.clone(), begun, names));
         tokio::spawn(sweep());
-        let (drain, drains) = tokio::sync::watch::channel(inward::Stage::Serving);
+        let (drain, drains) = tokio::sync::watch::channel(inbound::Stage::Serving);
         crate::metrics::serve(settings.metrics, &handle, &drains).await;
         let deregistration_delay = match &front {
             Front::Own => DurationMs(0),
@@ -82,19 +85,19 @@
     listener: tokio::net::TcpListener,
     handle: Handle,
     front: Front,
-    drains: inward::Drain,
+    drains: inbound::Drain,
 ) {
     match front {
         Front::Own => {
             let told = drains.clone();
             let answer = move |request| crate::front::answer(handle.clone(), told.clone(), request);
-            inward::serve_draining(listener, answer, drains).await;
+            inbound::serve_draining(listener, answer, drains).await;
         }
         Front::Routes { names, .. } => {
             let told = drains.clone();
             let answer =
                 move |request| routed::answer(handle.clone(), names.clone(), told.clone(), request);
-            inward::serve_draining(listener, answer, drains).await;
+            inbound::serve_draining(listener, answer, drains).await;
         }
     }
 }
@@ -111,7 +114,7 @@
 /// process must end, whatever is under way.
 async fn drained(
     handle: &Handle,
-    drain: &tokio::sync::watch::Sender<inward::Stage>,
+    drain: &tokio::sync::watch::Sender<inbound::Stage>,
     times: DrainTimes,
 ) {
     topazyard_wire::driver::terminated().await;
@@ -142,10 +145,10 @@
 
 /// Has final answers given that were not given in time: the process was stopped meanwhile, or has
 /// hardly any time to end.
-async fn give_last_answers(drain: &tokio::sync::watch::Sender<inward::Stage>) {
-    if *drain.borrow() < inward::Stage::Overdue {
+async fn give_last_answers(drain: &tokio::sync::watch::Sender<inbound::Stage>) {
+    if *drain.borrow() < inbound::Stage::Overdue {
         spdlog::warn!("drain stage Overdue late");
-        drain.send_replace(inward::Stage::Overdue);
+        drain.send_replace(inbound::Stage::Overdue);
         tokio::time::sleep(LAST_ANSWERS).await;
     }
 }
--- a/programs/topazyard-relay/tests/admission.rs
+++ b/programs/topazyard-relay/tests/admission.rs
@@ -62,10 +62,10 @@
                 } => {
                     self.feed_nonce = nonce;
                 }
-                Effect::Return { call, value } => self.returned.push((call, value)),
-                Effect::Start(RelayTask::CheckHealth(_))
+                Effect::Respond { call, value } => self.returned.push((call, value)),
+                Effect::StartTask(RelayTask::CheckHealth(_))
                 | Effect::Send { .. }
-                | Effect::Note { .. } => {}
+                | Effect::Log { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/programs/topazyard-relay/tests/drain.rs
+++ b/programs/topazyard-relay/tests/drain.rs
@@ -2,7 +2,7 @@
 
 use topazyard_relay::drain::{DrainTimes, Draining};
 use topazyard_types::{DurationMs, MonotonicMs};
-use topazyard_wire::http::inward::Stage;
+use topazyard_wire::http::inbound::Stage;
 
 const BEGUN: MonotonicMs = MonotonicMs(86_400_000);
 
--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -67,7 +67,8 @@
             agent,
             bounds: topazyard_spec::Bounds::default(),
         };
-        let place = topazyard_wire::driver::Place { fleet: FLEET, node: NodeId(9), address: own };
+        let place =
+            topazyard_wire::driver::NodeIdentity { fleet: FLEET, node: NodeId(9), address: own };
         let (tasks, begun) = tokio::sync::mpsc::channel(64);
         let make = move |_| (topazyard_relay::RelayMachine::new(&start), Vec::new());
         let handle = topazyard_wire::driver::spawn(make, place, None, tasks).expect("a relay");
@@ -75,9 +76,9 @@
         let http = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let relay = http.local_addr().expect("its address");
         let asked = handle.clone();
-        let serving = topazyard_wire::http::inward::Stage::Serving;
+        let serving = topazyard_wire::http::inbound::Stage::Serving;
         let (_, told) = tokio::sync::watch::channel(serving);
-        tokio::spawn(topazyard_wire::http::inward::serve(http, move |request| {
+        tokio::spawn(topazyard_wire::http::inbound::serve(http, move |request| {
             topazyard_relay::front::answer(handle.clone(), told.clone(), request)
         }));
         while !matches!(
@@ -188,7 +189,7 @@
 async fn be_core(address: Address, engine: Address, tell: tokio::sync::mpsc::UnboundedSender<Saw>) {
     let listener = tokio::net::TcpListener::bind(address).await.expect("a free port");
     let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
-    tokio::spawn(topazyard_wire::link::inward::listen(listener, FLEET, move |frame| {
+    tokio::spawn(topazyard_wire::link::inbound::listen(listener, FLEET, move |frame| {
         let _ = sender.send(frame);
     }));
     let mut links = topazyard_wire::link::Links::default();
--- a/programs/topazyard-relay/tests/invariants.rs
+++ b/programs/topazyard-relay/tests/invariants.rs
@@ -14,14 +14,14 @@
     state_machine.start_relaying();
     state_machine.complete();
     assert_eq!(
-        (state_machine.state(), violations(Invariant::RequestFollowsItsChart)),
+        (state_machine.state(), violations(Invariant::RequestFollowsStateMachine)),
         (State::Completed, 0)
     );
     // It ended: a second end panics in debug builds, and is counted in every build.
     let ended_again =
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| state_machine.complete()));
     assert_eq!(ended_again.is_err(), cfg!(debug_assertions));
-    assert_eq!(violations(Invariant::RequestFollowsItsChart), 1);
+    assert_eq!(violations(Invariant::RequestFollowsStateMachine), 1);
 }
 
 #[test]
--- a/programs/topazyard-relay/tests/loopback/core.rs
+++ b/programs/topazyard-relay/tests/loopback/core.rs
@@ -81,7 +81,7 @@
     mut shard: Shard,
 ) {
     let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
-    tokio::spawn(topazyard_wire::link::inward::listen(listener, FLEET, move |frame| {
+    tokio::spawn(topazyard_wire::link::inbound::listen(listener, FLEET, move |frame| {
         let _ = sender.send(frame);
     }));
     let mut links = topazyard_wire::link::Links::default();
--- a/programs/topazyard-relay/tests/loopback/mod.rs
+++ b/programs/topazyard-relay/tests/loopback/mod.rs
@@ -10,7 +10,7 @@
 use topazyard_relay::front::routed::Names;
 use topazyard_types::{DurationMs, EngineName, NodeId};
 use topazyard_wire::api::{ApiError, Execution};
-use topazyard_wire::http::inward;
+use topazyard_wire::http::inbound;
 use topazyard_wire::message::batch::RunEnd;
 
 type Address = std::net::SocketAddr;
@@ -36,7 +36,7 @@
     let bounds = topazyard_spec::Bounds { grace: GRACE, ..Default::default() };
     let address = stand_ins::loopback::free_address();
     let start = topazyard_relay::Start { node: NodeId(9), agent, bounds };
-    let place = topazyard_wire::driver::Place { fleet: FLEET, node: NodeId(9), address };
+    let place = topazyard_wire::driver::NodeIdentity { fleet: FLEET, node: NodeId(9), address };
     let (tasks, begun) = tokio::sync::mpsc::channel(64);
     let make = move |_| (topazyard_relay::RelayMachine::new(&start), Vec::new());
     let handle = topazyard_wire::driver::spawn(make, place, None, tasks).expect("a relay");
@@ -105,7 +105,7 @@
     handle: topazyard_relay::front::Handle,
     relay: Address,
     saw: tokio::sync::mpsc::UnboundedReceiver<Seen>,
-    stage: tokio::sync::watch::Sender<inward::Stage>,
+    stage: tokio::sync::watch::Sender<inbound::Stage>,
     items: tokio::sync::mpsc::UnboundedSender<String>,
     ended: tokio::sync::mpsc::UnboundedReceiver<RunEnd>,
 }
@@ -151,13 +151,13 @@
         let http = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let relay = http.local_addr().expect("its address");
         let asked = handle.clone();
-        let (stage, drain) = tokio::sync::watch::channel(inward::Stage::Serving);
+        let (stage, drain) = tokio::sync::watch::channel(inbound::Stage::Serving);
         let told = drain.clone();
         let answer = move |request| {
             let (handle, names, told) = (handle.clone(), names.clone(), told.clone());
             topazyard_relay::front::routed::answer(handle, names, told, request)
         };
-        tokio::spawn(inward::serve_draining(http, answer, drain));
+        tokio::spawn(inbound::serve_draining(http, answer, drain));
         while !matches!(
             asked.call(topazyard_relay::RelayCall::Ready).await,
             Ok(topazyard_relay::RelayResponse::Done)
@@ -219,7 +219,7 @@
 
     /// The relay is about to end: it takes nothing new and answers what it has read.
     pub fn end(&self) {
-        self.stage.send(inward::Stage::Ending).expect("it serves");
+        self.stage.send(inbound::Stage::Ending).expect("it serves");
     }
 
     /// All that engines got so far.
--- a/programs/topazyard-relay/tests/metrics.rs
+++ b/programs/topazyard-relay/tests/metrics.rs
@@ -5,7 +5,7 @@
 use topazyard_relay::metrics::RelayFigures;
 use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, Start};
 use topazyard_types::{CallId, DurationMs, MonotonicMs, NodeId};
-use topazyard_wire::http::inward::Stage;
+use topazyard_wire::http::inbound::Stage;
 use topazyard_wire::{Effect, Input, Machine as _};
 
 const STARTED: MonotonicMs = MonotonicMs(86_400_000);
@@ -19,7 +19,7 @@
 fn health(relay: &mut RelayMachine, now: MonotonicMs) -> RelayHealth {
     let asked = Input::Call { call: CallId(1), request: RelayCall::Health };
     let health = relay.step(asked, now).into_iter().find_map(|effect| match effect {
-        Effect::Return { value: RelayResponse::Health(health), .. } => Some(*health),
+        Effect::Respond { value: RelayResponse::Health(health), .. } => Some(*health),
         _ => None,
     });
     health.expect("its health")
--- a/programs/topazyard-relay/tests/requests.rs
+++ b/programs/topazyard-relay/tests/requests.rs
@@ -143,9 +143,9 @@
                     self.feed_nonce = Some(nonce);
                     self.health.push(health);
                 }
-                Effect::Return { call, value } => drop(self.returned.insert(call, value)),
-                Effect::Note { text, .. } => self.notes.push(text),
-                Effect::Start(RelayTask::ProbeConnection(target)) => {
+                Effect::Respond { call, value } => drop(self.returned.insert(call, value)),
+                Effect::Log { text, .. } => self.notes.push(text),
+                Effect::StartTask(RelayTask::ProbeConnection(target)) => {
                     self.reached_for.push(target.engine)
                 }
                 _ => {}
@@ -553,10 +553,10 @@
     let stuck = relay.arrive("/x", 1, 7_000, &[]);
     assert!(relay.admitted(stuck).is_some());
     relay.tick(7_000);
-    assert_eq!(violations(Invariant::TakenWithTimeLeft), 0, "it may be about to end");
+    assert_eq!(violations(Invariant::AdmittedWithTimeLeft), 0, "it may be about to end");
     relay.tick(250);
     relay.tick(250);
-    assert_eq!(violations(Invariant::TakenWithTimeLeft), 1);
+    assert_eq!(violations(Invariant::AdmittedWithTimeLeft), 1);
 }
 
 // Else requests go to an engine that is about to end, and are cut.
--- a/programs/topazyard-relay/tests/routed.rs
+++ b/programs/topazyard-relay/tests/routed.rs
@@ -519,7 +519,7 @@
         let target = Target { engine: EngineName("alone".to_owned()), address };
         let mut kept = connections::connect(&target, DurationMs(5_000)).await.expect("it listens");
         let request = |body: &'static str| {
-            let body = topazyard_wire::http::whole(body);
+            let body = topazyard_wire::http::full_body(body);
             hyper::Request::post("/x").header("host", "a.example").body(body).expect("a request")
         };
         assert_eq!(kept.send(request("00a")).await.err(), Some(SendError::Broken));
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -94,8 +94,8 @@
                         self.calls.push((message.call, call));
                     }
                 }
-                Effect::Return { call, value } => self.returned.push((call, value)),
-                Effect::Start(RelayTask::RunRoutedItem(run)) => self.runs.push(*run),
+                Effect::Respond { call, value } => self.returned.push((call, value)),
+                Effect::StartTask(RelayTask::RunRoutedItem(run)) => self.runs.push(*run),
                 _ => {}
             }
         }
--- a/programs/topazyard-shell/src/main.rs
+++ b/programs/topazyard-shell/src/main.rs
@@ -42,7 +42,7 @@
     for address in control {
         let empty = bytes::Bytes::new();
         let get = hyper::Method::GET;
-        let asked = topazyard_wire::http::outward::exchange(*address, get, path, empty, limit);
+        let asked = topazyard_wire::http::outbound::exchange(*address, get, path, empty, limit);
         if let Ok((200, body)) = asked.await
             && let Ok(value) = serde_json::from_slice(&body)
         {
--- a/programs/topazyard-storage/src/machine/counter_calls.rs
+++ b/programs/topazyard-storage/src/machine/counter_calls.rs
@@ -31,7 +31,7 @@
         let Some(hosted) = self.hosted.get(&ShardId::COUNTER) else { return };
         let counter = hosted.counter().filter(|_| hosted.replica.is_serving());
         let summaries = counter.into_iter().flat_map(crate::counter::Counter::usage_summaries);
-        effects.extend(summaries.map(|text| Effect::Note { grave: false, text }));
+        effects.extend(summaries.map(|text| Effect::Log { is_error: false, text }));
     }
 
     pub(super) fn receive_counter(
--- a/programs/topazyard-storage/src/machine/mod.rs
+++ b/programs/topazyard-storage/src/machine/mod.rs
@@ -97,7 +97,7 @@
     record_queries: confirm::RecordQueries,
     /// Since when frames have carried an epoch that the feed has not delivered yet.
     behind_since: Option<MonotonicMs>,
-    remembered: topazyard_wire::driver::disked::Remembered,
+    remembered: topazyard_wire::driver::disk_start::KnownControlNodes,
     pub(crate) bounds: topazyard_spec::Bounds,
     /// Maximum size of the batches of a shard, in bytes.
     pub(crate) capacity_bytes: u64,
@@ -115,20 +115,20 @@
 impl StorageMachine {
     /// Creates a storage node from what was found on its disk.
     pub fn new(mut start: DiskStart) -> Self {
-        let remembered = start.remembered();
-        let control_addresses = start.known_control();
+        let remembered = start.known_control_nodes();
+        let control_addresses = start.control_addresses();
         let node_rows = start.loaded.remove(&Group::Node).unwrap_or_default();
         let stopped = node_rows
             .get("stopped")
             .and_then(|value| topazyard_wire::rows::decode(value))
             .unwrap_or_default();
-        let boot_id = BootId(start.chance);
+        let boot_id = BootId(start.random_seed);
         Self {
             boot_id,
             membership: Membership::new(
                 start.member.clone(),
                 control_addresses.clone(),
-                start.chance,
+                start.random_seed,
             ),
             follower: FeedFollower::new(control_addresses, boot_id),
             member: start.member,
@@ -226,7 +226,7 @@
         Health::Storage {
             member: self.member.clone(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now).0,
+            write_wait_ms: self.disk.oldest_write_age(now).0,
             waiting: self
                 .hosted
                 .iter()
@@ -249,7 +249,7 @@
             serving: serving().map(|(shard, _)| *shard).collect(),
             hosting: self.hosted.keys().copied().collect(),
             disk: self.disk.state(now),
-            write_wait_ms: self.disk.oldest_write(now).0,
+            write_wait_ms: self.disk.oldest_write_age(now).0,
             holds: self
                 .hosted
                 .values()
@@ -309,23 +309,23 @@
     fn watch_writes(&mut self, effects: &Effects, now: MonotonicMs) {
         for effect in effects {
             if let Effect::Write { token, .. } = effect {
-                self.disk.begun(*token, now);
+                self.disk.write_started(*token, now);
             }
         }
     }
 
     /// Logs when the disk becomes full, stalls or recovers.
     fn log_disk_state(&mut self, now: MonotonicMs, effects: &mut Effects) {
-        if let Some(state) = self.disk.news(now) {
-            effects.push(Effect::Note { grave: false, text: state.to_string() });
+        if let Some(state) = self.disk.take_state_change(now) {
+            effects.push(Effect::Log { is_error: false, text: state.to_string() });
         }
     }
 
     fn remember_addresses(&mut self, effects: &mut Effects) {
-        if !self.disk.takes_more() {
+        if !self.disk.accepts_writes() {
             return;
         }
-        if let Some(row) = self.remembered.learn(self.membership.addresses(MemberRole::Control)) {
+        if let Some(row) = self.remembered.update(self.membership.addresses(MemberRole::Control)) {
             self.write_node_row(row, None, effects);
         }
     }
@@ -388,17 +388,17 @@
 
 impl Machine for StorageMachine {
     type Call = StorageCall;
-    type Return = StorageHealth;
+    type Response = StorageHealth;
     type Task = topazyard_wire::machine::NoTask;
 
     fn step(&mut self, input: Input<StorageCall>, now: MonotonicMs) -> Effects {
         let mut effects = Vec::new();
         if let Input::Written(token) = &input {
-            self.disk.synced(*token);
+            self.disk.write_synced(*token);
         }
         self.started_at.get_or_insert(now);
         match input {
-            Input::Disk(state) => self.disk.take_state(state, now),
+            Input::Disk(state) => self.disk.set_state(state, now),
             Input::Tick => self.tick(now, &mut effects),
             Input::Written(token) => match token.group {
                 Group::Shard(shard) => {
@@ -419,7 +419,7 @@
                 self.membership.add_seeds(seeds);
             }
             Input::Call { call, request: StorageCall::Health } => {
-                effects.push(Effect::Return { call, value: self.storage_health(now) });
+                effects.push(Effect::Respond { call, value: self.storage_health(now) });
             }
             Input::Frame { sender, from, message } => match message {
                 Message::Membership(message) => {
--- a/programs/topazyard-storage/src/machine/roles.rs
+++ b/programs/topazyard-storage/src/machine/roles.rs
@@ -78,7 +78,7 @@
             addresses_of(&record.fallbacks),
             addresses_of(&record.learners)
         );
-        effects.push(Effect::Note { grave: false, text });
+        effects.push(Effect::Log { is_error: false, text });
         let stopped = self.stopped.get(&shard).is_some_and(|epoch| *epoch >= record.epoch);
         let hosted = self.host_shard(shard);
         hosted.change_request = None;
@@ -238,6 +238,6 @@
             };
         }
         let text = format!("shard {shard} serves in epoch {}", hosted.replica.epoch());
-        effects.push(Effect::Note { grave: false, text });
+        effects.push(Effect::Log { is_error: false, text });
     }
 }
--- a/programs/topazyard-storage/src/main.rs
+++ b/programs/topazyard-storage/src/main.rs
@@ -11,5 +11,5 @@
 }
 
 fn main() -> std::process::ExitCode {
-    topazyard_wire::driver::daemon(Flags::parse().settings, topazyard_storage::run)
+    topazyard_wire::driver::run_daemon(Flags::parse().settings, topazyard_storage::run)
 }
--- a/programs/topazyard-storage/src/metrics.rs
+++ b/programs/topazyard-storage/src/metrics.rs
@@ -3,7 +3,7 @@
 use crate::machine::{StorageCall, StorageHealth, StorageMachine};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::driver::Handle;
-use topazyard_wire::metrics::{Figures, Writer};
+use topazyard_wire::metrics::{MetricSource, Writer};
 
 /// A snapshot of a storage node's metrics.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     handle.call(StorageCall::Health).await.ok().map(StorageMetrics)
 }
 
-impl Figures for StorageMetrics {
+impl MetricSource for StorageMetrics {
     fn write(&self, to: &mut Writer<'_>) -> std::fmt::Result {
         let health = &self.0;
         let led = health.serving.len() as u64;
--- a/programs/topazyard-storage/src/run.rs
+++ b/programs/topazyard-storage/src/run.rs
@@ -22,14 +22,14 @@
         crate::metrics::serve(settings.metrics, &handle).await;
         let health_handle = handle.clone();
         if let Some(http) = settings.http {
-            let listener = topazyard_wire::http::inward::bind(http).await?;
-            tokio::spawn(topazyard_wire::http::inward::serve(listener, move |request| {
+            let listener = topazyard_wire::http::inbound::bind(http).await?;
+            tokio::spawn(topazyard_wire::http::inbound::serve(listener, move |request| {
                 handle_request(health_handle.clone(), request)
             }));
         }
         let shutdown_handle = handle.clone();
         let settings_updates = topazyard_wire::driver::follow_settings(settings, |settings| {
-            handle.tell(crate::machine::StorageCall::Seeds(settings.seeds));
+            handle.notify(crate::machine::StorageCall::Seeds(settings.seeds));
         });
         tokio::select! {
             biased;
--- a/programs/topazyard-storage/tests/disks.rs
+++ b/programs/topazyard-storage/tests/disks.rs
@@ -46,9 +46,9 @@
             match effect {
                 Effect::Send { message, .. } => self.sent.push(message),
                 Effect::Write { token, .. } => self.unsynced.push(token),
-                Effect::Note { text, .. } => self.notes.push(text),
-                Effect::Return { value, .. } => self.health = Some(value),
-                Effect::Start(never) => match never {},
+                Effect::Log { text, .. } => self.notes.push(text),
+                Effect::Respond { value, .. } => self.health = Some(value),
+                Effect::StartTask(never) => match never {},
             }
         }
     }
--- a/programs/topazyard-storage/tests/released_copy.rs
+++ b/programs/topazyard-storage/tests/released_copy.rs
@@ -41,8 +41,8 @@
                 Effect::Write { token, .. } if token.group == Group::Shard(SHARD) => {
                     self.unsynced.push_back(token);
                 }
-                Effect::Write { .. } | Effect::Note { .. } | Effect::Return { .. } => {}
-                Effect::Start(never) => match never {},
+                Effect::Write { .. } | Effect::Log { .. } | Effect::Respond { .. } => {}
+                Effect::StartTask(never) => match never {},
             }
         }
     }
--- a/programs/topazyard-storage/tests/replaced_backup.rs
+++ b/programs/topazyard-storage/tests/replaced_backup.rs
@@ -39,8 +39,8 @@
                 match effect {
                     Effect::Send { message, .. } => self.sent.push(message),
                     Effect::Write { token, .. } => inputs.push_back(Input::Written(token)),
-                    Effect::Note { .. } | Effect::Return { .. } => {}
-                    Effect::Start(never) => match never {},
+                    Effect::Log { .. } | Effect::Respond { .. } => {}
+                    Effect::StartTask(never) => match never {},
                 }
             }
         }
--- a/programs/topazyard-storage/tests/replica_reads.rs
+++ b/programs/topazyard-storage/tests/replica_reads.rs
@@ -64,7 +64,7 @@
             resources: topazyard_spec::Resources::default(),
             member: member(id, MemberRole::Storage),
             seeds: vec![address(CONTROL)],
-            chance: id + 1,
+            random_seed: id + 1,
             loaded,
             bounds: topazyard_spec::Bounds::default(),
             may_bootstrap: false,
@@ -81,7 +81,7 @@
                 match effect {
                     Effect::Send { to, message } => self.sent.push((to, message)),
                     Effect::Write { token, .. } => inputs.push_back(Input::Written(token)),
-                    Effect::Return { .. } | Effect::Note { .. } | Effect::Start(_) => {}
+                    Effect::Respond { .. } | Effect::Log { .. } | Effect::StartTask(_) => {}
                 }
             }
         }
--- a/programs/topazyard-storage/tests/storage_node/mod.rs
+++ b/programs/topazyard-storage/tests/storage_node/mod.rs
@@ -29,7 +29,7 @@
     StorageMachine::new(DiskStart {
         member,
         seeds: vec![node(CONTROL).address],
-        chance: 5 << 40,
+        random_seed: 5 << 40,
         loaded: Default::default(),
         bounds: Default::default(),
         resources: Default::default(),
--- a/stand-ins/src/bin/stand-in-clients.rs
+++ b/stand-ins/src/bin/stand-in-clients.rs
@@ -108,7 +108,7 @@
     body: &str,
 ) -> Option<(u16, Option<String>)> {
     let limit = std::time::Duration::from_millis(1_000);
-    let connection = topazyard_wire::http::outward::connect(relay, limit).await.ok()?;
+    let connection = topazyard_wire::http::outbound::connect(relay, limit).await.ok()?;
     let request = hyper::Request::builder()
         .method(hyper::Method::POST)
         .uri(if stream { "/generate_stream" } else { "/generate" })
@@ -116,7 +116,7 @@
         .header("Topazyard-Model", &flags.model)
         .header("Topazyard-Time-Remaining", flags.wait_ms)
         .header("Topazyard-Prefix", "house,checks")
-        .body(topazyard_wire::http::whole(body.to_owned()))
+        .body(topazyard_wire::http::full_body(body.to_owned()))
         .ok()?;
     let response = connection.send(request).await.ok()?;
     let status = response.status().as_u16();
@@ -134,13 +134,13 @@
 ) -> Option<(u16, serde_json::Value)> {
     let limit = std::time::Duration::from_secs(6);
     let work = async {
-        let connection = topazyard_wire::http::outward::connect(to, limit).await.ok()?;
+        let connection = topazyard_wire::http::outbound::connect(to, limit).await.ok()?;
         let request = hyper::Request::builder()
             .method(method)
             .uri(path)
             .header(hyper::header::HOST, to.to_string())
             .header("Idempotency-Key", key)
-            .body(topazyard_wire::http::whole(body))
+            .body(topazyard_wire::http::full_body(body))
             .ok()?;
         let response = connection.send(request).await.ok()?;
         let status = response.status().as_u16();
--- a/stand-ins/src/bin/stand-in-engine.rs
+++ b/stand-ins/src/bin/stand-in-engine.rs
@@ -3,7 +3,7 @@
 
 use clap::Parser as _;
 use http_body_util::BodyExt as _;
-use topazyard_wire::http::{Body, BodyError, json, whole};
+use topazyard_wire::http::{Body, BodyError, full_body, json};
 
 /// A stand-in engine
 #[derive(clap::Parser, Clone)]
@@ -47,11 +47,11 @@
     let flags = Flags::parse();
     let (owner, asks) = tokio::sync::mpsc::channel(1_024);
     tokio::spawn(own(asks));
-    let listener = match topazyard_wire::http::inward::bind(flags.address).await {
+    let listener = match topazyard_wire::http::inbound::bind(flags.address).await {
         Ok(listener) => listener,
         Err(error) => return topazyard_wire::driver::exit_code(Err(error)),
     };
-    topazyard_wire::http::inward::serve(listener, move |request| {
+    topazyard_wire::http::inbound::serve(listener, move |request| {
         answer(flags.clone(), owner.clone(), request)
     })
     .await;
@@ -112,7 +112,7 @@
                  # TYPE tgi_batch_current_max_tokens gauge\ntgi_batch_current_max_tokens {tokens}\n\
                  # TYPE tgi_queue_size gauge\ntgi_queue_size 0\n"
             );
-            hyper::Response::new(whole(text))
+            hyper::Response::new(full_body(text))
         }
         "/generate" => generate(&flags, owner, body, false).await,
         "/generate_stream" => generate(&flags, owner, body, true).await,
--- a/stand-ins/src/bin/stand-in-platform.rs
+++ b/stand-ins/src/bin/stand-in-platform.rs
@@ -83,6 +83,6 @@
     body: String,
 ) -> Option<u16> {
     let limit = std::time::Duration::from_secs(5);
-    let asked = topazyard_wire::http::outward::exchange(to, method, path, body.into(), limit);
+    let asked = topazyard_wire::http::outbound::exchange(to, method, path, body.into(), limit);
     asked.await.ok().map(|(status, _)| status)
 }
