--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -45,9 +45,9 @@
     /// A process freezes for so many milliseconds, and wakes.
     Freeze(Whom, u64),
     /// A process is cut off from all others; the numbers say which ways are cut.
-    CutOff(Whom, Way),
+    CutOff(Whom, Direction),
     /// A control node is cut off from the other control nodes alone.
-    CutOffFromCore(Whom, Way),
+    CutOffFromCore(Whom, Direction),
     /// Control nodes are split from all storage nodes.
     SplitCoreFromStorage,
     /// A zone is cut off from all others.
@@ -116,7 +116,7 @@
 
 /// Which ways are cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Both.
     Both,
     /// Only what it sends.
@@ -126,9 +126,9 @@
 }
 
 impl World {
-    fn whom(&self, whom: &Whom) -> Option<NodeIndex> {
+    fn resolve(&self, whom: &Whom) -> Option<NodeIndex> {
         match whom {
-            Whom::Named(name) => self.named(name),
+            Whom::Named(name) => self.node_named(name),
             Whom::ControlPrimary => self.control_primary(),
             Whom::OtherControl => {
                 let primary = self.control_primary();
@@ -145,8 +145,8 @@
     }
 
     /// Causes a fault, and notes it in the history.
-    pub(crate) fn cause(&mut self, fault: Fault) {
-        let struck = match &fault {
+    pub(crate) fn apply_fault(&mut self, fault: Fault) {
+        let target = match &fault {
             Fault::Kill(whom)
             | Fault::LosePower(whom)
             | Fault::LoseDisk(whom)
@@ -162,23 +162,23 @@
             | Fault::Drain(whom)
             | Fault::Empty(whom)
             | Fault::Start(whom)
-            | Fault::Replace(whom) => self.whom(whom),
+            | Fault::Replace(whom) => self.resolve(whom),
             _ => None,
         };
-        let name = struck.map_or(String::new(), |index| self.nodes[index.0].name.clone());
+        let name = target.map_or(String::new(), |index| self.nodes[index.0].name.clone());
         let text = format!("{fault:?} {name}");
         self.history.faults.push(FaultSeen { text, at: self.time });
         match fault {
-            Fault::Kill(_) => self.strike(struck, false),
-            Fault::LosePower(_) => self.strike(struck, true),
+            Fault::Kill(_) => self.stop_target(target, false),
+            Fault::LosePower(_) => self.stop_target(target, true),
             Fault::LoseDisk(_) => {
-                self.strike(struck, true);
-                if let Some(index) = struck {
+                self.stop_target(target, true);
+                if let Some(index) = target {
                     self.nodes[index.0].disk.synced.clear();
                 }
             }
             Fault::Start(_) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.start(index);
                 }
             }
@@ -190,38 +190,38 @@
                 }
             }
             Fault::Freeze(_, ms) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.freeze(index, ms * 1_000);
                 }
             }
-            Fault::CutOff(_, way) => {
-                if let Some(index) = struck {
-                    self.cut_off(index, way, |_| true);
+            Fault::CutOff(_, direction) => {
+                if let Some(index) = target {
+                    self.isolate(index, direction, |_| true);
                 }
             }
-            Fault::CutOffFromCore(_, way) => {
-                if let Some(index) = struck {
+            Fault::CutOffFromCore(_, direction) => {
+                if let Some(index) = target {
                     let core = self.addresses_of(NodeKind::Control);
-                    self.cut_off(index, way, |other| core.contains(&other));
+                    self.isolate(index, direction, |other| core.contains(&other));
                 }
             }
             Fault::SplitCoreFromStorage => {
                 let core = self.addresses_of(NodeKind::Control);
                 let storage = self.addresses_of(NodeKind::Storage);
-                self.cut_where(|from, to| {
+                self.block_where(|from, to| {
                     (core.contains(&from) && storage.contains(&to))
                         || (storage.contains(&from) && core.contains(&to))
                 });
             }
             Fault::CutZone(zone) => {
-                let inside = self.of_zone(zone);
-                inside.iter().for_each(|index| self.strike_for(*index, Struck::Cut));
+                let inside = self.nodes_in_zone(zone);
+                inside.iter().for_each(|index| self.record_impairment(*index, Struck::Cut));
                 let inside: std::collections::BTreeSet<_> =
                     inside.into_iter().map(|index| self.nodes[index.0].address).collect();
-                self.cut_where(|from, to| inside.contains(&from) != inside.contains(&to));
+                self.block_where(|from, to| inside.contains(&from) != inside.contains(&to));
             }
             Fault::LoseZone(zone) => {
-                for index in self.of_zone(zone) {
+                for index in self.nodes_in_zone(zone) {
                     self.stop(index, true);
                 }
             }
@@ -229,28 +229,28 @@
             Fault::Drift => {
                 for at in 0..self.nodes.len() {
                     let rate_ppm = self.draw(0..20_001) as i64 - 10_000;
-                    self.set_rate(NodeIndex(at), rate_ppm);
+                    self.set_clock_rate(NodeIndex(at), rate_ppm);
                 }
             }
             Fault::Mend => {
-                self.network.mend();
-                self.mend(Struck::Cut);
+                self.network.unblock_all();
+                self.end_impairments(Struck::Cut);
             }
             Fault::Lossy(share) => self.network.loss_per_10000 = share,
             Fault::SlowDisk(_, ms) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.nodes[index.0].disk.slow_us = ms * 1_000;
-                    self.strike_for(index, Struck::SlowDisk);
+                    self.record_impairment(index, Struck::SlowDisk);
                 }
             }
             Fault::FastDisks => {
                 self.nodes.iter_mut().for_each(|node| node.disk.slow_us = 0);
-                self.mend(Struck::SlowDisk);
+                self.end_impairments(Struck::SlowDisk);
             }
             Fault::FullDisk(_) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.nodes[index.0].disk.is_full = true;
-                    self.strike_for(index, Struck::FullDisk);
+                    self.record_impairment(index, Struck::FullDisk);
                 }
             }
             Fault::KillFull => {
@@ -261,8 +261,8 @@
                 }
             }
             Fault::Room => {
-                (0..self.nodes.len()).for_each(|at| self.make_room(NodeIndex(at)));
-                self.mend(Struck::FullDisk);
+                (0..self.nodes.len()).for_each(|at| self.free_space(NodeIndex(at)));
+                self.end_impairments(Struck::FullDisk);
             }
             Fault::Engine(at, health) => self.set_engine_health(usize::from(at), health),
             Fault::EngineLeaves(at) => {
@@ -278,29 +278,29 @@
             Fault::Crowd(rate) => self.workload.settings.prompts_per_s = rate,
             Fault::Batches(count) => (0..count).for_each(|_| self.hand_in_batch()),
             Fault::Replace(_) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.stop(index, true);
-                    self.succeed(index);
+                    self.start_successor(index);
                 }
             }
             Fault::Succeed(_) => {
-                if let Some(index) = struck {
-                    self.succeed(index);
+                if let Some(index) = target {
+                    self.start_successor(index);
                 }
             }
             Fault::Leave(_) => {
-                if let Some(index) = struck {
-                    self.tell_to_leave(index);
+                if let Some(index) = target {
+                    self.request_leave(index);
                 }
             }
             Fault::Remove(_) => {
-                if let Some(index) = struck {
+                if let Some(index) = target {
                     self.remove(index);
                 }
             }
             Fault::Retire(_) => {
-                if let Some(index) = struck {
-                    self.after(0, Event::Activity(Activity::Retire(index)));
+                if let Some(index) = target {
+                    self.schedule_after(0, Event::Activity(Activity::Retire(index)));
                 }
             }
             Fault::LoseAnswers(percent) => self.workload.settings.lost_responses_percent = percent,
@@ -315,31 +315,31 @@
             }
             Fault::Drain(_) => {
                 if self.injected_bug == Some(InjectedBug::SkipDrain) {
-                    self.strike(struck, false);
-                } else if let Some(relay) = struck {
+                    self.stop_target(target, false);
+                } else if let Some(relay) = target {
                     let grace = topazyard_spec::Bounds::default().grace;
                     let times = DrainTimes::within(grace, DurationMs(0));
-                    self.call_relay(relay, RelayCall::Drain(times), Caller::Nobody);
+                    self.call_relay(relay, RelayCall::Drain(times), Caller::Ignored);
                 }
             }
             Fault::Empty(_) => {
-                if let (Some(index), Some(control)) = (struck, self.draw_node(NodeKind::Control)) {
+                if let (Some(index), Some(control)) = (target, self.draw_node(NodeKind::Control)) {
                     let command = Command::EmptyStorage(self.nodes[index.0].id);
-                    self.call_control(control, OperatorRequest::Command(command), Caller::Nobody);
+                    self.call_control(control, OperatorRequest::Command(command), Caller::Ignored);
                 }
             }
             Fault::Ceiling(tokens) => self.workload.settings.waiting_ceiling = tokens,
             Fault::MoreLanes(lanes) => self.workload.settings.extra_model_routes = lanes,
-            Fault::WipeAfterAnswers(answers, dark_ms) => self.wipe_after = (answers, dark_ms),
+            Fault::WipeAfterAnswers(responses, down_ms) => self.wipe_after = (responses, down_ms),
             Fault::Halves(seed) => self.split_into_halves(seed),
         }
     }
 
     /// A client was told of a batch: the loss that waits for that may strike now.
-    pub(crate) fn batch_answered(&mut self, shard: ShardId) {
-        let (answers, dark_ms) = self.wipe_after;
-        self.wipe_after.0 = answers.saturating_sub(1);
-        if answers != 1 {
+    pub(crate) fn count_batch_response(&mut self, shard: ShardId) {
+        let (responses, down_ms) = self.wipe_after;
+        self.wipe_after.0 = responses.saturating_sub(1);
+        if responses != 1 {
             return;
         }
         let mut wiped = self.replica_nodes(shard);
@@ -361,7 +361,7 @@
             }
         }
         wiped.iter().for_each(|index| self.nodes[index.0].disk.synced.clear());
-        self.after(dark_ms * 1_000, Event::Fault(Fault::StartAll));
+        self.schedule_after(down_ms * 1_000, Event::Fault(Fault::StartAll));
     }
 
     /// Splits the machines with a disk into halves, each with some of the core and of the storage nodes.
@@ -372,7 +372,7 @@
         for kind in [NodeKind::Control, NodeKind::Storage] {
             let mut all: Vec<NodeIndex> = (0..self.nodes.len()).map(NodeIndex).collect();
             all.retain(|at| self.nodes[at.0].kind == kind && !self.nodes[at.0].is_replaced());
-            all.iter().for_each(|index| self.strike_for(*index, Struck::Cut));
+            all.iter().for_each(|index| self.record_impairment(*index, Struck::Cut));
             all.shuffle(&mut rng);
             let inside = &all[..all.len() / 2];
             half.extend(inside.iter().map(|index| self.nodes[index.0].address));
@@ -381,35 +381,38 @@
             .into_iter()
             .flat_map(|kind| self.addresses_of(kind))
             .collect();
-        self.cut_where(|from, to| {
+        self.block_where(|from, to| {
             with_disk.contains(&from)
                 && with_disk.contains(&to)
                 && half.contains(&from) != half.contains(&to)
         });
     }
 
-    fn of_zone(&self, zone: u16) -> Vec<NodeIndex> {
+    fn nodes_in_zone(&self, zone: u16) -> Vec<NodeIndex> {
         let is_inside = |at: &NodeIndex| self.nodes[at.0].zone == zone;
         (0..self.nodes.len()).map(NodeIndex).filter(is_inside).collect()
     }
 
-    fn strike(&mut self, struck: Option<NodeIndex>, power: bool) {
-        if let Some(index) = struck {
+    fn stop_target(&mut self, target: Option<NodeIndex>, power: bool) {
+        if let Some(index) = target {
             self.stop(index, power);
         }
     }
 
-    fn cut_where(&mut self, is_cut: impl Fn(std::net::SocketAddr, std::net::SocketAddr) -> bool) {
+    fn block_where(
+        &mut self,
+        is_blocked: impl Fn(std::net::SocketAddr, std::net::SocketAddr) -> bool,
+    ) {
         // An agent and its relay talk over loopback, which no cut reaches.
-        let beside = |world: &Self, from, to| {
-            world.nodes.iter().any(|node| node.address == from && node.beside == Some(to))
+        let are_neighbours = |world: &Self, from, to| {
+            world.nodes.iter().any(|node| node.address == from && node.neighbour == Some(to))
         };
         let addresses: Vec<std::net::SocketAddr> =
             self.nodes.iter().map(|node| node.address).collect();
         for from in &addresses {
             for to in &addresses {
-                if from != to && is_cut(*from, *to) && !beside(self, *from, *to) {
-                    self.network.cut(*from, *to);
+                if from != to && is_blocked(*from, *to) && !are_neighbours(self, *from, *to) {
+                    self.network.block(*from, *to);
                 }
             }
         }
@@ -421,27 +424,27 @@
     }
 
     /// Cuts a node off from those others, one way or both.
-    fn cut_off(
+    fn isolate(
         &mut self,
         index: NodeIndex,
-        way: Way,
-        is_other: impl Fn(std::net::SocketAddr) -> bool,
+        direction: Direction,
+        is_peer: impl Fn(std::net::SocketAddr) -> bool,
     ) {
         let address = self.nodes[index.0].address;
-        self.strike_for(index, Struck::Cut);
-        self.cut_where(|from, to| {
-            let (outward, inward) =
-                (from == address && is_other(to), to == address && is_other(from));
-            match way {
-                Way::Both => outward || inward,
-                Way::Outward => outward,
-                Way::Inward => inward,
+        self.record_impairment(index, Struck::Cut);
+        self.block_where(|from, to| {
+            let (outbound, inbound) =
+                (from == address && is_peer(to), to == address && is_peer(from));
+            match direction {
+                Direction::Both => outbound || inbound,
+                Direction::Outward => outbound,
+                Direction::Inward => inbound,
             }
         });
     }
 
     /// Starts an empty machine at a new address in a machine's place.
-    fn succeed(&mut self, index: NodeIndex) {
+    fn start_successor(&mut self, index: NodeIndex) {
         let (kind, zone) = (self.nodes[index.0].kind, self.nodes[index.0].zone);
         let name = self.nodes[index.0].name.clone();
         self.nodes[index.0].name = format!("{name}{REPLACED}");
@@ -458,6 +461,6 @@
 
     /// Plans a fault.
     pub fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
-        self.at(at_ms * 1_000, Event::Fault(fault));
+        self.schedule_at(at_ms * 1_000, Event::Fault(fault));
     }
 }
--- a/fleet-simulator/src/plan/chaos.rs
+++ b/fleet-simulator/src/plan/chaos.rs
@@ -1,7 +1,7 @@
 //! Everything, drawn by chance.
 
 use super::Draft;
-use crate::faults::{Fault, Way};
+use crate::faults::{Direction, Fault};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
@@ -31,8 +31,8 @@
                     Fault::Freeze(whom, self.rng.random_range(500..7_000))
                 }
                 3 => Fault::LosePower(self.with_disk()),
-                4 => Fault::CutOff(self.any(), Way::Both),
-                5 => Fault::CutOff(self.any(), Way::Inward),
+                4 => Fault::CutOff(self.any(), Direction::Both),
+                5 => Fault::CutOff(self.any(), Direction::Inward),
                 6 => Fault::SlowDisk(self.with_disk(), 2_500),
                 7 => Fault::Engine(
                     self.rng.random_range(0..self.deployment.engines),
--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -1,7 +1,7 @@
 //! Control under its worst days: cut off, raced at, struck again at once, left behind.
 
 use super::{Draft, named, numbered};
-use crate::faults::{Fault, Way, Whom};
+use crate::faults::{Direction, Fault, Whom};
 use rand::Rng as _;
 
 /// How long a machine that is back counts as lost.
@@ -28,19 +28,19 @@
         (0..many).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
     }
 
-    fn way(&mut self) -> Way {
-        [Way::Both, Way::Outward, Way::Inward][self.rng.random_range(0..3)]
+    fn direction(&mut self) -> Direction {
+        [Direction::Both, Direction::Outward, Direction::Inward][self.rng.random_range(0..3)]
     }
 
     pub(super) fn cut_off_control(&mut self) {
         self.add(0, Fault::LoseAnswers(10));
         for _ in 0..3 {
-            let way = self.way();
+            let direction = self.direction();
             let only_core = self.rng.random_range(0..2) == 0;
             for whom in self.core_members() {
                 let fault = match only_core {
-                    true => Fault::CutOffFromCore(whom, way),
-                    false => Fault::CutOff(whom, way),
+                    true => Fault::CutOffFromCore(whom, direction),
+                    false => Fault::CutOff(whom, direction),
                 };
                 self.add(0, fault);
             }
@@ -145,7 +145,7 @@
                     0 => Fault::Kill(whom),
                     1 => Fault::LosePower(whom),
                     2 => Fault::Freeze(whom, ABSENT_MS),
-                    _ => Fault::CutOff(whom, Way::Both),
+                    _ => Fault::CutOff(whom, Direction::Both),
                 };
                 self.add(0, fault);
             }
@@ -179,10 +179,11 @@
                     self.add(0, Fault::Replace(seed));
                 }
                 4 => {
-                    let way = [Way::Outward, Way::Inward][self.rng.random_range(0..2)];
+                    let direction =
+                        [Direction::Outward, Direction::Inward][self.rng.random_range(0..2)];
                     let ms = self.rng.random_range(500..8_000);
                     for whom in self.core_members() {
-                        self.add(0, Fault::CutOff(whom, way));
+                        self.add(0, Fault::CutOff(whom, direction));
                     }
                     self.add(ms, Fault::Mend);
                     self.at += ms;
--- a/fleet-simulator/src/plan/network.rs
+++ b/fleet-simulator/src/plan/network.rs
@@ -1,17 +1,18 @@
 //! Cuts, and frames that come late.
 
 use super::{Draft, FAULTS_MS};
-use crate::faults::{Fault, Way};
+use crate::faults::{Direction, Fault};
 use rand::Rng as _;
 
 impl Draft<'_> {
     pub(super) fn cuts(&mut self) {
         for n in 0..5 {
-            let way = [Way::Both, Way::Outward, Way::Inward][self.rng.random_range(0..3)];
+            let direction = [Direction::Both, Direction::Outward, Direction::Inward]
+                [self.rng.random_range(0..3)];
             let fault = match n {
                 3 => Fault::SplitCoreFromStorage,
                 4 => Fault::CutZone(self.rng.random_range(0..self.deployment.zones)),
-                _ => Fault::CutOff(self.any(), way),
+                _ => Fault::CutOff(self.any(), direction),
             };
             let flaps = self.rng.random_range(1..4);
             let other = (self.two() && n < 3).then(|| self.together());
@@ -19,7 +20,7 @@
                 match &other {
                     Some(both) => {
                         for whom in both {
-                            self.add(0, Fault::CutOff(whom.clone(), way));
+                            self.add(0, Fault::CutOff(whom.clone(), direction));
                         }
                     }
                     None => self.add(0, fault.clone()),
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -130,11 +130,11 @@
         Activity::NextSpec,
         Activity::ReadSpec,
     ];
-    for doing in usual {
-        world.at(0, Event::Activity(doing));
+    for activity in usual {
+        world.schedule_at(0, Event::Activity(activity));
     }
     if matches!(scenario, Scenario::Crowds | Scenario::Ceiling) {
-        world.at(0, Event::Activity(Activity::WeighWaiting));
+        world.schedule_at(0, Event::Activity(Activity::WeighWaiting));
     }
     world.run_until(LOAD_MS * 1_000);
     world.workload.settings.is_active = true;
--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -43,7 +43,7 @@
 impl World {
     pub(super) fn next_batch(&mut self) {
         let every = self.workload.settings.batch_interval_s;
-        self.after(every.max(1) * 1_000_000, Event::Activity(Activity::NextBatch));
+        self.schedule_after(every.max(1) * 1_000_000, Event::Activity(Activity::NextBatch));
         if every > 0 && self.workload.settings.is_active {
             self.hand_in_batch();
         }
@@ -87,7 +87,7 @@
             recalls,
             turn: 0,
         });
-        self.after(0, Event::Activity(Activity::Batch(batch)));
+        self.schedule_after(0, Event::Activity(Activity::Batch(batch)));
     }
 
     /// Whether every accepted batch was listed whole.
@@ -120,7 +120,7 @@
         if self.workload.batches[batch].lists_whole >= CONTENT && !reads_on {
             return;
         }
-        self.after(400_000, Event::Activity(Activity::Batch(batch)));
+        self.schedule_after(400_000, Event::Activity(Activity::Batch(batch)));
         let asked = self.workload.batches[batch].asked;
         if asked.is_some_and(|asked| self.time - asked < 6_000_000) {
             return;
@@ -161,8 +161,8 @@
         let client = &mut self.workload.batches[batch];
         client.serial += 1;
         client.asked = Some(time);
-        let doing = Activity::BatchCall(batch, client.serial, asked);
-        self.call_relay(relay, request, Caller::Activity(doing));
+        let activity = Activity::BatchCall(batch, client.serial, asked);
+        self.call_relay(relay, request, Caller::Activity(activity));
     }
 
     pub(super) fn batch_told(
@@ -192,7 +192,7 @@
         let RelayResponse::Batch(value) = value else { return };
         let shard = self.history.batches[batch].id.shard;
         self.note_batch_told(batch, asked, value);
-        self.batch_answered(shard);
+        self.count_batch_response(shard);
     }
 
     fn note_batch_told(&mut self, batch: usize, asked: &Asked, value: BatchResponse) {
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -195,8 +195,8 @@
         Some(ready[at])
     }
 
-    pub(crate) fn person_does(&mut self, doing: Activity) {
-        match doing {
+    pub(crate) fn perform(&mut self, activity: Activity) {
+        match activity {
             Activity::NextPrompt => self.next_prompt(),
             Activity::PromptArrives(prompt, relay) => self.prompt_arrives(prompt, relay),
             Activity::AskReady => self.ask_ready(),
@@ -205,10 +205,10 @@
             Activity::NextSpec => self.next_spec(),
             Activity::Spec(spec) => self.look_after_spec(spec),
             Activity::PutEngines => self.put_engines(),
-            Activity::Configuration(doing) => self.order_doing(doing),
+            Activity::Configuration(activity) => self.order_doing(activity),
             Activity::ReadSpec => self.read_spec(),
             Activity::WeighWaiting => {
-                self.after(250_000, crate::world::Event::Activity(Activity::WeighWaiting));
+                self.schedule_after(250_000, crate::world::Event::Activity(Activity::WeighWaiting));
                 let waiting = self.waiting_work();
                 self.history.waiting.push((self.time, waiting));
             }
@@ -225,8 +225,8 @@
     }
 
     /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, doing: Activity, value: topazyard_relay::RelayResponse) {
-        match doing {
+    pub(crate) fn relay_told(&mut self, activity: Activity, value: topazyard_relay::RelayResponse) {
+        match activity {
             Activity::Ready(relay) => self.ready_told(relay, &value),
             Activity::BatchCall(batch, serial, asked) => {
                 self.batch_told(batch, serial, &asked, value);
@@ -238,16 +238,16 @@
     /// A control node returned a call that somebody outside made.
     pub(crate) fn control_told(
         &mut self,
-        doing: Activity,
+        activity: Activity,
         outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
-        match doing {
+        match activity {
             Activity::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
             Activity::RetireAnswered(node) => self.retire_told(node, &outcome),
             Activity::RetiredAnswered(node) => self.retired_told(node, &outcome),
             Activity::EnginesSent(list) => self.engines_told(list, &outcome),
             Activity::SpecAsked(asked) => self.spec_read(asked, &outcome),
-            Activity::Configuration(doing) => self.order_told(doing, outcome),
+            Activity::Configuration(activity) => self.order_told(activity, outcome),
             _ => {}
         }
     }
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -67,12 +67,12 @@
     pub fn first_order(&mut self) {
         let content = self.new_content(None);
         self.begin_order(1, 0, content, 0);
-        self.after(0, OrderActivity::Begin.event());
-        self.after(READ_EVERY_US, OrderActivity::Read.event());
+        self.schedule_after(0, OrderActivity::Begin.event());
+        self.schedule_after(READ_EVERY_US, OrderActivity::Read.event());
     }
 
-    pub(super) fn order_doing(&mut self, doing: OrderActivity) {
-        match doing {
+    pub(super) fn order_doing(&mut self, activity: OrderActivity) {
+        match activity {
             OrderActivity::Begin => self.begin_orders(),
             OrderActivity::Send(order) => self.send_order(order),
             OrderActivity::Arrives(order, attempt, node) => {
@@ -88,14 +88,14 @@
     }
 
     /// A control node answered an operator.
-    pub(super) fn order_told(&mut self, doing: OrderActivity, outcome: OperatorOutcome) {
+    pub(super) fn order_told(&mut self, activity: OrderActivity, outcome: OperatorOutcome) {
         let lost = self.workload.settings.lost_responses_percent;
         let loses_all = self.injected_bug == Some(InjectedBug::LoseResponses)
             && self.workload.orders.newest > 0;
         if loses_all || (lost > 0 && self.draw(0..100) < lost) {
             return;
         }
-        match doing {
+        match activity {
             OrderActivity::Answered(order, attempt) => {
                 let asked = self.history.orders[order].attempts[attempt].asked;
                 if self.time < asked + ANSWER_WITHIN_US {
@@ -122,7 +122,7 @@
     fn begin_orders(&mut self) {
         let every = self.workload.settings.order_interval_ms.max(1) * 1_000;
         let next = every / 2 + self.draw(0..every);
-        self.after(next, OrderActivity::Begin.event());
+        self.schedule_after(next, OrderActivity::Begin.event());
         let open = self.workload.orders.standings.iter().filter(|s| **s == Standing::Open).count();
         let room = self.workload.settings.max_open_orders.saturating_sub(open);
         let base = self.workload.orders.newest;
@@ -215,7 +215,7 @@
             attempts: Vec::new(),
         });
         self.workload.orders.standings.push(Standing::Open);
-        self.after(after, OrderActivity::Send(order).event());
+        self.schedule_after(after, OrderActivity::Send(order).event());
     }
 
     /// Sends an order again that was acknowledged, the newest or any before it.
@@ -233,7 +233,7 @@
             _ => newest,
         };
         self.workload.orders.standings[order] = Standing::Open;
-        self.after(0, OrderActivity::Send(order).event());
+        self.schedule_after(0, OrderActivity::Send(order).event());
     }
 
     fn order_answered(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
@@ -261,13 +261,13 @@
     }
 
     fn read_back(&mut self) {
-        self.after(READ_EVERY_US, OrderActivity::Read.event());
+        self.schedule_after(READ_EVERY_US, OrderActivity::Read.event());
         let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
         let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
         self.history.read_backs.push(ReadBackSeen { node: name, asked, told: None });
-        let way = self.way();
-        self.after(way, OrderActivity::ReadArrives(read, node).event());
+        let delay = self.network_delay();
+        self.schedule_after(delay, OrderActivity::ReadArrives(read, node).event());
     }
 
     fn read_arrives(&mut self, read: usize, node: NodeIndex) {
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -26,9 +26,9 @@
         let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
         let sent = OrderAttempt { node: name, asked, answer: None };
         self.history.orders[order].attempts.push(sent);
-        let way = self.way();
-        self.after(way, OrderActivity::Arrives(order, attempt, node).event());
-        self.after(SILENCE_US, OrderActivity::Answered(order, attempt).event());
+        let delay = self.network_delay();
+        self.schedule_after(delay, OrderActivity::Arrives(order, attempt, node).event());
+        self.schedule_after(SILENCE_US, OrderActivity::Answered(order, attempt).event());
     }
 
     fn draw_listed_control(&mut self) -> Option<NodeIndex> {
@@ -67,7 +67,7 @@
         let sent = self.history.orders[order].attempts.len().min(8) as u32;
         let pause = (PAUSE_US << sent).min(LONGEST_PAUSE_US);
         let pause = pause / 2 + self.draw(0..pause);
-        self.after(pause, OrderActivity::Send(order).event());
+        self.schedule_after(pause, OrderActivity::Send(order).event());
     }
 }
 
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -8,7 +8,7 @@
 
 impl World {
     pub(super) fn ask_ready(&mut self) {
-        self.after(500_000, Event::Activity(Activity::AskReady));
+        self.schedule_after(500_000, Event::Activity(Activity::AskReady));
         for at in 0..self.nodes.len() {
             let relay = NodeIndex(at);
             let node = &self.nodes[at];
@@ -37,7 +37,7 @@
         let ready = self.workload.listed_ready.clone();
         let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
         self.history.engine_lists.push(seen);
-        self.after(0, Event::Activity(Activity::PutEngines));
+        self.schedule_after(0, Event::Activity(Activity::PutEngines));
     }
 
     pub(super) fn put_engines(&mut self) {
@@ -45,7 +45,7 @@
         if self.history.engine_lists[list].acknowledged.is_some() {
             return;
         }
-        self.after(1_000_000, Event::Activity(Activity::PutEngines));
+        self.schedule_after(1_000_000, Event::Activity(Activity::PutEngines));
         let Some(control) = self.draw_node(NodeKind::Control) else { return };
         let ready = &self.history.engine_lists[list].ready;
         let models: Vec<String> = (0..200).map(|n| format!("only-{n}")).collect();
--- a/fleet-simulator/src/workload/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -8,12 +8,12 @@
     pub(super) fn next_prompt(&mut self) {
         let rate = self.workload.settings.prompts_per_s;
         if !self.workload.settings.is_active || rate == 0 {
-            self.after(50_000, crate::world::Event::Activity(Activity::NextPrompt));
+            self.schedule_after(50_000, crate::world::Event::Activity(Activity::NextPrompt));
             return;
         }
         let gap = 1_000_000 / rate;
         let jitter = self.draw(0..gap.max(1));
-        self.after(gap / 2 + jitter, crate::world::Event::Activity(Activity::NextPrompt));
+        self.schedule_after(gap / 2 + jitter, crate::world::Event::Activity(Activity::NextPrompt));
         self.send_prompt();
     }
 
@@ -53,9 +53,9 @@
         self.history.prompts.push(seen);
         let prompt = self.history.prompts.len() - 1;
         if let Some(relay) = relay {
-            let way = self.way();
+            let delay = self.network_delay();
             let arrives = Activity::PromptArrives(prompt, relay);
-            self.after(way, crate::world::Event::Activity(arrives));
+            self.schedule_after(delay, crate::world::Event::Activity(arrives));
         } else {
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
         }
@@ -77,6 +77,6 @@
             return;
         }
         let pieces = if self.draw(0..4) == 0 { 8 } else { 1 };
-        self.begin_session(relay, prompt, pieces);
+        self.start_session(relay, prompt, pieces);
     }
 }
--- a/fleet-simulator/src/workload/retirement.rs
+++ b/fleet-simulator/src/workload/retirement.rs
@@ -14,14 +14,14 @@
         if self.workload.retiring.contains(&node) {
             return;
         }
-        self.after(ASK_EVERY_US, Event::Activity(Activity::Retire(node)));
+        self.schedule_after(ASK_EVERY_US, Event::Activity(Activity::Retire(node)));
         let command = Command::RetireNamed(self.name_in_fleet(node));
         self.ask_of_retirement(OperatorRequest::Command(command), Activity::RetireAnswered(node));
     }
 
     pub(super) fn retire_told(&mut self, node: NodeIndex, outcome: &OperatorOutcome) {
         if matches!(outcome, OperatorOutcome::Done(_)) && self.workload.retiring.insert(node) {
-            self.after(0, Event::Activity(Activity::AskRetired(node)));
+            self.schedule_after(0, Event::Activity(Activity::AskRetired(node)));
         }
     }
 
@@ -30,7 +30,7 @@
         if self.nodes[node.0].is_replaced() {
             return;
         }
-        self.after(ASK_EVERY_US, Event::Activity(Activity::AskRetired(node)));
+        self.schedule_after(ASK_EVERY_US, Event::Activity(Activity::AskRetired(node)));
         let query = Query::Retirement(self.name_in_fleet(node));
         self.ask_of_retirement(OperatorRequest::Query(query), Activity::RetiredAnswered(node));
     }
@@ -46,9 +46,9 @@
         format!("node-{}", self.nodes[node.0].id)
     }
 
-    fn ask_of_retirement(&mut self, request: OperatorRequest, doing: Activity) {
+    fn ask_of_retirement(&mut self, request: OperatorRequest, activity: Activity) {
         if let Some(control) = self.draw_node(NodeKind::Control) {
-            self.call_control(control, request, Caller::Activity(doing));
+            self.call_control(control, request, Caller::Activity(activity));
         }
     }
 }
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -43,7 +43,7 @@
         if self.has_orders() {
             return;
         }
-        self.after(every.max(1) * 1_000_000, Event::Activity(Activity::NextSpec));
+        self.schedule_after(every.max(1) * 1_000_000, Event::Activity(Activity::NextSpec));
         let all_over = self.workload.specs.iter().all(|spec| spec.step == Step::Over);
         if every == 0 || !self.workload.settings.is_active || !all_over {
             return;
@@ -71,7 +71,7 @@
         });
         let operator = SpecOperator { step: Step::Look, serial: 0, asked: None, is_broken };
         self.workload.specs.push(operator);
-        self.after(0, Event::Activity(Activity::Spec(number)));
+        self.schedule_after(0, Event::Activity(Activity::Spec(number)));
     }
 
     fn bundle(&self, spec: usize) -> String {
@@ -120,7 +120,7 @@
         if operator.step == Step::Over {
             return;
         }
-        self.after(300_000, Event::Activity(Activity::Spec(spec)));
+        self.schedule_after(300_000, Event::Activity(Activity::Spec(spec)));
         let operator = &self.workload.specs[spec];
         if operator.asked.is_some_and(|asked| self.time - asked < 6_000_000) {
             return;
@@ -154,8 +154,8 @@
         let operator = &mut self.workload.specs[spec];
         operator.serial += 1;
         operator.asked = Some(time);
-        let doing = Activity::SpecCall(spec, operator.serial, step);
-        self.call_control(control, request, Caller::Activity(doing));
+        let activity = Activity::SpecCall(spec, operator.serial, step);
+        self.call_control(control, request, Caller::Activity(activity));
     }
 
     fn give_spec_up(&mut self, spec: usize) {
@@ -209,14 +209,14 @@
             Step::Over => Step::Over,
         };
         self.workload.specs[spec].step = next;
-        self.after(0, Event::Activity(Activity::Spec(spec)));
+        self.schedule_after(0, Event::Activity(Activity::Spec(spec)));
     }
 
     pub(super) fn read_spec(&mut self) {
         if self.has_orders() {
             return;
         }
-        self.after(1_000_000, Event::Activity(Activity::ReadSpec));
+        self.schedule_after(1_000_000, Event::Activity(Activity::ReadSpec));
         if let Some(control) = self.draw_node(NodeKind::Control) {
             let request = OperatorRequest::Query(Query::ReadConfiguration(None));
             let asked = Activity::SpecAsked(self.time);
--- a/fleet-simulator/src/world/disk.rs
+++ b/fleet-simulator/src/world/disk.rs
@@ -17,9 +17,9 @@
     /// Whether it takes no more bytes: what is handed to it waits.
     pub is_full: bool,
     /// Whether the process on it was told so.
-    pub(crate) is_told_full: bool,
+    pub(crate) reported_full: bool,
     /// Whether the process on it waits for room before it starts.
-    pub(crate) is_awaited: bool,
+    pub(crate) start_is_waiting: bool,
 }
 
 impl Disk {
@@ -39,8 +39,8 @@
     }
 
     /// The process is killed: the system may have synced some more of what was handed over.
-    pub fn outlive(&mut self, more: usize) {
-        for _ in 0..if self.is_full { 0 } else { more } {
+    pub fn keep_some_writes(&mut self, count: usize) {
+        for _ in 0..if self.is_full { 0 } else { count } {
             if let Some((_, token, changes)) = self.queue.pop_front() {
                 self.apply(token, changes);
             }
@@ -51,18 +51,19 @@
 
 impl World {
     /// A disk has room again: what waited is synced, or the process that waited starts.
-    pub(crate) fn make_room(&mut self, node: NodeIndex) {
+    pub(crate) fn free_space(&mut self, node: NodeIndex) {
         let disk = &mut self.nodes[node.0].disk;
         if !std::mem::replace(&mut disk.is_full, false) {
             return;
         }
-        let (write, is_awaited) = (disk.last_write, std::mem::take(&mut disk.is_awaited));
-        if is_awaited {
+        let (write, start_is_waiting) =
+            (disk.last_write, std::mem::take(&mut disk.start_is_waiting));
+        if start_is_waiting {
             self.start(node);
             return;
         }
         let usual = self.draw(400..100_000);
-        self.after(usual, Event::Synced(node, write));
+        self.schedule_after(usual, Event::Synced(node, write));
     }
 
     pub(crate) fn write(&mut self, node: NodeIndex, token: WriteToken, changes: Vec<RowChange>) {
@@ -71,7 +72,7 @@
         disk.last_write += 1;
         let (write, slow_us) = (disk.last_write, disk.slow_us);
         disk.queue.push_back((write, token, changes));
-        self.after(usual + slow_us, Event::Synced(node, write));
+        self.schedule_after(usual + slow_us, Event::Synced(node, write));
     }
 
     /// Syncs everything up to a write, and says so to the process that asked for it.
@@ -80,26 +81,26 @@
             return;
         }
         if self.nodes[node.0].disk.is_full {
-            self.nodes[node.0].disk.is_told_full = true;
-            self.tell_disk(node, DiskState::Full);
+            self.nodes[node.0].disk.reported_full = true;
+            self.report_disk_state(node, DiskState::Full);
             return;
         }
-        let lies = self.injected_bug == Some(InjectedBug::EarlySyncReport);
-        if std::mem::take(&mut self.nodes[node.0].disk.is_told_full) {
-            self.tell_disk(node, DiskState::Healthy);
+        let drops_writes = self.injected_bug == Some(InjectedBug::EarlySyncReport);
+        if std::mem::take(&mut self.nodes[node.0].disk.reported_full) {
+            self.report_disk_state(node, DiskState::Healthy);
         }
         let mut tokens = Vec::new();
         let disk = &mut self.nodes[node.0].disk;
         while disk.queue.front().is_some_and(|(number, _, _)| *number <= write) {
             if let Some((_, token, changes)) = disk.queue.pop_front() {
-                if !lies {
+                if !drops_writes {
                     disk.apply(token, changes);
                 }
                 tokens.push(token);
             }
         }
         for token in tokens {
-            self.tell_written(node, token);
+            self.report_written(node, token);
         }
     }
 }
--- a/fleet-simulator/src/world/mod.rs
+++ b/fleet-simulator/src/world/mod.rs
@@ -37,9 +37,9 @@
     /// An item's run came to something at its relay.
     Item(sessions::ItemEvent),
     /// A look at an engine's health came back.
-    Looked(NodeIndex, u64, topazyard_types::EngineName, bool),
+    HealthChecked(NodeIndex, u64, topazyard_types::EngineName, bool),
     /// What engines said of their load reaches a control node.
-    Loads(NodeIndex, u64, Vec<topazyard_types::EngineName>),
+    EngineLoads(NodeIndex, u64, Vec<topazyard_types::EngineName>),
     /// Somebody outside does something.
     Activity(crate::workload::Activity),
     /// A fault.
@@ -56,7 +56,7 @@
     /// Somebody outside.
     Activity(crate::workload::Activity),
     /// Nobody waits.
-    Nobody,
+    Ignored,
 }
 
 /// The world.
@@ -86,7 +86,7 @@
     /// What the settings of all processes say of times and losses.
     pub(crate) bounds: topazyard_spec::Bounds,
     /// What waited in each shard when it was last weighed, and at which place.
-    pub(crate) weighed:
+    pub(crate) waiting_by_shard:
         std::collections::BTreeMap<topazyard_types::ShardId, (topazyard_types::LogPosition, u64)>,
     /// What each relay last had in force, by its place in the history.
     pub(crate) last_in_force: std::collections::BTreeMap<NodeIndex, usize>,
@@ -176,7 +176,7 @@
             seeds: Vec::new(),
             zones,
             bounds: topazyard_spec::Bounds::default(),
-            weighed: std::collections::BTreeMap::new(),
+            waiting_by_shard: std::collections::BTreeMap::new(),
             last_in_force: std::collections::BTreeMap::new(),
             injected_bug: None,
             wipe_after: (0, 0),
@@ -188,13 +188,13 @@
         self.rng.random_range(range)
     }
 
-    pub(crate) fn at(&mut self, time: Us, event: Event) {
+    pub(crate) fn schedule_at(&mut self, time: Us, event: Event) {
         self.last_event += 1;
         self.events.insert((time.max(self.time), self.last_event), event);
     }
 
-    pub(crate) fn after(&mut self, us: Us, event: Event) {
-        self.at(self.time + us, event);
+    pub(crate) fn schedule_after(&mut self, us: Us, event: Event) {
+        self.schedule_at(self.time + us, event);
     }
 
     /// Lets everything happen up to a moment.
@@ -206,23 +206,27 @@
             }
             let event = entry.remove();
             self.time = time;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.time = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick(node, life) => self.ticks_node(node, life),
+            Event::Tick(node, generation) => self.tick_node(node, generation),
             Event::Frame { to, from, sender, message } => self.deliver(to, from, sender, message),
             Event::Synced(node, write) => self.sync(node, write),
             Event::Session(session, event) => self.session_event(session, event),
             Event::Engine(event) => self.engine_event(event),
             Event::Item(event) => self.item_event(event),
-            Event::Looked(node, life, engine, is_well) => self.looked(node, life, engine, is_well),
-            Event::Loads(node, life, engines) => self.loads(node, life, engines),
-            Event::Activity(doing) => self.person_does(doing),
-            Event::Fault(fault) => self.cause(fault),
+            Event::HealthChecked(node, generation, engine, is_healthy) => {
+                self.health_checked(node, generation, engine, is_healthy)
+            }
+            Event::EngineLoads(node, generation, engines) => {
+                self.deliver_engine_loads(node, generation, engines)
+            }
+            Event::Activity(activity) => self.perform(activity),
+            Event::Fault(fault) => self.apply_fault(fault),
         }
     }
 }
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -11,29 +11,29 @@
     pub loss_per_10000: u64,
     /// Frames that come twice, and as many that come late, of ten thousand.
     pub disordered_per_10000: u64,
-    cuts: std::collections::BTreeSet<(std::net::SocketAddr, std::net::SocketAddr)>,
+    blocked: std::collections::BTreeSet<(std::net::SocketAddr, std::net::SocketAddr)>,
 }
 
 impl Network {
     /// Cuts the way from one address to another.
-    pub fn cut(&mut self, from: std::net::SocketAddr, to: std::net::SocketAddr) {
-        self.cuts.insert((from, to));
+    pub fn block(&mut self, from: std::net::SocketAddr, to: std::net::SocketAddr) {
+        self.blocked.insert((from, to));
     }
 
     /// Mends every cut.
-    pub fn mend(&mut self) {
-        self.cuts.clear();
+    pub fn unblock_all(&mut self) {
+        self.blocked.clear();
     }
 
     /// Whether the way is cut.
-    pub fn is_cut(&self, from: std::net::SocketAddr, to: std::net::SocketAddr) -> bool {
-        self.cuts.contains(&(from, to))
+    pub fn is_blocked(&self, from: std::net::SocketAddr, to: std::net::SocketAddr) -> bool {
+        self.blocked.contains(&(from, to))
     }
 }
 
 impl World {
     /// How long something takes on its way.
-    pub(crate) fn way(&mut self) -> u64 {
+    pub(crate) fn network_delay(&mut self) -> u64 {
         let usual = self.draw(150..900);
         if self.draw(0..200) == 0 { usual + self.draw(1_000..20_000) } else { usual }
     }
@@ -45,29 +45,29 @@
         to: std::net::SocketAddr,
         mut message: topazyard_wire::Message,
     ) {
-        if self.injected_bug.is_some_and(|injected_bug| spoil(injected_bug, &mut message)) {
+        if self.injected_bug.is_some_and(|injected_bug| inject(injected_bug, &mut message)) {
             return;
         }
-        *self.sent.entry(kind_of(&message)).or_default() += 1;
-        if self.network.is_cut(from, to) || self.draw(0..10_000) < self.network.loss_per_10000 {
+        *self.sent.entry(message_kind(&message)).or_default() += 1;
+        if self.network.is_blocked(from, to) || self.draw(0..10_000) < self.network.loss_per_10000 {
             return;
         }
-        let untidy = self.network.disordered_per_10000;
-        if untidy > 0 && self.draw(0..10_000) < untidy {
-            let way = self.way() + self.draw(0..500_000);
+        let disordered = self.network.disordered_per_10000;
+        if disordered > 0 && self.draw(0..10_000) < disordered {
+            let delay = self.network_delay() + self.draw(0..500_000);
             let message = message.clone();
-            self.after(way, Event::Frame { to, from, sender, message });
+            self.schedule_after(delay, Event::Frame { to, from, sender, message });
         }
-        let late = untidy > 0 && self.draw(0..10_000) < untidy;
-        let way = if late { self.draw(1_000..3_000_000) } else { self.way() };
-        self.after(way, Event::Frame { to, from, sender, message });
+        let late = disordered > 0 && self.draw(0..10_000) < disordered;
+        let delay = if late { self.draw(1_000..3_000_000) } else { self.network_delay() };
+        self.schedule_after(delay, Event::Frame { to, from, sender, message });
     }
 }
 
 /// Spoils a frame as the planted bug would; gives whether it is lost.
-fn spoil(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
+fn inject(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
     if let topazyard_wire::Message::Feed(FeedMessage::Update { content, .. }) = message {
-        spoil_news(injected_bug, content);
+        alter_update(injected_bug, content);
     }
     let topazyard_wire::Message::Counter(message) = message else { return false };
     match (injected_bug, &mut message.body) {
@@ -84,10 +84,10 @@
     false
 }
 
-fn spoil_news(injected_bug: InjectedBug, content: &mut UpdateContent) {
+fn alter_update(injected_bug: InjectedBug, content: &mut UpdateContent) {
     use topazyard_wire::rows::{decode, encode};
     use topazyard_wire::state::{IN_FORCE, InForceRow, ROUTES};
-    let mapped = |value: &mut bytes::Bytes| {
+    let add_unmapped_model = |value: &mut bytes::Bytes| {
         if let Some(row) = decode::<InForceRow>(value) {
             let text = row.text.replacen("[\"m\"]", "[\"m\",\"unmapped\"]", 1);
             *value = encode(&InForceRow { text, ..row });
@@ -98,22 +98,22 @@
             changes.retain(|change| change.key != IN_FORCE && !change.key.starts_with(ROUTES));
         }
         (InjectedBug::LoseRoute, UpdateContent::Changes(changes)) => {
-            let of_route = changes.iter().position(|change| change.key.starts_with(ROUTES));
-            of_route.map(|at| changes.remove(at));
+            let position = changes.iter().position(|change| change.key.starts_with(ROUTES));
+            position.map(|index| changes.remove(index));
         }
         (InjectedBug::RouteUndeclaredModel, UpdateContent::Changes(changes)) => {
-            let of_spec = changes.iter_mut().filter(|change| change.key == IN_FORCE);
-            of_spec.filter_map(|change| change.value.as_mut()).for_each(mapped);
+            let configurations = changes.iter_mut().filter(|change| change.key == IN_FORCE);
+            configurations.filter_map(|change| change.value.as_mut()).for_each(add_unmapped_model);
         }
         (InjectedBug::RouteUndeclaredModel, UpdateContent::Snapshot(rows)) => {
-            let of_spec = rows.iter_mut().filter(|(key, _)| key == IN_FORCE);
-            of_spec.for_each(|(_, value)| mapped(value));
+            let configurations = rows.iter_mut().filter(|(key, _)| key == IN_FORCE);
+            configurations.for_each(|(_, value)| add_unmapped_model(value));
         }
         _ => {}
     }
 }
 
-fn kind_of(message: &topazyard_wire::Message) -> &'static str {
+fn message_kind(message: &topazyard_wire::Message) -> &'static str {
     use topazyard_wire::Message;
     match message {
         Message::Membership(_) => "membership",
--- a/fleet-simulator/src/world/nodes/in_force.rs
+++ b/fleet-simulator/src/world/nodes/in_force.rs
@@ -1,23 +1,23 @@
 //! What relays have in force of numbered configurations, as they learn it and for how long.
 
-use super::{Body, NodeIndex};
+use super::{NodeIndex, NodeMachine};
 use crate::history::InForceSeen;
 use crate::workload::fingerprint;
 use crate::world::{InjectedBug, World};
 
 impl World {
     /// Notes what a relay has in force after it heard of the feed.
-    pub(super) fn see_in_force(&mut self, index: NodeIndex) {
+    pub(super) fn record_in_force(&mut self, index: NodeIndex) {
         let (time, now) = (self.time, self.node_clock(index));
         let node = &self.nodes[index.0];
-        let Body::Relay(machine) = &node.body else { return };
-        let Some(view) = machine.in_force(now) else { return };
-        let Some((version, bundle)) = &view.configuration else { return };
+        let NodeMachine::Relay(machine) = &node.machine else { return };
+        let Some(snapshot) = machine.in_force(now) else { return };
+        let Some((version, configuration)) = &snapshot.configuration else { return };
         let seen = InForceSeen {
             relay: node.name.clone(),
-            life: node.life,
+            life: node.generation,
             number: version.0,
-            fingerprint: fingerprint(bundle, view.routes.iter()),
+            fingerprint: fingerprint(configuration, snapshot.routes.iter()),
             from: time,
             until: time,
         };
@@ -29,14 +29,14 @@
         match before {
             Some(before) if is_same(&before) => self.extend_in_force(index),
             Some(before) if self.injected_bug == Some(InjectedBug::RevertConfiguration) => {
-                self.note_in_force(index, seen);
-                self.note_in_force(index, InForceSeen { from: time, until: time, ..before });
+                self.push_in_force(index, seen);
+                self.push_in_force(index, InForceSeen { from: time, until: time, ..before });
             }
-            _ => self.note_in_force(index, seen),
+            _ => self.push_in_force(index, seen),
         }
     }
 
-    fn note_in_force(&mut self, index: NodeIndex, seen: InForceSeen) {
+    fn push_in_force(&mut self, index: NodeIndex, seen: InForceSeen) {
         self.last_in_force.insert(index, self.history.in_force.len());
         self.history.in_force.push(seen);
     }
@@ -45,13 +45,13 @@
     pub(super) fn extend_in_force(&mut self, index: NodeIndex) {
         let (time, now) = (self.time, self.node_clock(index));
         let node = &self.nodes[index.0];
-        let Body::Relay(machine) = &node.body else { return };
+        let NodeMachine::Relay(machine) = &node.machine else { return };
         if machine.in_force(now).is_none() {
             return;
         }
         let Some(at) = self.last_in_force.get(&index) else { return };
         let seen = &mut self.history.in_force[*at];
-        if seen.life == node.life {
+        if seen.life == node.generation {
             seen.until = time;
         }
     }
--- a/fleet-simulator/src/world/nodes/inspection.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -1,27 +1,26 @@
 //! What the simulator itself sees inside the machines, to aim faults and to weigh what waits.
 
-use super::{Body, Node, NodeIndex};
+use super::{Node, NodeIndex, NodeMachine};
 use crate::world::World;
 
 impl World {
     /// The control node that serves as the primary.
     pub fn control_primary(&self) -> Option<NodeIndex> {
-        let serves =
-            |node: &Node| matches!(&node.body, Body::Control(machine) if machine.is_serving());
+        let serves = |node: &Node| matches!(&node.machine, NodeMachine::Control(machine) if machine.is_serving());
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
     /// The first backup of control, as the primary's record has it, if it runs.
     pub fn control_backup(&self) -> Option<NodeIndex> {
         let record = self.control_record()?;
-        self.find(record.backups.first()?.address)
+        self.running_node_at(record.backups.first()?.address)
     }
 
     /// A control node that runs and is neither primary nor backup.
     pub fn control_spare(&self) -> Option<NodeIndex> {
         let record = self.control_record()?;
         let is_spare = |node: &Node| {
-            matches!(node.body, Body::Control(_))
+            matches!(node.machine, NodeMachine::Control(_))
                 && !node.is_replaced()
                 && !record.is_member(node.id)
         };
@@ -29,63 +28,68 @@
     }
 
     fn control_record(&self) -> Option<topazyard_wire::message::control::EpochRecord> {
-        match &self.nodes[self.control_primary()?.0].body {
-            Body::Control(machine) => machine.record().cloned(),
+        match &self.nodes[self.control_primary()?.0].machine {
+            NodeMachine::Control(machine) => machine.record().cloned(),
             _ => None,
         }
     }
 
     /// The storage node that serves a shard.
     pub fn shard_primary(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
-        let serves =
-            |node: &Node| matches!(&node.body, Body::Storage(machine) if machine.is_serving(shard));
+        let serves = |node: &Node| matches!(&node.machine, NodeMachine::Storage(machine) if machine.is_serving(shard));
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
     /// A storage node that runs, has a copy of a shard and doesn't serve it.
     pub fn other_replica(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
-        let holds = |node: &Node| match &node.body {
-            Body::Storage(machine) => machine.copy(shard).is_some() && !machine.is_serving(shard),
+        let holds_copy = |node: &Node| match &node.machine {
+            NodeMachine::Storage(machine) => {
+                machine.copy(shard).is_some() && !machine.is_serving(shard)
+            }
             _ => false,
         };
-        self.nodes.iter().position(holds).map(NodeIndex)
+        self.nodes.iter().position(holds_copy).map(NodeIndex)
     }
 
     /// The storage nodes that run and have a copy of a shard.
     pub(crate) fn replica_nodes(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
-        let holds = |node: &Node| match &node.body {
-            Body::Storage(machine) => machine.copy(shard).is_some(),
+        let holds_copy = |node: &Node| match &node.machine {
+            NodeMachine::Storage(machine) => machine.copy(shard).is_some(),
             _ => false,
         };
-        (0..self.nodes.len()).map(NodeIndex).filter(|at| holds(&self.nodes[at.0])).collect()
+        (0..self.nodes.len()).map(NodeIndex).filter(|at| holds_copy(&self.nodes[at.0])).collect()
     }
 
     /// The cost of all accepted items without a final return, as the most advanced copy of each
     /// shard has it.
     pub(crate) fn waiting_work(&mut self) -> u64 {
-        let mut all = 0;
+        let mut total = 0;
         for shard in topazyard_types::ShardId::all().filter(|shard| !shard.is_counter()) {
-            let copies = self.nodes.iter().filter_map(|node| match &node.body {
-                Body::Storage(machine) => machine.copy(shard),
+            let copies = self.nodes.iter().filter_map(|node| match &node.machine {
+                NodeMachine::Storage(machine) => machine.copy(shard),
                 _ => None,
             });
             let Some(copy) = copies.max_by_key(|copy| copy.position()) else { continue };
-            let weighed =
-                self.weighed.get(&shard).filter(|(position, _)| *position == copy.position());
-            let waiting = match weighed {
+            let known = self
+                .waiting_by_shard
+                .get(&shard)
+                .filter(|(position, _)| *position == copy.position());
+            let waiting = match known {
                 Some((_, waiting)) => *waiting,
                 None => topazyard_storage::batches::waiting_cost(copy).0,
             };
-            self.weighed.insert(shard, (copy.position(), waiting));
-            all += waiting;
+            self.waiting_by_shard.insert(shard, (copy.position(), waiting));
+            total += waiting;
         }
-        all
+        total
     }
 
     /// Holds at the counter, where one leads it.
     pub fn counter_holds(&self) -> Option<usize> {
-        self.nodes.iter().find_map(|node| match &node.body {
-            Body::Storage(machine) if machine.is_serving(topazyard_types::ShardId::COUNTER) => {
+        self.nodes.iter().find_map(|node| match &node.machine {
+            NodeMachine::Storage(machine)
+                if machine.is_serving(topazyard_types::ShardId::COUNTER) =>
+            {
                 machine.holds()
             }
             _ => None,
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -34,9 +34,9 @@
 }
 
 /// A process's machine.
-pub(crate) enum Body {
+pub(crate) enum NodeMachine {
     /// It does not run.
-    Off,
+    Stopped,
     /// A control node's.
     Control(Box<ControlMachine>),
     /// A storage node's.
@@ -59,23 +59,23 @@
     /// Where it takes frames.
     pub address: std::net::SocketAddr,
     /// Its neighbour, for relays and agents.
-    pub beside: Option<std::net::SocketAddr>,
+    pub neighbour: Option<std::net::SocketAddr>,
     /// Its failure zone.
     pub zone: u16,
     /// The seeds in its settings: where control nodes were when it was set up.
     seeds: Vec<std::net::SocketAddr>,
     /// Its disk.
     pub disk: Disk,
-    pub(crate) body: Body,
+    pub(crate) machine: NodeMachine,
     pub(crate) id: NodeId,
     /// Rises with each start.
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     pub(crate) frozen_until: Option<Us>,
     /// What its clock showed at some moment, and how much faster than right it runs since, in
     /// millionths.
-    clock_at: (Us, Us),
+    clock_reference: (Us, Us),
     rate_ppm: i64,
-    stood_still: Us,
+    clock_stopped_us: Us,
     last_call: u64,
     calls: std::collections::BTreeMap<CallId, Caller>,
 }
@@ -88,7 +88,7 @@
 
     /// Whether it runs.
     pub fn is_running(&self) -> bool {
-        !matches!(self.body, Body::Off)
+        !matches!(self.machine, NodeMachine::Stopped)
     }
 }
 
@@ -99,7 +99,7 @@
         name: String,
         kind: NodeKind,
         port: u16,
-        beside: Option<u16>,
+        neighbour: Option<u16>,
         zone: u16,
     ) -> NodeIndex {
         let at = |port: u16| std::net::SocketAddr::from(([10, 0, 0, 1], port));
@@ -108,17 +108,17 @@
             name,
             kind,
             address: at(port),
-            beside: beside.map(at),
+            neighbour: neighbour.map(at),
             zone,
             seeds,
             disk: Disk::default(),
-            body: Body::Off,
+            machine: NodeMachine::Stopped,
             id: NodeId(0),
-            life: 0,
+            generation: 0,
             frozen_until: None,
-            clock_at: (0, 0),
+            clock_reference: (0, 0),
             rate_ppm: 0,
-            stood_still: 0,
+            clock_stopped_us: 0,
             last_call: 0,
             calls: std::collections::BTreeMap::new(),
         });
@@ -131,32 +131,32 @@
             return;
         }
         if self.nodes[index.0].disk.is_full {
-            self.nodes[index.0].disk.is_awaited = true;
+            self.nodes[index.0].disk.start_is_waiting = true;
             return;
         }
         let random_seed = self.draw(0..u64::MAX);
-        let fresh = NodeId(self.draw(1..u64::MAX) | 1);
+        let new_id = NodeId(self.draw(1..u64::MAX) | 1);
         let time = self.time;
         let name = self.nodes[index.0].name.clone();
-        self.mend_off(&name);
+        self.end_outage(&name);
         let node = &mut self.nodes[index.0];
-        node.disk.is_told_full = false;
+        node.disk.reported_full = false;
         let seeds = node.seeds.clone();
-        node.life += 1;
-        node.clock_at = (time, 0);
-        node.stood_still = 0;
+        node.generation += 1;
+        node.clock_reference = (time, 0);
+        node.clock_stopped_us = 0;
         node.frozen_until = None;
         node.calls.clear();
         let keeps_id = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let rows = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
-        let kept = rows.get("id").and_then(|value| topazyard_wire::rows::decode(value));
-        node.id = match kept {
+        let stored_id = rows.get("id").and_then(|value| topazyard_wire::rows::decode(value));
+        node.id = match stored_id {
             Some(id) if keeps_id => id,
             _ => {
-                if let Some(value) = RowChange::put("id", &fresh).value {
+                if let Some(value) = RowChange::put("id", &new_id).value {
                     rows.insert("id".to_owned(), value);
                 }
-                fresh
+                new_id
             }
         };
         let role = match node.kind {
@@ -175,11 +175,11 @@
         let loaded = node.disk.synced.clone();
         let bounds = self.bounds.clone();
         let kind = node.kind;
-        let beside = node.beside.unwrap_or(node.address);
+        let neighbour = node.neighbour.unwrap_or(node.address);
         let id = node.id;
         let now = self.node_clock(index);
-        let mut first = Vec::new();
-        let body = match kind {
+        let mut initial_effects = Vec::new();
+        let machine = match kind {
             NodeKind::Control => {
                 let resources = topazyard_spec::Resources::default();
                 let start = DiskStart {
@@ -192,8 +192,8 @@
                     may_bootstrap: true,
                 };
                 let (machine, effects) = ControlMachine::new(start, now);
-                first = effects;
-                Body::Control(Box::new(machine))
+                initial_effects = effects;
+                NodeMachine::Control(Box::new(machine))
             }
             NodeKind::Storage => {
                 let resources = topazyard_spec::Resources::default();
@@ -206,67 +206,67 @@
                     resources,
                     may_bootstrap: true,
                 };
-                Body::Storage(Box::new(StorageMachine::new(start)))
+                NodeMachine::Storage(Box::new(StorageMachine::new(start)))
             }
             NodeKind::Agent => {
-                let remembered =
+                let known_control_nodes =
                     topazyard_wire::driver::disk_start::KnownControlNodes::read(&loaded);
                 let start = topazyard_edge_agent::Start {
                     member,
                     seeds,
-                    remembered: Some(remembered),
-                    relay: beside,
+                    remembered: Some(known_control_nodes),
+                    relay: neighbour,
                     random_seed,
                 };
-                Body::Agent(Box::new(AgentMachine::new(start)))
+                NodeMachine::Agent(Box::new(AgentMachine::new(start)))
             }
             NodeKind::Relay => {
-                let start = topazyard_relay::Start { node: id, agent: beside, bounds };
-                Body::Relay(Box::new(RelayMachine::new(&start)))
+                let start = topazyard_relay::Start { node: id, agent: neighbour, bounds };
+                NodeMachine::Relay(Box::new(RelayMachine::new(&start)))
             }
         };
-        self.nodes[index.0].body = body;
-        let life = self.nodes[index.0].life;
-        for effect in first {
-            self.make_control(index, effect);
+        self.nodes[index.0].machine = machine;
+        let generation = self.nodes[index.0].generation;
+        for effect in initial_effects {
+            self.apply_control_effect(index, effect);
         }
         let offset = self.draw(0..steps::TICK_US);
-        self.after(offset, Event::Tick(index, life));
+        self.schedule_after(offset, Event::Tick(index, generation));
     }
 
     /// Ends a process; `power` says whether the power goes with it.
-    pub fn stop(&mut self, index: NodeIndex, power: bool) {
-        let more = self.draw(0..4) as usize;
+    pub fn stop(&mut self, index: NodeIndex, loses_power: bool) {
+        let extra_writes = self.draw(0..4) as usize;
         if self.nodes[index.0].is_running() {
-            self.strike_for(index, Struck::Off);
+            self.record_impairment(index, Struck::Off);
         }
         let node = &mut self.nodes[index.0];
-        node.body = Body::Off;
-        node.life += 1;
+        node.machine = NodeMachine::Stopped;
+        node.generation += 1;
         node.frozen_until = None;
-        if power {
+        if loses_power {
             node.disk.lose_power();
         } else {
-            node.disk.outlive(more);
+            node.disk.keep_some_writes(extra_writes);
         }
-        self.break_sessions_of(index);
+        self.abort_sessions_of(index);
     }
 
     /// Freezes a process: nothing of it happens until it wakes.
     pub fn freeze(&mut self, index: NodeIndex, us: Us) {
         let until = self.time + us;
         self.nodes[index.0].frozen_until = Some(until);
-        self.strike_for(index, Struck::Frozen);
-        if let Some(struck) = self.history.struck.last_mut() {
-            struck.until = Some(until);
+        self.record_impairment(index, Struck::Frozen);
+        if let Some(impairment) = self.history.struck.last_mut() {
+            impairment.until = Some(until);
         }
         if self.injected_bug == Some(InjectedBug::StoppedClock) {
-            self.nodes[index.0].stood_still += us;
+            self.nodes[index.0].clock_stopped_us += us;
         }
     }
 
     /// Notes that a process's machine is struck from now on.
-    pub(crate) fn strike_for(&mut self, index: NodeIndex, by: Struck) {
+    pub(crate) fn record_impairment(&mut self, index: NodeIndex, by: Struck) {
         let node = &self.nodes[index.0];
         let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let (name, from) = (node.name.clone(), self.time);
@@ -274,8 +274,8 @@
     }
 
     /// Notes that all that were struck so are well again.
-    pub(crate) fn mend(&mut self, by: Struck) {
-        self.mend_where(|struck| struck.by == by);
+    pub(crate) fn end_impairments(&mut self, by: Struck) {
+        self.end_impairments_where(|impairment| impairment.by == by);
     }
 
     /// Takes a machine away that is not missed, as others have what it had.
@@ -287,19 +287,21 @@
             node.name.push_str(REPLACED);
         }
         let name = node.name.strip_suffix(REPLACED).unwrap_or_default().to_owned();
-        self.mend_off(&name);
-        self.mend_off(&format!("{name}{REPLACED}"));
+        self.end_outage(&name);
+        self.end_outage(&format!("{name}{REPLACED}"));
     }
 
     /// Notes that the machine of that name is no longer missed.
-    pub(crate) fn mend_off(&mut self, name: &str) {
-        self.mend_where(|struck| struck.by == Struck::Off && struck.name == name);
+    pub(crate) fn end_outage(&mut self, name: &str) {
+        self.end_impairments_where(|impairment| {
+            impairment.by == Struck::Off && impairment.name == name
+        });
     }
 
-    fn mend_where(&mut self, is_mended: impl Fn(&StruckSeen) -> bool) {
-        let open = self.history.struck.iter_mut().filter(|struck| struck.until.is_none());
-        for struck in open.filter(|struck| is_mended(struck)) {
-            struck.until = Some(self.time);
+    fn end_impairments_where(&mut self, has_ended: impl Fn(&StruckSeen) -> bool) {
+        let open = self.history.struck.iter_mut().filter(|impairment| impairment.until.is_none());
+        for impairment in open.filter(|impairment| has_ended(impairment)) {
+            impairment.until = Some(self.time);
         }
     }
 
@@ -316,20 +318,20 @@
     ) -> bool {
         match self.nodes[index.0].frozen_until {
             Some(until) if until > self.time => {
-                self.at(until, event());
+                self.schedule_at(until, event());
                 true
             }
             _ => false,
         }
     }
 
-    pub(crate) fn find(&self, address: std::net::SocketAddr) -> Option<NodeIndex> {
-        let found = |node: &Node| node.address == address && node.is_running();
-        self.nodes.iter().position(found).map(NodeIndex)
+    pub(crate) fn running_node_at(&self, address: std::net::SocketAddr) -> Option<NodeIndex> {
+        let is_match = |node: &Node| node.address == address && node.is_running();
+        self.nodes.iter().position(is_match).map(NodeIndex)
     }
 
     /// The newest process of that name.
-    pub fn named(&self, name: &str) -> Option<NodeIndex> {
+    pub fn node_named(&self, name: &str) -> Option<NodeIndex> {
         self.nodes.iter().rposition(|node| node.name == name).map(NodeIndex)
     }
 }
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -1,6 +1,6 @@
 //! Steps of the machines: what they are told, and their effects on the world.
 
-use super::{Body, NodeIndex};
+use super::{NodeIndex, NodeMachine};
 use crate::world::{Caller, Event, World};
 use topazyard_relay::{RelayCall, RelayResponse, RelayTask};
 use topazyard_types::{CallId, NodeId};
@@ -12,24 +12,24 @@
 pub(super) const TICK_US: u64 = 25_000;
 
 /// What a machine put out, whichever machine it is.
-enum Outcome {
+enum Response {
     Operate(OperatorOutcome),
     Relay(RelayResponse),
 }
 
 impl World {
-    pub(crate) fn ticks_node(&mut self, index: NodeIndex, life: u64) {
-        if self.nodes[index.0].life != life {
+    pub(crate) fn tick_node(&mut self, index: NodeIndex, generation: u64) {
+        if self.nodes[index.0].generation != generation {
             return;
         }
-        if self.defer_if_frozen(index, || Event::Tick(index, life)) {
+        if self.defer_if_frozen(index, || Event::Tick(index, generation)) {
             return;
         }
         self.step(index, StepInput::Tick);
         if self.has_orders() {
             self.extend_in_force(index);
         }
-        self.after(TICK_US, Event::Tick(index, life));
+        self.schedule_after(TICK_US, Event::Tick(index, generation));
     }
 
     pub(crate) fn deliver(
@@ -39,29 +39,29 @@
         sender: NodeId,
         message: Message,
     ) {
-        let Some(index) = self.find(to) else { return };
+        let Some(index) = self.running_node_at(to) else { return };
         if self.is_frozen(index) {
             self.defer_if_frozen(index, || Event::Frame { to, from, sender, message });
             return;
         }
-        let is_news = self.has_orders() && matches!(message, Message::Feed(_));
+        let is_feed_message = self.has_orders() && matches!(message, Message::Feed(_));
         self.step(index, StepInput::Frame(sender, from, message));
-        if is_news {
-            self.see_in_force(index);
+        if is_feed_message {
+            self.record_in_force(index);
         }
     }
 
-    pub(crate) fn tell_written(&mut self, index: NodeIndex, token: WriteToken) {
+    pub(crate) fn report_written(&mut self, index: NodeIndex, token: WriteToken) {
         self.step(index, StepInput::Written(token));
     }
 
-    pub(crate) fn tell_disk(&mut self, index: NodeIndex, state: DiskState) {
+    pub(crate) fn report_disk_state(&mut self, index: NodeIndex, state: DiskState) {
         self.step(index, StepInput::Disk(state));
     }
 
     /// Calls into a relay's machine.
     pub(crate) fn call_relay(&mut self, index: NodeIndex, request: RelayCall, caller: Caller) {
-        let call = self.note_call(index, caller);
+        let call = self.register_call(index, caller);
         self.step(index, StepInput::Relay(call, request));
     }
 
@@ -72,18 +72,18 @@
         request: OperatorRequest,
         caller: Caller,
     ) {
-        let call = self.note_call(index, caller);
+        let call = self.register_call(index, caller);
         let request = topazyard_control::ControlCall::Operate(request);
         self.step(index, StepInput::Control(call, request));
     }
 
     /// Tells a control node that its process is about to end.
-    pub(crate) fn tell_to_leave(&mut self, index: NodeIndex) {
-        let call = self.note_call(index, Caller::Nobody);
+    pub(crate) fn request_leave(&mut self, index: NodeIndex) {
+        let call = self.register_call(index, Caller::Ignored);
         self.step(index, StepInput::Control(call, topazyard_control::ControlCall::Leave));
     }
 
-    fn note_call(&mut self, index: NodeIndex, caller: Caller) -> CallId {
+    fn register_call(&mut self, index: NodeIndex, caller: Caller) -> CallId {
         let node = &mut self.nodes[index.0];
         node.last_call += 1;
         let call = CallId(node.last_call);
@@ -94,40 +94,41 @@
     fn step(&mut self, index: NodeIndex, input: StepInput) {
         let now = self.node_clock(index);
         // Taken out while it steps, so that its effects may reach the whole world.
-        let mut body = std::mem::replace(&mut self.nodes[index.0].body, Body::Off);
-        let life = self.nodes[index.0].life;
-        match &mut body {
-            Body::Off => {}
-            Body::Control(machine) => {
+        let mut node_machine =
+            std::mem::replace(&mut self.nodes[index.0].machine, NodeMachine::Stopped);
+        let generation = self.nodes[index.0].generation;
+        match &mut node_machine {
+            NodeMachine::Stopped => {}
+            NodeMachine::Control(machine) => {
                 let input = input.into_control();
                 let effects = input.map(|input| machine.step(input, now)).unwrap_or_default();
-                self.put_back(index, body, life);
-                effects.into_iter().for_each(|effect| self.make_control(index, effect));
+                self.put_machine_back(index, node_machine, generation);
+                effects.into_iter().for_each(|effect| self.apply_control_effect(index, effect));
             }
-            Body::Storage(machine) => {
-                let input = input.into_plain();
+            NodeMachine::Storage(machine) => {
+                let input = input.into_input();
                 let effects = input.map(|input| machine.step(input, now)).unwrap_or_default();
-                self.put_back(index, body, life);
-                effects.into_iter().for_each(|effect| self.make_plain(index, effect));
+                self.put_machine_back(index, node_machine, generation);
+                effects.into_iter().for_each(|effect| self.apply_effect(index, effect));
             }
-            Body::Agent(machine) => {
-                let input = input.into_plain();
+            NodeMachine::Agent(machine) => {
+                let input = input.into_input();
                 let effects = input.map(|input| machine.step(input, now)).unwrap_or_default();
-                self.put_back(index, body, life);
-                effects.into_iter().for_each(|effect| self.make_plain(index, effect));
+                self.put_machine_back(index, node_machine, generation);
+                effects.into_iter().for_each(|effect| self.apply_effect(index, effect));
             }
-            Body::Relay(machine) => {
+            NodeMachine::Relay(machine) => {
                 let input = input.into_relay();
                 let effects = input.map(|input| machine.step(input, now)).unwrap_or_default();
-                self.put_back(index, body, life);
+                self.put_machine_back(index, node_machine, generation);
                 for effect in effects {
                     match effect {
                         Effect::Send { to, message } => self.send_from(index, to, message),
                         Effect::Respond { call, value } => {
-                            self.returned(index, call, Outcome::Relay(value));
+                            self.handle_response(index, call, Response::Relay(value));
                         }
-                        Effect::StartTask(task) => self.begin_task(index, task),
-                        Effect::Log { text, .. } => self.note(index, &text),
+                        Effect::StartTask(task) => self.start_task(index, task),
+                        Effect::Log { text, .. } => self.log(index, &text),
                         Effect::Write { .. } => {}
                     }
                 }
@@ -135,14 +136,14 @@
         }
     }
 
-    fn put_back(&mut self, index: NodeIndex, body: Body, life: u64) {
-        if self.nodes[index.0].life == life {
-            self.nodes[index.0].body = body;
+    fn put_machine_back(&mut self, index: NodeIndex, node_machine: NodeMachine, generation: u64) {
+        if self.nodes[index.0].generation == generation {
+            self.nodes[index.0].machine = node_machine;
         }
     }
 
     /// Makes an effect of a machine happen that nobody outside calls and that begins no tasks.
-    fn make_plain<R>(
+    fn apply_effect<R>(
         &mut self,
         index: NodeIndex,
         effect: Effect<R, topazyard_wire::machine::NoTask>,
@@ -150,13 +151,13 @@
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
             Effect::Write { token, changes } => self.write(index, token, changes),
-            Effect::Log { text, .. } => self.note(index, &text),
+            Effect::Log { text, .. } => self.log(index, &text),
             Effect::Respond { .. } => {}
             Effect::StartTask(never) => match never {},
         }
     }
 
-    pub(super) fn make_control(
+    pub(super) fn apply_control_effect(
         &mut self,
         index: NodeIndex,
         effect: Effect<OperatorOutcome, topazyard_control::ControlTask>,
@@ -164,30 +165,32 @@
         match effect {
             Effect::Send { to, message } => self.send_from(index, to, message),
             Effect::Write { token, changes } => self.write(index, token, changes),
-            Effect::Respond { call, value } => self.returned(index, call, Outcome::Operate(value)),
-            Effect::Log { text, .. } => self.note(index, &text),
+            Effect::Respond { call, value } => {
+                self.handle_response(index, call, Response::Operate(value))
+            }
+            Effect::Log { text, .. } => self.log(index, &text),
             // The platform hands the list of engines in.
             Effect::StartTask(topazyard_control::ControlTask::ListEngines) => {}
             Effect::StartTask(topazyard_control::ControlTask::FetchLoads(engines)) => {
-                let life = self.nodes[index.0].life;
+                let generation = self.nodes[index.0].generation;
                 let names = engines.into_iter().map(|engine| engine.name).collect();
-                let us = 2 * self.way();
-                self.after(us, Event::Loads(index, life, names));
+                let us = 2 * self.network_delay();
+                self.schedule_after(us, Event::EngineLoads(index, generation, names));
             }
         }
     }
 
-    pub(crate) fn loads(
+    pub(crate) fn deliver_engine_loads(
         &mut self,
         index: NodeIndex,
-        life: u64,
+        generation: u64,
         engines: Vec<topazyard_types::EngineName>,
     ) {
-        if self.nodes[index.0].life != life {
+        if self.nodes[index.0].generation != generation {
             return;
         }
         if self.is_frozen(index) {
-            self.defer_if_frozen(index, || Event::Loads(index, life, engines));
+            self.defer_if_frozen(index, || Event::EngineLoads(index, generation, engines));
             return;
         }
         let loads = engines
@@ -197,11 +200,11 @@
                 Some(topazyard_control::tuner::EngineLoad { engine, queued })
             })
             .collect();
-        let call = self.note_call(index, Caller::Nobody);
+        let call = self.register_call(index, Caller::Ignored);
         self.step(index, StepInput::Control(call, topazyard_control::ControlCall::Loads(loads)));
     }
 
-    fn note(&mut self, index: NodeIndex, text: &str) {
+    fn log(&mut self, index: NodeIndex, text: &str) {
         let name = &self.nodes[index.0].name;
         self.notes.push(format!("{:>6} ms {name}: {text}", self.time / 1_000));
     }
@@ -211,49 +214,57 @@
         self.send_frame(from, sender, to, message);
     }
 
-    fn returned(&mut self, index: NodeIndex, call: CallId, outcome: Outcome) {
+    fn handle_response(&mut self, index: NodeIndex, call: CallId, outcome: Response) {
         let Some(caller) = self.nodes[index.0].calls.remove(&call) else { return };
         match (caller, outcome) {
-            (Caller::Session(session), Outcome::Relay(value)) => {
-                self.session_returned(session, value);
+            (Caller::Session(session), Response::Relay(value)) => {
+                self.session_response(session, value);
+            }
+            (Caller::Item(run), Response::Relay(value)) => self.item_response(run, value),
+            (Caller::Activity(activity), Response::Relay(value)) => {
+                self.relay_told(activity, value)
+            }
+            (Caller::Activity(activity), Response::Operate(value)) => {
+                self.control_told(activity, value)
             }
-            (Caller::Item(run), Outcome::Relay(value)) => self.item_returned(run, value),
-            (Caller::Activity(doing), Outcome::Relay(value)) => self.relay_told(doing, value),
-            (Caller::Activity(doing), Outcome::Operate(value)) => self.control_told(doing, value),
             _ => {}
         }
     }
 
-    fn begin_task(&mut self, index: NodeIndex, task: RelayTask) {
-        let life = self.nodes[index.0].life;
+    fn start_task(&mut self, index: NodeIndex, task: RelayTask) {
+        let generation = self.nodes[index.0].generation;
         match task {
-            RelayTask::RunItem { run, target, body } => self.begin_item(index, run, target, body),
+            RelayTask::RunItem { run, target, body } => self.start_item(index, run, target, body),
             // Nobody here hands in routed items.
             RelayTask::RunRoutedItem(_) | RelayTask::AbortRoutedRuns => {}
             // Lanes alone are simulated: no engine is ever reached for a route.
             RelayTask::CheckHealth(target) | RelayTask::ProbeConnection(target) => {
-                let is_well = self.engine_takes_looks(&target.engine);
-                let us = if is_well { 2 * self.way() } else { 800_000 };
-                self.after(us, Event::Looked(index, life, target.engine, is_well));
+                let is_healthy = self.engine_answers_health_checks(&target.engine);
+                let us = if is_healthy { 2 * self.network_delay() } else { 800_000 };
+                self.schedule_after(
+                    us,
+                    Event::HealthChecked(index, generation, target.engine, is_healthy),
+                );
             }
         }
     }
 
-    pub(crate) fn looked(
+    pub(crate) fn health_checked(
         &mut self,
         index: NodeIndex,
-        life: u64,
+        generation: u64,
         engine: topazyard_types::EngineName,
-        is_well: bool,
+        is_healthy: bool,
     ) {
-        if self.nodes[index.0].life != life {
+        if self.nodes[index.0].generation != generation {
             return;
         }
         let name = engine.clone();
-        if self.defer_if_frozen(index, || Event::Looked(index, life, name, is_well)) {
+        if self.defer_if_frozen(index, || Event::HealthChecked(index, generation, name, is_healthy))
+        {
             return;
         }
-        self.call_relay(index, RelayCall::HealthChecked(engine, is_well), Caller::Nobody);
+        self.call_relay(index, RelayCall::HealthChecked(engine, is_healthy), Caller::Ignored);
     }
 }
 
@@ -269,7 +280,7 @@
 
 impl StepInput {
     /// The input of a machine that takes no calls here.
-    fn into_plain<C>(self) -> Option<Input<C>> {
+    fn into_input<C>(self) -> Option<Input<C>> {
         match self {
             Self::Tick => Some(Input::Tick),
             Self::Frame(sender, from, message) => Some(Input::Frame { sender, from, message }),
@@ -282,14 +293,14 @@
     fn into_control(self) -> Option<Input<topazyard_control::ControlCall>> {
         match self {
             Self::Control(call, request) => Some(Input::Call { call, request }),
-            other => other.into_plain(),
+            other => other.into_input(),
         }
     }
 
     fn into_relay(self) -> Option<Input<RelayCall>> {
         match self {
             Self::Relay(call, request) => Some(Input::Call { call, request }),
-            other => other.into_plain(),
+            other => other.into_input(),
         }
     }
 }
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -1,7 +1,7 @@
 //! What a relay's process does outside its machine: a prompt's way by the same state chart as in
 //! the real process, and runs of items.
 
-use super::engines::{EngineEvent, RunFor};
+use super::engines::{EngineEvent, RunOwner};
 use super::{Caller, Event, InjectedBug, NodeIndex, World};
 use crate::history::{Piece, PromptEnd, Us};
 use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId, Target};
@@ -15,18 +15,18 @@
 #[derive(Debug)]
 pub struct Session {
     node: NodeIndex,
-    life: u64,
+    generation: u64,
     /// The prompt in the history.
     prompt: usize,
     state_machine: RequestStateMachine,
     body: bytes::Bytes,
     pieces: u32,
     target: Option<Target>,
-    pub(crate) tries: u32,
+    pub(crate) attempt: u32,
     pub(crate) run: Option<usize>,
-    got: u32,
+    pieces_received: u32,
     sent_at: Us,
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// Something in a prompt's way; the number says at which try.
@@ -37,9 +37,9 @@
     /// A piece of the return came.
     Piece(u32, Piece),
     /// The engine's connection broke.
-    Broken(u32),
+    ConnectionLost(u32),
     /// The head of the return was waited for long enough.
-    HeadLate(u32),
+    HeadTimedOut(u32),
     /// The client's wait is over.
     Deadline,
 }
@@ -48,12 +48,12 @@
 #[derive(Debug)]
 pub(crate) struct ItemRun {
     node: NodeIndex,
-    life: u64,
+    generation: u64,
     run: Run,
     target: Target,
     body: bytes::Bytes,
     pub(crate) engine_run: Option<usize>,
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// Something in an item's run.
@@ -62,41 +62,41 @@
     /// A connection is there, or not.
     Connected(usize, bool),
     /// The whole return came.
-    Whole(usize, Piece),
+    Complete(usize, Piece),
     /// The engine's connection broke.
-    Broken(usize),
+    ConnectionLost(usize),
     /// It took too long.
-    Late(usize),
+    TimedOut(usize),
 }
 
 impl World {
     /// A prompt arrives at a relay.
-    pub(crate) fn begin_session(&mut self, node: NodeIndex, prompt: usize, pieces: u32) {
+    pub(crate) fn start_session(&mut self, node: NodeIndex, prompt: usize, pieces: u32) {
         let seen = &self.history.prompts[prompt];
         let work = &self.history.works[seen.work];
         let (wait, repeatable, model) = (seen.wait, seen.repeatable, seen.model.clone());
         let (body, cost) = (work.body.clone(), work.cost);
-        let deadline = self.relay_moment(node, wait);
+        let deadline = self.relay_clock_after(node, wait);
         let id = PromptId(self.sessions.len() as u64 + 1);
         let prefix = vec![format!("house-{}", prompt % 5), format!("part-{}", prompt % 3)];
         let mut state_machine = RequestStateMachine::arrived(repeatable, deadline);
         state_machine.enqueue();
         self.sessions.push(Session {
             node,
-            life: self.nodes[node.0].life,
+            generation: self.nodes[node.0].generation,
             prompt,
             state_machine,
             body,
             pieces,
             target: None,
-            tries: 0,
+            attempt: 0,
             run: None,
-            got: 0,
+            pieces_received: 0,
             sent_at: 0,
-            is_over: false,
+            is_finished: false,
         });
         let session = self.sessions.len() - 1;
-        self.after(wait, Event::Session(session, SessionEvent::Deadline));
+        self.schedule_after(wait, Event::Session(session, SessionEvent::Deadline));
         let cost = topazyard_types::Tokens(cost);
         let prompt = Prompt { id, model: model.as_str().into(), cost, deadline, prefix };
         self.call_relay(node, RelayCall::AdmitPrompt(prompt), Caller::Session(session));
@@ -104,23 +104,23 @@
 
     fn is_live(&self, at: usize) -> bool {
         let session = &self.sessions[at];
-        !session.is_over && self.nodes[session.node.0].life == session.life
+        !session.is_finished && self.nodes[session.node.0].generation == session.generation
     }
 
-    fn end_session(&mut self, at: usize, engine_outcome: EngineOutcome, end: PromptEnd) {
+    fn finish_session(&mut self, at: usize, engine_outcome: EngineOutcome, end: PromptEnd) {
         let session = &mut self.sessions[at];
-        session.is_over = true;
+        session.is_finished = true;
         let (node, prompt, run) = (session.node, session.prompt, session.run.take());
         if let Some(run) = run.filter(|_| !matches!(engine_outcome, EngineOutcome::Completed(_))) {
-            self.close_run(run);
+            self.cancel_run(run);
         }
         let id = PromptId(at as u64 + 1);
-        self.call_relay(node, RelayCall::PromptEnded(id, engine_outcome), Caller::Nobody);
-        let way = self.way();
-        self.client_sees(prompt, self.time + way, end);
+        self.call_relay(node, RelayCall::PromptEnded(id, engine_outcome), Caller::Ignored);
+        let delay = self.network_delay();
+        self.record_client_end(prompt, self.time + delay, end);
     }
 
-    fn client_sees(&mut self, prompt: usize, at: Us, end: PromptEnd) {
+    fn record_client_end(&mut self, prompt: usize, at: Us, end: PromptEnd) {
         let seen = &mut self.history.prompts[prompt];
         if seen.end.is_none() {
             let gave_up = seen.sent + seen.wait + 1_500_000;
@@ -129,18 +129,18 @@
         }
     }
 
-    fn answer_error(&mut self, at: usize, engine_outcome: EngineOutcome, error: &ApiError) {
+    fn respond_with_error(&mut self, at: usize, engine_outcome: EngineOutcome, error: &ApiError) {
         let mut ran = error.ran;
         if self.injected_bug == Some(InjectedBug::ReportNotRun) {
             ran = Execution::NotRun;
         }
-        let mute = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
-        let says_when = error.code.retry_after_s().is_some() && !mute;
+        let omits = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
+        let says_when = error.code.retry_after_s().is_some() && !omits;
         let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
-        self.end_session(at, engine_outcome, end);
+        self.finish_session(at, engine_outcome, end);
     }
 
-    pub(crate) fn session_returned(&mut self, at: usize, value: RelayResponse) {
+    pub(crate) fn session_response(&mut self, at: usize, value: RelayResponse) {
         if !self.is_live(at) {
             return;
         }
@@ -148,18 +148,25 @@
             RelayResponse::SendTo(target) => {
                 let session = &mut self.sessions[at];
                 session.state_machine.hold();
-                session.tries += 1;
-                let tries = session.tries;
-                let is_there = self.engine_connects(&target.engine);
+                session.attempt += 1;
+                let attempt = session.attempt;
+                let is_connected = self.engine_accepts_connections(&target.engine);
                 self.sessions[at].target = Some(target);
-                let us = if is_there { 2 * self.way() } else { 400_000.min(3 * self.way()) };
-                self.after(us, Event::Session(at, SessionEvent::Connected(tries, is_there)));
+                let us = if is_connected {
+                    2 * self.network_delay()
+                } else {
+                    400_000.min(3 * self.network_delay())
+                };
+                self.schedule_after(
+                    us,
+                    Event::Session(at, SessionEvent::Connected(attempt, is_connected)),
+                );
             }
             RelayResponse::SendBefore(until) => {
-                if !self.is_ahead(self.sessions[at].node, until) {
-                    let stale = ApiError::not_run(topazyard_wire::api::Code::StaleFeed);
-                    let error = self.sessions[at].state_machine.refuse(stale);
-                    self.answer_error(at, EngineOutcome::Aborted, &error);
+                if !self.is_before_deadline(self.sessions[at].node, until) {
+                    let stale_feed = ApiError::not_run(topazyard_wire::api::Code::StaleFeed);
+                    let error = self.sessions[at].state_machine.refuse(stale_feed);
+                    self.respond_with_error(at, EngineOutcome::Aborted, &error);
                     return;
                 }
                 self.send_to_engine(at);
@@ -168,50 +175,56 @@
                 let dispatching = self.sessions[at].target.is_some()
                     && self.sessions[at].state_machine.state() == State::Held;
                 if dispatching && error.code == topazyard_wire::api::Code::NoEngine {
-                    self.failed(at, Failure::NotConnected);
+                    self.handle_failure(at, Failure::NotConnected);
                     return;
                 }
                 let error = self.sessions[at].state_machine.refuse(error);
-                self.answer_error(at, EngineOutcome::Aborted, &error);
+                self.respond_with_error(at, EngineOutcome::Aborted, &error);
             }
             _ => {}
         }
     }
 
     fn send_to_engine(&mut self, at: usize) {
-        let now = self.relay_moment(self.sessions[at].node, 0);
+        let now = self.relay_clock_after(self.sessions[at].node, 0);
         let session = &mut self.sessions[at];
         session.state_machine.dispatch();
         session.sent_at = self.time;
         session.run = None;
-        session.got = 0;
-        let (body, pieces, tries) = (session.body.clone(), session.pieces, session.tries);
+        session.pieces_received = 0;
+        let (body, pieces, attempt) = (session.body.clone(), session.pieces, session.attempt);
         let name = session.target.as_ref().map(|target| target.engine.clone());
         let timeout = session.state_machine.timeout(now);
         let Some(engine) = name.and_then(|name| self.engine_named(&name)) else { return };
-        let back = RunFor::Session(at, tries);
-        let way = self.way_to_engine(InjectedBug::SendLate);
-        self.after(way, Event::Engine(EngineEvent::Arrives { engine, body, pieces, back }));
-        self.after(timeout.0 * 1_000, Event::Session(at, SessionEvent::HeadLate(tries)));
+        let owner = RunOwner::Session(at, attempt);
+        let delay = self.delay_to_engine(InjectedBug::SendLate);
+        self.schedule_after(
+            delay,
+            Event::Engine(EngineEvent::RequestArrives { engine, body, pieces, owner }),
+        );
+        self.schedule_after(
+            timeout.0 * 1_000,
+            Event::Session(at, SessionEvent::HeadTimedOut(attempt)),
+        );
     }
 
-    fn way_to_engine(&mut self, late: InjectedBug) -> Us {
-        let late = if self.injected_bug == Some(late) { 7_000_000 } else { 0 };
-        late + self.way()
+    fn delay_to_engine(&mut self, late_bug: InjectedBug) -> Us {
+        let extra = if self.injected_bug == Some(late_bug) { 7_000_000 } else { 0 };
+        extra + self.network_delay()
     }
 
-    pub(crate) fn mark_run(&mut self, back: RunFor, run: usize) {
-        match back {
-            RunFor::Session(session, tries) => {
+    pub(crate) fn attach_run(&mut self, owner: RunOwner, run: usize) {
+        match owner {
+            RunOwner::Session(session, attempt) => {
                 let known = &mut self.sessions[session];
-                if known.tries == tries && !known.is_over {
+                if known.attempt == attempt && !known.is_finished {
                     known.run = Some(run);
                 } else {
                     // The relay closed the connection while the body was on its way.
-                    self.close_run(run);
+                    self.cancel_run(run);
                 }
             }
-            RunFor::Item(item) => self.item_runs[item].engine_run = Some(run),
+            RunOwner::Item(item) => self.item_runs[item].engine_run = Some(run),
         }
     }
 
@@ -224,11 +237,11 @@
             self.defer_if_frozen(node, || Event::Session(at, event));
             return;
         }
-        let (tries, state) = (self.sessions[at].tries, self.sessions[at].state_machine.state());
+        let (attempt, state) = (self.sessions[at].attempt, self.sessions[at].state_machine.state());
         match event {
-            SessionEvent::Connected(at_try, is_there) if at_try == tries => {
-                if !is_there {
-                    self.failed(at, Failure::NotConnected);
+            SessionEvent::Connected(event_attempt, is_connected) if event_attempt == attempt => {
+                if !is_connected {
+                    self.handle_failure(at, Failure::NotConnected);
                     return;
                 }
                 let id = PromptId(at as u64 + 1);
@@ -238,20 +251,24 @@
                     self.call_relay(node, call, Caller::Session(at));
                 }
             }
-            SessionEvent::Piece(at_try, piece) if at_try == tries => self.relay_piece(at, piece),
-            SessionEvent::Broken(at_try) if at_try == tries => {
+            SessionEvent::Piece(event_attempt, piece) if event_attempt == attempt => {
+                self.relay_piece(at, piece)
+            }
+            SessionEvent::ConnectionLost(event_attempt) if event_attempt == attempt => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
                 if sent && self.injected_bug == Some(InjectedBug::InterruptedLooksComplete) {
-                    self.end_session(at, EngineOutcome::Failed, PromptEnd::Whole);
+                    self.finish_session(at, EngineOutcome::Failed, PromptEnd::Whole);
                 } else if sent {
-                    self.failed(at, Failure::ConnectionLost);
+                    self.handle_failure(at, Failure::ConnectionLost);
                 }
             }
-            SessionEvent::HeadLate(at_try) if at_try == tries && state == State::Dispatched => {
-                self.failed(at, Failure::TimedOut);
+            SessionEvent::HeadTimedOut(event_attempt)
+                if event_attempt == attempt && state == State::Dispatched =>
+            {
+                self.handle_failure(at, Failure::TimedOut);
             }
             SessionEvent::Deadline if state == State::Relaying => {
-                self.failed(at, Failure::TimedOut);
+                self.handle_failure(at, Failure::TimedOut);
             }
             _ => {}
         }
@@ -262,21 +279,21 @@
         if session.pieces == 1 || session.state_machine.state() == State::Dispatched {
             session.state_machine.start_relaying();
         }
-        session.got += 1;
+        session.pieces_received += 1;
         let prompt = session.prompt;
         let took = DurationMs((self.time - session.sent_at) / 1_000);
         self.history.prompts[prompt].pieces.push(piece);
         if piece.index + 1 == piece.of {
             self.sessions[at].state_machine.complete();
-            self.end_session(at, EngineOutcome::Completed(took), PromptEnd::Whole);
+            self.finish_session(at, EngineOutcome::Completed(took), PromptEnd::Whole);
         }
     }
 
-    fn failed(&mut self, at: usize, failure: Failure) {
+    fn handle_failure(&mut self, at: usize, failure: Failure) {
         let node = self.sessions[at].node;
-        let now = self.relay_moment(node, 0);
+        let now = self.relay_clock_after(node, 0);
         if let Some(run) = self.sessions[at].run.take() {
-            self.close_run(run);
+            self.cancel_run(run);
         }
         match self.sessions[at].state_machine.fail(failure, now) {
             FailureAction::TryAnotherEngine => {
@@ -285,87 +302,90 @@
                 let call = RelayCall::RetryPrompt(id, failed.unwrap_or_default());
                 self.call_relay(node, call, Caller::Session(at));
             }
-            FailureAction::Respond(error) => self.answer_error(at, EngineOutcome::Failed, &error),
+            FailureAction::Respond(error) => {
+                self.respond_with_error(at, EngineOutcome::Failed, &error)
+            }
             FailureAction::CloseConnection => {
-                self.end_session(at, EngineOutcome::Failed, PromptEnd::Broken)
+                self.finish_session(at, EngineOutcome::Failed, PromptEnd::Broken)
             }
         }
     }
 
     /// A relay's process ended: its connections break on both sides.
-    pub(crate) fn break_sessions_of(&mut self, node: NodeIndex) {
+    pub(crate) fn abort_sessions_of(&mut self, node: NodeIndex) {
         for at in 0..self.sessions.len() {
             let session = &mut self.sessions[at];
-            if session.node == node && !session.is_over {
-                session.is_over = true;
+            if session.node == node && !session.is_finished {
+                session.is_finished = true;
                 let (prompt, run) = (session.prompt, session.run.take());
                 if let Some(run) = run {
-                    self.close_run(run);
+                    self.cancel_run(run);
                 }
-                self.client_sees(prompt, self.time + 1_000, PromptEnd::Broken);
+                self.record_client_end(prompt, self.time + 1_000, PromptEnd::Broken);
             }
         }
         for at in 0..self.item_runs.len() {
             let item = &mut self.item_runs[at];
-            if item.node == node && !item.is_over {
-                item.is_over = true;
+            if item.node == node && !item.is_finished {
+                item.is_finished = true;
                 if let Some(run) = item.engine_run {
-                    self.close_run(run);
+                    self.cancel_run(run);
                 }
             }
         }
     }
 
-    pub(crate) fn begin_item(
+    pub(crate) fn start_item(
         &mut self,
         node: NodeIndex,
         run: Run,
         target: Target,
         body: bytes::Bytes,
     ) {
-        let life = self.nodes[node.0].life;
-        let is_there = self.engine_connects(&target.engine);
-        let item = ItemRun { node, life, run, target, body, engine_run: None, is_over: false };
+        let generation = self.nodes[node.0].generation;
+        let is_connected = self.engine_accepts_connections(&target.engine);
+        let item =
+            ItemRun { node, generation, run, target, body, engine_run: None, is_finished: false };
         self.item_runs.push(item);
         let at = self.item_runs.len() - 1;
-        let us = 2 * self.way();
-        self.after(us, Event::Item(ItemEvent::Connected(at, is_there)));
+        let us = 2 * self.network_delay();
+        self.schedule_after(us, Event::Item(ItemEvent::Connected(at, is_connected)));
     }
 
-    pub(crate) fn item_returned(&mut self, at: usize, value: RelayResponse) {
+    pub(crate) fn item_response(&mut self, at: usize, value: RelayResponse) {
         let node = self.item_runs[at].node;
         match value {
-            RelayResponse::SendBefore(until) if self.is_ahead(node, until) => {
+            RelayResponse::SendBefore(until) if self.is_before_deadline(node, until) => {
                 let body = self.item_runs[at].body.clone();
                 let name: EngineName = self.item_runs[at].target.engine.clone();
                 let Some(engine) = self.engine_named(&name) else { return };
-                let way = self.way_to_engine(InjectedBug::SendItemsLate);
-                let back = RunFor::Item(at);
-                let event = EngineEvent::Arrives { engine, body, pieces: 1, back };
-                self.after(way, Event::Engine(event));
-                let limit_us = topazyard_relay::machine::items::RUN_TIMEOUT.0 * 1_000;
-                self.after(limit_us, Event::Item(ItemEvent::Late(at)));
+                let delay = self.delay_to_engine(InjectedBug::SendItemsLate);
+                let owner = RunOwner::Item(at);
+                let event = EngineEvent::RequestArrives { engine, body, pieces: 1, owner };
+                self.schedule_after(delay, Event::Engine(event));
+                let timeout_us = topazyard_relay::machine::items::RUN_TIMEOUT.0 * 1_000;
+                self.schedule_after(timeout_us, Event::Item(ItemEvent::TimedOut(at)));
             }
-            _ => self.end_item(at, RunEnd::NotRun),
+            _ => self.finish_item(at, RunEnd::NotRun),
         }
     }
 
-    fn end_item(&mut self, at: usize, end: RunEnd) {
+    fn finish_item(&mut self, at: usize, end: RunEnd) {
         let item = &mut self.item_runs[at];
-        item.is_over = true;
+        item.is_finished = true;
         let (node, run) = (item.node, item.run);
-        self.call_relay(node, RelayCall::ItemEnded(run, end), Caller::Nobody);
+        self.call_relay(node, RelayCall::ItemEnded(run, end), Caller::Ignored);
     }
 
     pub(crate) fn item_event(&mut self, event: ItemEvent) {
         let at = match &event {
             ItemEvent::Connected(at, _)
-            | ItemEvent::Whole(at, _)
-            | ItemEvent::Broken(at)
-            | ItemEvent::Late(at) => *at,
+            | ItemEvent::Complete(at, _)
+            | ItemEvent::ConnectionLost(at)
+            | ItemEvent::TimedOut(at) => *at,
         };
         let item = &self.item_runs[at];
-        if item.is_over || self.nodes[item.node.0].life != item.life {
+        if item.is_finished || self.nodes[item.node.0].generation != item.generation {
             return;
         }
         let node = item.node;
@@ -374,7 +394,7 @@
             return;
         }
         match event {
-            ItemEvent::Connected(_, false) => self.end_item(at, RunEnd::NotRun),
+            ItemEvent::Connected(_, false) => self.finish_item(at, RunEnd::NotRun),
             ItemEvent::Connected(_, true) => {
                 let call = RelayCall::DispatchItem(
                     self.item_runs[at].run,
@@ -382,16 +402,16 @@
                 );
                 self.call_relay(node, call, Caller::Item(at));
             }
-            ItemEvent::Whole(_, piece) => {
+            ItemEvent::Complete(_, piece) => {
                 let body = format!("return of work {} run {}", piece.work, piece.run);
-                self.end_item(at, RunEnd::Complete { status: 200, body: body.into() });
+                self.finish_item(at, RunEnd::Complete { status: 200, body: body.into() });
             }
-            ItemEvent::Broken(_) => self.end_item(at, RunEnd::Unknown),
-            ItemEvent::Late(_) => {
+            ItemEvent::ConnectionLost(_) => self.finish_item(at, RunEnd::Unknown),
+            ItemEvent::TimedOut(_) => {
                 if let Some(run) = self.item_runs[at].engine_run {
-                    self.close_run(run);
+                    self.cancel_run(run);
                 }
-                self.end_item(at, RunEnd::Unknown);
+                self.finish_item(at, RunEnd::Unknown);
             }
         }
     }
