--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -276,7 +276,7 @@
                 self.list_engines();
             }
             Fault::Crowd(rate) => self.workload.settings.prompts_per_s = rate,
-            Fault::Batches(count) => (0..count).for_each(|_| self.hand_in_batch()),
+            Fault::Batches(count) => (0..count).for_each(|_| self.submit_batch()),
             Fault::Replace(_) => {
                 if let Some(index) = target {
                     self.stop(index, true);
--- a/fleet-simulator/src/plan/chaos.rs
+++ b/fleet-simulator/src/plan/chaos.rs
@@ -1,17 +1,17 @@
 //! Everything, drawn by chance.
 
-use super::Draft;
+use super::PlanBuilder;
 use crate::faults::{Direction, Fault};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     pub(super) fn chaos(&mut self) {
         for _ in 0..8 {
-            if self.two() && self.rng.random_range(0..2) == 0 {
-                let one = self.rng.random_range(0..4);
-                for whom in self.together() {
-                    let fault = match one {
+            if self.may_lose_two() && self.rng.random_range(0..2) == 0 {
+                let kind = self.rng.random_range(0..4);
+                for whom in self.worst_pair() {
+                    let fault = match kind {
                         0 => Fault::Kill(whom),
                         1 => Fault::LosePower(whom),
                         2 => Fault::Freeze(whom, 4_000),
@@ -19,21 +19,21 @@
                     };
                     self.add(0, fault);
                 }
-                self.at += self.rng.random_range(1_000..5_000);
+                self.at_ms += self.rng.random_range(1_000..5_000);
                 self.add(0, Fault::StartAll);
-                self.at += self.rng.random_range(5_000..9_000);
+                self.at_ms += self.rng.random_range(5_000..9_000);
                 continue;
             }
             let fault = match self.rng.random_range(0..9) {
-                0 | 1 => Fault::Kill(self.any()),
+                0 | 1 => Fault::Kill(self.any_process()),
                 2 => {
-                    let whom = self.any();
+                    let whom = self.any_process();
                     Fault::Freeze(whom, self.rng.random_range(500..7_000))
                 }
-                3 => Fault::LosePower(self.with_disk()),
-                4 => Fault::CutOff(self.any(), Direction::Both),
-                5 => Fault::CutOff(self.any(), Direction::Inward),
-                6 => Fault::SlowDisk(self.with_disk(), 2_500),
+                3 => Fault::LosePower(self.machine_with_disk()),
+                4 => Fault::CutOff(self.any_process(), Direction::Both),
+                5 => Fault::CutOff(self.any_process(), Direction::Inward),
+                6 => Fault::SlowDisk(self.machine_with_disk(), 2_500),
                 7 => Fault::Engine(
                     self.rng.random_range(0..self.deployment.engines),
                     EngineHealth::Gone,
@@ -41,7 +41,7 @@
                 _ => Fault::Lossy(200),
             };
             self.add(0, fault);
-            self.at += self.rng.random_range(1_000..5_000);
+            self.at_ms += self.rng.random_range(1_000..5_000);
             self.add(0, Fault::StartAll);
             self.add(0, Fault::Mend);
             self.add(0, Fault::FastDisks);
@@ -49,7 +49,7 @@
             for engine in 0..self.deployment.engines {
                 self.add(0, Fault::Engine(engine, EngineHealth::Well));
             }
-            self.at += self.rng.random_range(3_000..7_000);
+            self.at_ms += self.rng.random_range(3_000..7_000);
         }
     }
 }
--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -1,6 +1,6 @@
 //! Control under its worst days: cut off, raced at, struck again at once, left behind.
 
-use super::{Draft, named, numbered};
+use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Direction, Fault, Whom};
 use rand::Rng as _;
 
@@ -11,7 +11,7 @@
 /// For how long a member is left behind.
 const ABSENT_MS: u64 = 20_000;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     /// Members of the core, as many as may be lost at once, each another one.
     fn core_members(&mut self) -> Vec<Whom> {
         let mut roles = vec![
@@ -20,12 +20,12 @@
             Whom::ControlSpare,
             named("control", self.rng.random_range(1..=3)),
         ];
-        let many = usize::from(self.deployment.lost_machines);
-        if many > 1 {
+        let count = usize::from(self.deployment.lost_machines);
+        if count > 1 {
             // A seed may be any of the others.
             roles.truncate(3);
         }
-        (0..many).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
+        (0..count).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
     }
 
     fn direction(&mut self) -> Direction {
@@ -46,7 +46,7 @@
             }
             self.add(CUT_OFF_MS, Fault::Mend);
             // The next one in turn, sometimes as soon as the last one counts no more.
-            self.at += CUT_OFF_MS + CATCH_UP_MS + self.rng.random_range(0..3_000);
+            self.at_ms += CUT_OFF_MS + CATCH_UP_MS + self.rng.random_range(0..3_000);
         }
         self.add(0, Fault::LoseAnswers(0));
     }
@@ -59,18 +59,18 @@
             self.add(0, Fault::Untidy(share));
             self.add(4_000, Fault::Untidy(0));
             self.add(4_000, Fault::LoseAnswers(20));
-            let strikes = self.rng.random_range(500..6_000);
+            let strike_after_ms = self.rng.random_range(500..6_000);
             for whom in self.core_members() {
                 let fault = match self.rng.random_range(0..3) {
                     0 => Fault::Freeze(whom, 1_500),
                     1 => Fault::LosePower(whom),
                     _ => Fault::Kill(whom),
                 };
-                self.add(strikes, fault);
+                self.add(strike_after_ms, fault);
             }
-            self.add(strikes + 1_500, Fault::StartAll);
-            self.add(strikes + 1_500, Fault::LoseAnswers(50));
-            self.at += strikes + 1_500 + CATCH_UP_MS;
+            self.add(strike_after_ms + 1_500, Fault::StartAll);
+            self.add(strike_after_ms + 1_500, Fault::LoseAnswers(50));
+            self.at_ms += strike_after_ms + 1_500 + CATCH_UP_MS;
         }
         self.add(0, Fault::LoseAnswers(0));
     }
@@ -83,9 +83,9 @@
                 let node = named("storage", self.rng.random_range(1..=storages));
                 self.add(0, Fault::AddStorage);
                 self.add(6_000, Fault::Retire(node));
-                self.at += 6_500;
+                self.at_ms += 6_500;
             }
-            let down = self.rng.random_range(200..2_500);
+            let down_ms = self.rng.random_range(200..2_500);
             let members = self.worst_members();
             let kind = self.rng.random_range(0..5);
             if kind == 4 {
@@ -103,8 +103,8 @@
                 };
                 self.add(0, fault);
             }
-            self.add(down, Fault::StartAll);
-            self.at += down + CATCH_UP_MS + self.rng.random_range(0..40);
+            self.add(down_ms, Fault::StartAll);
+            self.at_ms += down_ms + CATCH_UP_MS + self.rng.random_range(0..40);
         }
     }
 
@@ -113,10 +113,10 @@
         let name = named("control", number);
         let old = Whom::Named(format!("control-{number} (replaced)"));
         self.add(0, Fault::Succeed(name));
-        self.at += CATCH_UP_MS + self.rng.random_range(0..40);
+        self.at_ms += CATCH_UP_MS + self.rng.random_range(0..40);
         self.add(0, Fault::Leave(old.clone()));
         self.add(200, Fault::Remove(old));
-        self.at += 210;
+        self.at_ms += 210;
     }
 
     /// Machines whose loss at this moment hurts most, as many as may be lost at once.
@@ -153,15 +153,15 @@
             self.add(ABSENT_MS, Fault::StartAll);
             self.add(ABSENT_MS, Fault::Mend);
             self.add(ABSENT_MS + 1_000, Fault::OrdersEvery(300));
-            self.at += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
+            self.at_ms += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
             // One after the other leads and goes, so that the one that was away must lead.
             for _ in 0..2 {
                 self.add(0, Fault::Kill(Whom::ControlPrimary));
-                if self.two() {
+                if self.may_lose_two() {
                     self.add(0, Fault::Kill(Whom::ControlBackup));
                 }
                 self.add(1_500, Fault::StartAll);
-                self.at += 1_500 + CATCH_UP_MS;
+                self.at_ms += 1_500 + CATCH_UP_MS;
             }
         }
         self.add(0, Fault::LoseAnswers(0));
@@ -186,44 +186,44 @@
                         self.add(0, Fault::CutOff(whom, direction));
                     }
                     self.add(ms, Fault::Mend);
-                    self.at += ms;
+                    self.at_ms += ms;
                 }
-                _ => self.claim_on_slow_disks(),
+                _ => self.takeover_on_slow_disks(),
             }
-            self.at += CATCH_UP_MS + self.rng.random_range(0..1_000);
+            self.at_ms += CATCH_UP_MS + self.rng.random_range(0..1_000);
         }
         self.add(0, Fault::LoseAnswers(0));
     }
 
     fn core_without_power(&mut self) {
-        for whom in numbered("control", self.count_controls()) {
-            let starts = self.rng.random_range(200..1_400);
+        for whom in all_of_kind("control", self.count_controls()) {
+            let start_ms = self.rng.random_range(200..1_400);
             self.add(0, Fault::LosePower(whom.clone()));
-            self.add(starts, Fault::Start(whom));
+            self.add(start_ms, Fault::Start(whom));
         }
-        self.at += 1_400;
+        self.at_ms += 1_400;
     }
 
     fn all_without_power(&mut self) {
-        let all = numbered("control", self.count_controls())
-            .chain(numbered("storage", self.count_storages()))
-            .chain(numbered("agent", self.count_relays()))
-            .chain(numbered("relay", self.count_relays()));
+        let all = all_of_kind("control", self.count_controls())
+            .chain(all_of_kind("storage", self.count_storages()))
+            .chain(all_of_kind("agent", self.count_relays()))
+            .chain(all_of_kind("relay", self.count_relays()));
         for whom in all {
             self.add(0, Fault::LosePower(whom));
         }
         self.add(1_400, Fault::StartAll);
-        self.at += 1_400 + CATCH_UP_MS;
+        self.at_ms += 1_400 + CATCH_UP_MS;
     }
 
     /// The primary goes while whoever takes over has a slow or stalled disk.
-    fn claim_on_slow_disks(&mut self) {
+    fn takeover_on_slow_disks(&mut self) {
         let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
         self.add(0, Fault::SlowDisk(Whom::ControlBackup, ms));
         self.add(0, Fault::SlowDisk(Whom::ControlSpare, ms / 2));
         self.add(300, Fault::Kill(Whom::ControlPrimary));
         self.add(3_000, Fault::FastDisks);
         self.add(3_500, Fault::StartAll);
-        self.at += 3_500;
+        self.at_ms += 3_500;
     }
 }
--- a/fleet-simulator/src/plan/load.rs
+++ b/fleet-simulator/src/plan/load.rs
@@ -1,11 +1,11 @@
 //! Load: crowds, batches, engines and what is emptied in order.
 
-use super::{Draft, named};
+use super::{PlanBuilder, named};
 use crate::faults::{Fault, Whom};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     pub(super) fn crowds(&mut self) {
         self.add(0, Fault::Crowd(self.deployment.prompts_per_s * 8));
         self.add(2_000, Fault::Batches(30));
@@ -26,7 +26,7 @@
             self.add(after, Fault::Kill(whom));
             self.add(2_000, Fault::Batches(10));
             self.add(6_000, Fault::StartAll);
-            self.at += 9_000;
+            self.at_ms += 9_000;
         }
         // Both holders of the counter at once, and with them a shard's primary.
         self.add(0, Fault::Batches(20));
@@ -45,7 +45,7 @@
         }
         self.add(4_000, Fault::Batches(60));
         self.add(12_000, Fault::StartAll);
-        self.at += 20_000;
+        self.at_ms += 20_000;
         self.add(0, Fault::Ceiling(20_000));
         self.add(0, Fault::Batches(20));
         self.add(9_000, Fault::Batches(20));
@@ -65,14 +65,14 @@
             };
             self.add(0, Fault::Engine(engine, health));
             self.add(4_000, Fault::Engine(engine, EngineHealth::Well));
-            self.at += self.rng.random_range(500..2_500);
+            self.at_ms += self.rng.random_range(500..2_500);
         }
         for n in 0..4_u16 {
             self.add(0, Fault::EngineLeaves(n));
             self.add(3_500, Fault::Engine(n, EngineHealth::Gone));
             self.add(5_000, Fault::Engine(n, EngineHealth::Well));
             self.add(5_500, Fault::EngineReady(n));
-            self.at += 2_000;
+            self.at_ms += 2_000;
         }
     }
 
@@ -82,7 +82,7 @@
             self.add(0, Fault::Drain(relay.clone()));
             self.add(9_000, Fault::Kill(relay));
             self.add(9_500, Fault::StartAll);
-            self.at += 10_000;
+            self.at_ms += 10_000;
         }
         self.add(0, Fault::AddStorage);
         self.add(3_000, Fault::Empty(Whom::ShardPrimary(0)));
@@ -92,9 +92,9 @@
 
     pub(super) fn counter(&mut self) {
         self.add(0, Fault::Kill(Whom::ShardPrimary(0)));
-        self.at += 8_000;
+        self.at_ms += 8_000;
         self.add(0, Fault::StartAll);
-        self.at += 8_000;
+        self.at_ms += 8_000;
         for n in 1..=self.count_storages() {
             self.add(0, Fault::Kill(named("storage", n)));
         }
--- a/fleet-simulator/src/plan/losses.rs
+++ b/fleet-simulator/src/plan/losses.rs
@@ -1,42 +1,42 @@
 //! Processes and machines that are lost, and come back.
 
-use super::{Draft, named, numbered};
+use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Fault, Whom};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     pub(super) fn kills(&mut self) {
         for _ in 0..4 {
-            if self.two() {
-                for whom in self.together() {
+            if self.may_lose_two() {
+                for whom in self.worst_pair() {
                     self.add(0, Fault::Kill(whom));
                 }
             } else {
-                let whom = self.any();
+                let whom = self.any_process();
                 self.add(0, Fault::Kill(whom));
             }
             if self.rng.random_range(0..2) == 0 {
                 self.add(200, Fault::Kill(named("relay", 1)));
             }
-            self.at += self.rng.random_range(1_000..7_000);
+            self.at_ms += self.rng.random_range(1_000..7_000);
             self.add(0, Fault::StartAll);
-            self.at += self.rng.random_range(5_000..8_000);
+            self.at_ms += self.rng.random_range(5_000..8_000);
         }
     }
 
     pub(super) fn freezes(&mut self) {
         for _ in 0..5 {
             let ms = self.rng.random_range(500..9_000);
-            if self.two() {
-                for whom in self.together() {
+            if self.may_lose_two() {
+                for whom in self.worst_pair() {
                     self.add(0, Fault::Freeze(whom, ms));
                 }
             } else {
-                let whom = self.any();
+                let whom = self.any_process();
                 self.add(0, Fault::Freeze(whom, ms));
             }
-            self.at += ms.max(4_000) + self.rng.random_range(0..4_000);
+            self.at_ms += ms.max(4_000) + self.rng.random_range(0..4_000);
         }
         // A relay wakes before its agent, when half of the engines have long left.
         self.add(0, Fault::Freeze(named("relay", 1), 5_000));
@@ -49,22 +49,26 @@
 
     pub(super) fn power(&mut self) {
         for n in 0..3 {
-            let struck = if self.two() { self.together().to_vec() } else { vec![self.with_disk()] };
-            for whom in struck {
+            let targets = if self.may_lose_two() {
+                self.worst_pair().to_vec()
+            } else {
+                vec![self.machine_with_disk()]
+            };
+            for whom in targets {
                 let fault = if n % 2 == 0 { Fault::LoseDisk(whom) } else { Fault::LosePower(whom) };
                 self.add(0, fault);
             }
-            self.at += self.rng.random_range(500..6_000);
+            self.at_ms += self.rng.random_range(500..6_000);
             self.add(0, Fault::StartAll);
-            self.at += 12_000;
+            self.at_ms += 12_000;
         }
     }
 
     pub(super) fn blackout(&mut self) {
-        let all = numbered("control", self.count_controls())
-            .chain(numbered("storage", self.count_storages()))
-            .chain(numbered("agent", self.count_relays()))
-            .chain(numbered("relay", self.count_relays()));
+        let all = all_of_kind("control", self.count_controls())
+            .chain(all_of_kind("storage", self.count_storages()))
+            .chain(all_of_kind("agent", self.count_relays()))
+            .chain(all_of_kind("relay", self.count_relays()));
         for whom in all {
             self.add(0, Fault::LosePower(whom));
         }
@@ -75,11 +79,11 @@
     pub(super) fn slow_disks(&mut self) {
         for _ in 0..3 {
             let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
-            let whom = self.with_disk();
+            let whom = self.machine_with_disk();
             self.add(0, Fault::SlowDisk(whom, ms));
-            self.at += self.rng.random_range(4_000..9_000);
+            self.at_ms += self.rng.random_range(4_000..9_000);
             self.add(0, Fault::FastDisks);
-            self.at += 5_000;
+            self.at_ms += 5_000;
         }
     }
 
@@ -87,38 +91,42 @@
     /// killed too, and finds no room when it starts.
     pub(super) fn full_disks(&mut self) {
         for n in 0..4 {
-            let struck = if self.two() { self.together().to_vec() } else { vec![self.with_disk()] };
+            let targets = if self.may_lose_two() {
+                self.worst_pair().to_vec()
+            } else {
+                vec![self.machine_with_disk()]
+            };
             let ms = if n == 3 { 15_000 } else { self.rng.random_range(1_000..4_000) };
-            for whom in struck {
+            for whom in targets {
                 self.add(0, Fault::FullDisk(whom));
             }
             if self.rng.random_range(0..2) == 0 {
                 self.add(300, Fault::KillFull);
                 self.add(600, Fault::StartAll);
             }
-            self.at += ms;
+            self.at_ms += ms;
             self.add(0, Fault::Room);
-            self.at += 9_000;
+            self.at_ms += 9_000;
         }
     }
 
     pub(super) fn zones(&mut self) {
         // Whatever shares the fate of a zone: its engines go with it.
         let (engines, zones) = (self.deployment.engines, self.deployment.zones);
-        let of = |zone: u16| (0..engines).filter(move |n| (n + 1) % zones == zone);
+        let engines_of = |zone: u16| (0..engines).filter(move |n| (n + 1) % zones == zone);
         let lost = self.rng.random_range(0..self.deployment.zones);
         self.add(0, Fault::LoseZone(lost));
-        for engine in of(lost) {
+        for engine in engines_of(lost) {
             self.add(0, Fault::Engine(engine, EngineHealth::Gone));
             self.add(3_000, Fault::EngineLeaves(engine));
         }
-        self.at += 40_000;
+        self.at_ms += 40_000;
         self.add(0, Fault::StartAll);
-        for engine in of(lost) {
+        for engine in engines_of(lost) {
             self.add(0, Fault::Engine(engine, EngineHealth::Well));
             self.add(500, Fault::EngineReady(engine));
         }
-        self.at += 15_000;
+        self.at_ms += 15_000;
         let cut = (lost + self.rng.random_range(1..self.deployment.zones)) % self.deployment.zones;
         self.add(0, Fault::CutZone(cut));
         let after = self.rng.random_range(14_000..20_000);
@@ -127,22 +135,22 @@
 
     pub(super) fn controls(&mut self) {
         for _ in 0..3 {
-            let all = numbered("control", self.count_controls());
+            let all = all_of_kind("control", self.count_controls());
             for whom in all {
                 self.add(0, Fault::Kill(whom.clone()));
                 let after = self.rng.random_range(50..1_000);
                 self.add(after, Fault::Start(whom));
             }
-            self.at += 12_000;
+            self.at_ms += 12_000;
         }
     }
 
     pub(super) fn herd(&mut self) {
         for _ in 0..3 {
-            let all = numbered("control", self.count_controls())
-                .chain(numbered("storage", self.count_storages()))
-                .chain(numbered("agent", self.count_relays()))
-                .chain(numbered("relay", self.count_relays()));
+            let all = all_of_kind("control", self.count_controls())
+                .chain(all_of_kind("storage", self.count_storages()))
+                .chain(all_of_kind("agent", self.count_relays()))
+                .chain(all_of_kind("relay", self.count_relays()));
             for whom in all {
                 if self.rng.random_range(0..10) < 6 {
                     self.add(0, Fault::Kill(whom.clone()));
@@ -150,7 +158,7 @@
                     self.add(after, Fault::Start(whom));
                 }
             }
-            self.at += 16_000;
+            self.at_ms += 16_000;
         }
     }
 
@@ -160,18 +168,18 @@
         for round in 0..5 {
             let ms = [0, 20, 300, 1_500][self.rng.random_range(0..4)];
             let whom = Whom::ShardPrimary(self.rng.random_range(1..5));
-            let begins = self.rng.random_range(1_000..3_000);
-            self.add(begins, Fault::Batches(8));
-            let slows = begins + self.rng.random_range(0..400);
-            self.add(slows, Fault::SlowDisk(whom.clone(), ms));
+            let begin_ms = self.rng.random_range(1_000..3_000);
+            self.add(begin_ms, Fault::Batches(8));
+            let slow_from_ms = begin_ms + self.rng.random_range(0..400);
+            self.add(slow_from_ms, Fault::SlowDisk(whom.clone(), ms));
             if round % 2 == 1 {
-                self.add(begins + 200, Fault::Kill(whom));
+                self.add(begin_ms + 200, Fault::Kill(whom));
             }
-            let (answers, dark_ms) =
+            let (responses, down_ms) =
                 (self.rng.random_range(1..40), self.rng.random_range(800..3_000));
-            self.add(begins + 100, Fault::WipeAfterAnswers(answers, dark_ms));
-            self.add(begins + 4_000, Fault::FastDisks);
-            self.at += begins + dark_ms + 20_000;
+            self.add(begin_ms + 100, Fault::WipeAfterAnswers(responses, down_ms));
+            self.add(begin_ms + 4_000, Fault::FastDisks);
+            self.at_ms += begin_ms + down_ms + 20_000;
         }
     }
 
@@ -182,13 +190,13 @@
             self.add(0, Fault::Halves(seed));
             self.add(200, Fault::Batches(2));
             if self.rng.random_range(0..3) == 0 {
-                let whom = self.with_disk();
+                let whom = self.machine_with_disk();
                 self.add(1_000, Fault::LosePower(whom));
             }
             let ms = self.rng.random_range(1_000..9_000);
             self.add(ms, Fault::Mend);
             self.add(ms + 500, Fault::StartAll);
-            self.at += ms + 14_000;
+            self.at_ms += ms + 14_000;
         }
     }
 }
--- a/fleet-simulator/src/plan/machines.rs
+++ b/fleet-simulator/src/plan/machines.rs
@@ -1,24 +1,24 @@
 //! Machines that are replaced, and processes that are restarted in turn.
 
-use super::{Draft, named, numbered};
+use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Fault, Whom};
 use rand::Rng as _;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     pub(super) fn replaced(&mut self) {
         self.add(0, Fault::Replace(Whom::ShardPrimary(1)));
-        self.at += 10_000;
+        self.at_ms += 10_000;
         self.add(0, Fault::AddStorage);
-        self.at += 6_000;
+        self.at_ms += 6_000;
         self.add(0, Fault::Replace(Whom::OtherControl));
-        self.at += 18_000;
+        self.at_ms += 18_000;
         self.add(0, Fault::Replace(Whom::ShardPrimary(0)));
     }
 
     pub(super) fn seeds(&mut self) {
         for n in 1..=3 {
             self.add(0, Fault::Replace(named("control", n)));
-            self.at += 18_000;
+            self.at_ms += 18_000;
         }
         // The whole edge starts anew with settings that name none of the present seeds.
         for n in 1..=self.count_relays() {
@@ -27,7 +27,7 @@
                 self.add(1_000, Fault::Start(whom));
             }
         }
-        self.at += 16_000;
+        self.at_ms += 16_000;
         self.add(0, Fault::Kill(Whom::ControlPrimary));
     }
 
@@ -35,21 +35,21 @@
         self.add(0, Fault::MoreLanes(400));
         for _ in 0..3 {
             self.add(0, Fault::Kill(Whom::ControlPrimary));
-            self.at += self.rng.random_range(2_000..6_000);
+            self.at_ms += self.rng.random_range(2_000..6_000);
             self.add(0, Fault::StartAll);
-            self.at += self.rng.random_range(3_000..6_000);
+            self.at_ms += self.rng.random_range(3_000..6_000);
         }
         self.add(0, Fault::Freeze(Whom::ControlPrimary, 6_000));
     }
 
     pub(super) fn rolling(&mut self) {
-        let all = numbered("control", self.count_controls())
-            .chain(numbered("storage", self.count_storages()));
+        let all = all_of_kind("control", self.count_controls())
+            .chain(all_of_kind("storage", self.count_storages()));
         for whom in all {
             self.add(0, Fault::Kill(whom.clone()));
             let after = self.rng.random_range(300..1_500);
             self.add(after, Fault::Start(whom));
-            self.at += 6_000;
+            self.at_ms += 6_000;
         }
         for n in 1..=self.count_relays() {
             let (agent, relay) = (named("agent", n), named("relay", n));
@@ -58,7 +58,7 @@
                 self.add(9_000, Fault::Kill(whom.clone()));
                 self.add(9_500, Fault::Start(whom));
             }
-            self.at += 2_000;
+            self.at_ms += 2_000;
         }
     }
 }
--- a/fleet-simulator/src/plan/mod.rs
+++ b/fleet-simulator/src/plan/mod.rs
@@ -12,62 +12,62 @@
 use rand::{Rng as _, SeedableRng as _};
 
 /// When the first fault may strike.
-pub(crate) const FAULTS_MS: u64 = 15_000;
+pub(crate) const FIRST_FAULT_MS: u64 = 15_000;
 
 /// The faults of a run, each with its moment in milliseconds.
 pub(crate) struct Plan {
     /// All of them.
     pub(crate) faults: Vec<(u64, Fault)>,
     /// When the last one is closed.
-    pub(crate) closed_ms: u64,
+    pub(crate) end_ms: u64,
 }
 
 /// A plan being drawn up.
-struct Draft<'a> {
+struct PlanBuilder<'a> {
     deployment: &'a Deployment,
     rng: rand::rngs::StdRng,
     faults: Vec<(u64, Fault)>,
     /// The moment that the plan has come to.
-    at: u64,
+    at_ms: u64,
 }
 
 /// Plans a scenario's faults from the seed.
 pub(crate) fn plan(deployment: &Deployment, scenario: Scenario, seed: u64) -> Plan {
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed ^ 0x0007_0a5a_0ac7);
-    let at = FAULTS_MS + rng.random_range(0..1_000);
-    let mut draft = Draft { deployment, rng, faults: Vec::new(), at };
+    let at_ms = FIRST_FAULT_MS + rng.random_range(0..1_000);
+    let mut builder = PlanBuilder { deployment, rng, faults: Vec::new(), at_ms };
     match scenario {
         Scenario::Calm => {}
-        Scenario::Crowds => draft.crowds(),
-        Scenario::Ceiling => draft.ceiling(),
-        Scenario::Engines => draft.engines(),
-        Scenario::Kills => draft.kills(),
-        Scenario::Freezes => draft.freezes(),
-        Scenario::Power => draft.power(),
-        Scenario::Blackout => draft.blackout(),
-        Scenario::SlowDisks => draft.slow_disks(),
-        Scenario::FullDisks => draft.full_disks(),
-        Scenario::Cuts => draft.cuts(),
-        Scenario::Replaced => draft.replaced(),
-        Scenario::Seeds => draft.seeds(),
-        Scenario::Counter => draft.counter(),
-        Scenario::Operators => draft.operators(),
-        Scenario::Drains => draft.drains(),
-        Scenario::Zones => draft.zones(),
-        Scenario::Rolling => draft.rolling(),
-        Scenario::Untidy => draft.untidy(),
-        Scenario::Controls => draft.controls(),
-        Scenario::Herd => draft.herd(),
-        Scenario::Chaos => draft.chaos(),
-        Scenario::CutOffControl => draft.cut_off_control(),
-        Scenario::Races => draft.races(),
-        Scenario::SecondLoss => draft.second_loss(),
-        Scenario::LongAbsent => draft.long_absent(),
-        Scenario::CoreTroubles => draft.core_troubles(),
-        Scenario::Wipes => draft.wipes(),
-        Scenario::Halves => draft.halves(),
+        Scenario::Crowds => builder.crowds(),
+        Scenario::Ceiling => builder.ceiling(),
+        Scenario::Engines => builder.engines(),
+        Scenario::Kills => builder.kills(),
+        Scenario::Freezes => builder.freezes(),
+        Scenario::Power => builder.power(),
+        Scenario::Blackout => builder.blackout(),
+        Scenario::SlowDisks => builder.slow_disks(),
+        Scenario::FullDisks => builder.full_disks(),
+        Scenario::Cuts => builder.cuts(),
+        Scenario::Replaced => builder.replaced(),
+        Scenario::Seeds => builder.seeds(),
+        Scenario::Counter => builder.counter(),
+        Scenario::Operators => builder.operators(),
+        Scenario::Drains => builder.drains(),
+        Scenario::Zones => builder.zones(),
+        Scenario::Rolling => builder.rolling(),
+        Scenario::Untidy => builder.untidy(),
+        Scenario::Controls => builder.controls(),
+        Scenario::Herd => builder.herd(),
+        Scenario::Chaos => builder.chaos(),
+        Scenario::CutOffControl => builder.cut_off_control(),
+        Scenario::Races => builder.races(),
+        Scenario::SecondLoss => builder.second_loss(),
+        Scenario::LongAbsent => builder.long_absent(),
+        Scenario::CoreTroubles => builder.core_troubles(),
+        Scenario::Wipes => builder.wipes(),
+        Scenario::Halves => builder.halves(),
     }
-    draft.finish()
+    builder.finish()
 }
 
 fn named(kind: &str, number: u64) -> Whom {
@@ -75,26 +75,26 @@
 }
 
 /// All processes of a kind.
-fn numbered(kind: &'static str, most: u64) -> impl Iterator<Item = Whom> {
-    (1..=most).map(move |number| named(kind, number))
+fn all_of_kind(kind: &'static str, count: u64) -> impl Iterator<Item = Whom> {
+    (1..=count).map(move |number| named(kind, number))
 }
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     fn finish(self) -> Plan {
         let ends = self.faults.iter().map(|(at, fault)| match fault {
             Fault::Freeze(_, ms) => at + ms,
             _ => *at,
         });
-        Plan { closed_ms: ends.max().unwrap_or(FAULTS_MS), faults: self.faults }
+        Plan { end_ms: ends.max().unwrap_or(FIRST_FAULT_MS), faults: self.faults }
     }
 
     /// Adds a fault so long after the moment that the plan has come to.
     fn add(&mut self, after_ms: u64, fault: Fault) {
-        self.faults.push((self.at + after_ms, fault));
+        self.faults.push((self.at_ms + after_ms, fault));
     }
 
     /// Whether two machines may be lost at once.
-    fn two(&self) -> bool {
+    fn may_lose_two(&self) -> bool {
         self.deployment.lost_machines > 1
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Any machine, drawn by chance.
-    fn any(&mut self) -> Whom {
+    fn any_process(&mut self) -> Whom {
         let (storages, relays) = (self.count_storages(), self.count_relays());
         match self.rng.random_range(0..8) {
             0 => Whom::ControlPrimary,
@@ -125,7 +125,7 @@
     }
 
     /// A machine with a disk, drawn by chance.
-    fn with_disk(&mut self) -> Whom {
+    fn machine_with_disk(&mut self) -> Whom {
         match self.rng.random_range(0..5) {
             0 => Whom::ControlPrimary,
             1 => Whom::OtherControl,
@@ -136,7 +136,7 @@
 
     /// Machines with a disk that are struck at the same instant, as many as may be lost: those
     /// whose loss together hurts most.
-    fn together(&mut self) -> [Whom; 2] {
+    fn worst_pair(&mut self) -> [Whom; 2] {
         let shard = self.rng.random_range(0..5);
         match self.rng.random_range(0..6) {
             0 => [Whom::ControlPrimary, Whom::OtherControl],
--- a/fleet-simulator/src/plan/network.rs
+++ b/fleet-simulator/src/plan/network.rs
@@ -1,10 +1,10 @@
 //! Cuts, and frames that come late.
 
-use super::{Draft, FAULTS_MS};
+use super::{FIRST_FAULT_MS, PlanBuilder};
 use crate::faults::{Direction, Fault};
 use rand::Rng as _;
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     pub(super) fn cuts(&mut self) {
         for n in 0..5 {
             let direction = [Direction::Both, Direction::Outward, Direction::Inward]
@@ -12,12 +12,12 @@
             let fault = match n {
                 3 => Fault::SplitCoreFromStorage,
                 4 => Fault::CutZone(self.rng.random_range(0..self.deployment.zones)),
-                _ => Fault::CutOff(self.any(), direction),
+                _ => Fault::CutOff(self.any_process(), direction),
             };
-            let flaps = self.rng.random_range(1..4);
-            let other = (self.two() && n < 3).then(|| self.together());
-            for _ in 0..flaps {
-                match &other {
+            let flap_count = self.rng.random_range(1..4);
+            let pair = (self.may_lose_two() && n < 3).then(|| self.worst_pair());
+            for _ in 0..flap_count {
+                match &pair {
                     Some(both) => {
                         for whom in both {
                             self.add(0, Fault::CutOff(whom.clone(), direction));
@@ -25,13 +25,13 @@
                     }
                     None => self.add(0, fault.clone()),
                 }
-                self.at += self.rng.random_range(500..5_000);
+                self.at_ms += self.rng.random_range(500..5_000);
                 self.add(0, Fault::Mend);
-                self.at += self.rng.random_range(300..2_000);
+                self.at_ms += self.rng.random_range(300..2_000);
             }
-            self.at += 4_000;
+            self.at_ms += 4_000;
         }
-        self.faults.push((FAULTS_MS, Fault::Lossy(100)));
+        self.faults.push((FIRST_FAULT_MS, Fault::Lossy(100)));
         self.add(0, Fault::Lossy(0));
     }
 
@@ -40,14 +40,14 @@
         for _ in 0..4 {
             let share = self.rng.random_range(50..300);
             self.add(0, Fault::Untidy(share));
-            self.at += 4_000;
+            self.at_ms += 4_000;
             // Late frames of the time before go on arriving while others take over.
             self.add(0, Fault::Untidy(0));
-            let whom = self.any();
+            let whom = self.any_process();
             self.add(0, Fault::Kill(whom));
-            self.at += self.rng.random_range(1_000..4_000);
+            self.at_ms += self.rng.random_range(1_000..4_000);
             self.add(0, Fault::StartAll);
-            self.at += 6_000;
+            self.at_ms += 6_000;
         }
     }
 }
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -2,12 +2,12 @@
 
 use crate::Scenario;
 use crate::check::{Bounds, Figures, Violation};
-use crate::plan::FAULTS_MS;
+use crate::plan::FIRST_FAULT_MS;
 use crate::workload::{Activity, WorkloadSettings};
 use crate::world::{Event, InjectedBug, NodeIndex, NodeKind, World};
 
 /// When load begins.
-const LOAD_MS: u64 = 7_000;
+const LOAD_START_MS: u64 = 7_000;
 
 /// What came of a run.
 #[derive(Debug)]
@@ -111,12 +111,12 @@
     scenario: Scenario,
     seed: u64,
     injected_bug: Option<InjectedBug>,
-    habits: WorkloadSettings,
+    settings: WorkloadSettings,
 ) -> Report {
     let violated_before = topazyard_wire::invariants::thread_counts();
     let mut world = build(deployment, seed);
     world.injected_bug = injected_bug;
-    world.workload.settings = WorkloadSettings { is_active: false, ..habits };
+    world.workload.settings = WorkloadSettings { is_active: false, ..settings };
     if world.has_orders() {
         world.first_order();
     } else {
@@ -125,27 +125,27 @@
     world.list_engines();
     let usual = [
         Activity::NextPrompt,
-        Activity::AskReady,
+        Activity::CheckReady,
         Activity::NextBatch,
-        Activity::NextSpec,
-        Activity::ReadSpec,
+        Activity::NextRollout,
+        Activity::ReadConfiguration,
     ];
     for activity in usual {
         world.schedule_at(0, Event::Activity(activity));
     }
     if matches!(scenario, Scenario::Crowds | Scenario::Ceiling) {
-        world.schedule_at(0, Event::Activity(Activity::WeighWaiting));
+        world.schedule_at(0, Event::Activity(Activity::MeasureWaiting));
     }
-    world.run_until(LOAD_MS * 1_000);
+    world.run_until(LOAD_START_MS * 1_000);
     world.workload.settings.is_active = true;
     let plan = crate::plan::plan(deployment, scenario, seed);
     for (at_ms, fault) in &plan.faults {
         world.schedule_fault(*at_ms, fault.clone());
     }
-    let closed = plan.closed_ms * 1_000;
-    world.run_until(closed + 18_000_000);
+    let faults_end = plan.end_ms * 1_000;
+    world.run_until(faults_end + 18_000_000);
     world.workload.settings.is_active = false;
-    world.run_until(closed + 30_000_000);
+    world.run_until(faults_end + 30_000_000);
     // Until nothing runs any more and every batch is done, within reason.
     for _ in 0..30 {
         if world.is_idle() {
@@ -157,14 +157,14 @@
     world.history.holds_at_rest = world.counter_holds();
     let bounds = Bounds {
         limit_tokens: world.workload.settings.limit_tokens,
-        before: ((LOAD_MS + 2_000) * 1_000, FAULTS_MS * 1_000),
-        closed: Some(closed).filter(|_| !plan.faults.is_empty()),
+        before: ((LOAD_START_MS + 2_000) * 1_000, FIRST_FAULT_MS * 1_000),
+        closed: Some(faults_end).filter(|_| !plan.faults.is_empty()),
         lost_machines: deployment.lost_machines,
         drained: scenario == Scenario::Drains,
     };
     let (mut violations, figures) = crate::check::check(&world.history, &bounds);
     violations.extend(crate::check::invariants::violated_since(&violated_before));
-    let told = format!("{:?}", world.history);
+    let history_text = format!("{:?}", world.history);
     Report {
         violations,
         figures,
@@ -175,7 +175,7 @@
             .map(|fault| format!("{:>6} ms {}", fault.at / 1_000, fault.text))
             .collect(),
         notes: world.notes.clone(),
-        digest: topazyard_types::Digest::of(&[told.as_bytes()]),
+        digest: topazyard_types::Digest::of(&[history_text.as_bytes()]),
         sent: world.sent.clone(),
         simulated_ms: world.time / 1_000,
     }
--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -9,7 +9,7 @@
 
 /// What a client asked of its batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Asked {
+pub enum BatchRequest {
     /// Take it.
     Submit,
     /// How does it stand?
@@ -26,38 +26,39 @@
 #[derive(Debug)]
 pub(super) struct BatchClient {
     serial: u64,
-    asked: Option<Us>,
+    requested_at: Option<Us>,
     /// The list being read, page by page.
     page: Vec<ListedReturn>,
-    lists_whole: u32,
-    ends_at: Option<Us>,
-    recalls: Option<u32>,
-    turn: u64,
+    complete_lists: u32,
+    end_at: Option<Us>,
+    recall: Option<u32>,
+    polls: u64,
 }
 
 /// After how many whole lists with all returns a client is content.
-const CONTENT: u32 = 3;
+const REQUIRED_COMPLETE_LISTS: u32 = 3;
 /// For how long after its acceptance a batch is read at the least.
-const READS_FOR_US: Us = 10_000_000;
+const MIN_READ_PERIOD_US: Us = 10_000_000;
 
 impl World {
     pub(super) fn next_batch(&mut self) {
-        let every = self.workload.settings.batch_interval_s;
-        self.schedule_after(every.max(1) * 1_000_000, Event::Activity(Activity::NextBatch));
-        if every > 0 && self.workload.settings.is_active {
-            self.hand_in_batch();
+        let interval_s = self.workload.settings.batch_interval_s;
+        self.schedule_after(interval_s.max(1) * 1_000_000, Event::Activity(Activity::NextBatch));
+        if interval_s > 0 && self.workload.settings.is_active {
+            self.submit_batch();
         }
     }
 
     /// Somebody hands in a batch now.
-    pub fn hand_in_batch(&mut self) {
-        let habits = self.workload.settings.clone();
+    pub fn submit_batch(&mut self) {
+        let settings = self.workload.settings.clone();
         let batch = self.history.batches.len();
         let first_work = self.history.works.len();
         let mut cost = 0;
-        for _ in 0..habits.items_per_batch {
+        for _ in 0..settings.items_per_batch {
             let repeatable = self.draw(0..2) == 0;
-            let work = self.new_work("m", habits.words, habits.new_tokens, repeatable, Some(batch));
+            let work =
+                self.new_work("m", settings.words, settings.new_tokens, repeatable, Some(batch));
             cost += self.history.works[work].cost;
         }
         // The older word stays: the id follows from the key, and a seed's history from the id.
@@ -65,7 +66,7 @@
         self.history.batches.push(BatchSeen {
             id: BatchId::from_key(&key),
             first_work,
-            items: habits.items_per_batch as u32,
+            items: settings.items_per_batch as u32,
             cost,
             sent: self.time,
             accepted: None,
@@ -74,64 +75,66 @@
             ended: None,
             recalls: Vec::new(),
         });
-        let ends = self.draw(0..6) == 0;
-        let ends_at = ends.then(|| self.time + 1_000_000 + 500_000 * (first_work as u64 % 7));
-        let recalls =
-            (self.draw(0..5) == 0).then(|| self.draw(0..habits.items_per_batch.max(1)) as u32);
+        let will_end = self.draw(0..6) == 0;
+        let end_at = will_end.then(|| self.time + 1_000_000 + 500_000 * (first_work as u64 % 7));
+        let recall =
+            (self.draw(0..5) == 0).then(|| self.draw(0..settings.items_per_batch.max(1)) as u32);
         self.workload.batches.push(BatchClient {
             serial: 0,
-            asked: None,
+            requested_at: None,
             page: Vec::new(),
-            lists_whole: 0,
-            ends_at,
-            recalls,
-            turn: 0,
+            complete_lists: 0,
+            end_at,
+            recall,
+            polls: 0,
         });
-        self.schedule_after(0, Event::Activity(Activity::Batch(batch)));
+        self.schedule_after(0, Event::Activity(Activity::ContinueBatch(batch)));
     }
 
     /// Whether every accepted batch was listed whole.
     pub(crate) fn batches_are_done(&self) -> bool {
         let all = self.history.batches.iter().zip(&self.workload.batches);
-        all.into_iter()
-            .all(|(seen, client)| seen.accepted.is_none() || client.lists_whole >= CONTENT)
+        all.into_iter().all(|(seen, client)| {
+            seen.accepted.is_none() || client.complete_lists >= REQUIRED_COMPLETE_LISTS
+        })
     }
 
-    fn next_asked(&mut self, batch: usize) -> Asked {
+    fn next_request(&mut self, batch: usize) -> BatchRequest {
         let time = self.time;
         let seen = &self.history.batches[batch];
         let client = &mut self.workload.batches[batch];
         if seen.accepted.is_none() {
-            return Asked::Submit;
+            return BatchRequest::Submit;
         }
-        if let Some(item) = client.recalls.take() {
-            return Asked::Recall(item);
+        if let Some(item) = client.recall.take() {
+            return BatchRequest::Recall(item);
         }
-        if seen.ended.is_none() && client.ends_at.is_some_and(|at| time >= at) {
-            return Asked::End;
+        if seen.ended.is_none() && client.end_at.is_some_and(|at| time >= at) {
+            return BatchRequest::End;
         }
-        client.turn += 1;
-        if client.turn.is_multiple_of(4) { Asked::Read } else { Asked::List }
+        client.polls += 1;
+        if client.polls.is_multiple_of(4) { BatchRequest::Read } else { BatchRequest::List }
     }
 
-    pub(super) fn look_after_batch(&mut self, batch: usize) {
+    pub(super) fn continue_batch(&mut self, batch: usize) {
         let accepted = self.history.batches[batch].accepted;
-        let reads_on = accepted.is_some_and(|at| self.time < at + READS_FOR_US);
-        if self.workload.batches[batch].lists_whole >= CONTENT && !reads_on {
+        let keeps_reading = accepted.is_some_and(|at| self.time < at + MIN_READ_PERIOD_US);
+        if self.workload.batches[batch].complete_lists >= REQUIRED_COMPLETE_LISTS && !keeps_reading
+        {
             return;
         }
-        self.schedule_after(400_000, Event::Activity(Activity::Batch(batch)));
-        let asked = self.workload.batches[batch].asked;
-        if asked.is_some_and(|asked| self.time - asked < 6_000_000) {
+        self.schedule_after(400_000, Event::Activity(Activity::ContinueBatch(batch)));
+        let requested_at = self.workload.batches[batch].requested_at;
+        if requested_at.is_some_and(|at| self.time - at < 6_000_000) {
             return;
         }
         let Some(relay) = self.draw_relay() else { return };
-        let asked = self.next_asked(batch);
+        let batch_request = self.next_request(batch);
         let seen = &self.history.batches[batch];
         let id = seen.id;
-        let limit = DurationMs(5_000);
-        let request = match &asked {
-            Asked::Submit => {
+        let timeout = DurationMs(5_000);
+        let request = match &batch_request {
+            BatchRequest::Submit => {
                 let works = seen.first_work..seen.first_work + seen.items as usize;
                 let items = self.history.works[works].iter().map(|work| Item {
                     model: work.model.as_str().into(),
@@ -142,43 +145,43 @@
                 });
                 RelayCall::SubmitBatch(id, items.collect())
             }
-            Asked::Read => RelayCall::Batch(BatchCall::Read(id), limit),
-            Asked::List => {
+            BatchRequest::Read => RelayCall::Batch(BatchCall::Read(id), timeout),
+            BatchRequest::List => {
                 let after = self.workload.batches[batch].page.len() as u32;
-                RelayCall::Batch(BatchCall::ItemResults { batch: id, after }, limit)
+                RelayCall::Batch(BatchCall::ItemResults { batch: id, after }, timeout)
             }
-            Asked::Recall(item) => {
-                RelayCall::Batch(BatchCall::Recall(id, ItemNumber(*item)), limit)
+            BatchRequest::Recall(item) => {
+                RelayCall::Batch(BatchCall::Recall(id, ItemNumber(*item)), timeout)
             }
-            Asked::End => RelayCall::Batch(BatchCall::End(id), limit),
+            BatchRequest::End => RelayCall::Batch(BatchCall::End(id), timeout),
         };
         let time = self.time;
-        if matches!(asked, Asked::Read | Asked::List) {
+        if matches!(batch_request, BatchRequest::Read | BatchRequest::List) {
             let relay = self.nodes[relay.0].name.clone();
             let read = ReadSeen { asked: time, relay, told: None };
             self.history.batches[batch].reads.push(read);
         }
         let client = &mut self.workload.batches[batch];
         client.serial += 1;
-        client.asked = Some(time);
-        let activity = Activity::BatchCall(batch, client.serial, asked);
+        client.requested_at = Some(time);
+        let activity = Activity::BatchCallDone(batch, client.serial, batch_request);
         self.call_relay(relay, request, Caller::Activity(activity));
     }
 
-    pub(super) fn batch_told(
+    pub(super) fn batch_response(
         &mut self,
         batch: usize,
         serial: u64,
-        asked: &Asked,
+        batch_request: &BatchRequest,
         value: RelayResponse,
     ) {
         if self.workload.batches[batch].serial != serial {
             return;
         }
-        self.workload.batches[batch].asked = None;
+        self.workload.batches[batch].requested_at = None;
         let time = self.time;
-        if matches!(asked, Asked::Read | Asked::List) {
-            let told = match &value {
+        if matches!(batch_request, BatchRequest::Read | BatchRequest::List) {
+            let outcome = match &value {
                 RelayResponse::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
                 RelayResponse::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
                     ReadTold::Given
@@ -186,29 +189,36 @@
                 _ => ReadTold::Refused,
             };
             if let Some(read) = self.history.batches[batch].reads.last_mut() {
-                read.told = Some((time, told));
+                read.told = Some((time, outcome));
             }
         }
         let RelayResponse::Batch(value) = value else { return };
         let shard = self.history.batches[batch].id.shard;
-        self.note_batch_told(batch, asked, value);
+        self.record_batch_response(batch, batch_request, value);
         self.count_batch_response(shard);
     }
 
-    fn note_batch_told(&mut self, batch: usize, asked: &Asked, value: BatchResponse) {
+    fn record_batch_response(
+        &mut self,
+        batch: usize,
+        batch_request: &BatchRequest,
+        value: BatchResponse,
+    ) {
         let time = self.time;
-        match (asked, value) {
-            (Asked::Submit, BatchResponse::Accepted(_)) => {
+        match (batch_request, value) {
+            (BatchRequest::Submit, BatchResponse::Accepted(_)) => {
                 self.history.batches[batch].accepted.get_or_insert(time);
             }
-            (Asked::List, BatchResponse::ItemResults(returns)) => self.listed(batch, &returns),
-            (Asked::Recall(item), BatchResponse::Recalled) => {
+            (BatchRequest::List, BatchResponse::ItemResults(results)) => {
+                self.record_list_page(batch, &results)
+            }
+            (BatchRequest::Recall(item), BatchResponse::Recalled) => {
                 self.history.batches[batch].recalls.push((time, *item, true));
             }
-            (Asked::Recall(item), BatchResponse::TooLate { .. }) => {
+            (BatchRequest::Recall(item), BatchResponse::TooLate { .. }) => {
                 self.history.batches[batch].recalls.push((time, *item, false));
             }
-            (Asked::End, BatchResponse::Status(_)) => {
+            (BatchRequest::End, BatchResponse::Status(_)) => {
                 self.history.batches[batch].ended.get_or_insert(time);
             }
             _ => {}
@@ -216,12 +226,16 @@
     }
 
     /// A page of the list: an empty one ends the list, and the next is read from the start.
-    fn listed(&mut self, batch: usize, returns: &[topazyard_wire::message::batch::ItemResult]) {
-        let changes =
+    fn record_list_page(
+        &mut self,
+        batch: usize,
+        results: &[topazyard_wire::message::batch::ItemResult],
+    ) {
+        let shifts_items =
             self.injected_bug == Some(InjectedBug::ChangeListedResult) && self.draw(0..30) == 0;
         let client = &mut self.workload.batches[batch];
-        for item_return in returns {
-            let (text, body) = match &item_return.end {
+        for result in results {
+            let (text, body) = match &result.end {
                 ItemEnd::Complete { status, body } => {
                     (format!("whole {status}"), Some(body.clone()))
                 }
@@ -230,13 +244,13 @@
                 ItemEnd::Ended => ("ended".to_owned(), None),
                 ItemEnd::Abandoned => ("abandoned".to_owned(), None),
             };
-            let item = item_return.item.0 + u32::from(changes);
-            client.page.push(ListedReturn { position: item_return.position, item, text, body });
+            let item = result.item.0 + u32::from(shifts_items);
+            client.page.push(ListedReturn { position: result.position, item, text, body });
         }
-        if returns.is_empty() {
+        if results.is_empty() {
             let list = std::mem::take(&mut client.page);
             if list.len() as u32 >= self.history.batches[batch].items {
-                client.lists_whole += 1;
+                client.complete_lists += 1;
             }
             let time = self.time;
             self.history.batches[batch].lists.push((time, list));
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -18,41 +18,41 @@
     /// A prompt arrives at its relay.
     PromptArrives(usize, NodeIndex),
     /// Ask every relay whether it is ready, and so on.
-    AskReady,
+    CheckReady,
     /// A relay was asked whether it is ready.
-    Ready(NodeIndex),
+    CheckReadyDone(NodeIndex),
     /// Hand in the next batch, and so on.
     NextBatch,
     /// Look after a batch.
-    Batch(usize),
+    ContinueBatch(usize),
     /// A batch's call, by its serial number.
-    BatchCall(usize, u64, batches::Asked),
+    BatchCallDone(usize, u64, batches::BatchRequest),
     /// Look after a spec.
-    Spec(usize),
+    ContinueRollout(usize),
     /// A spec's step, by its serial number.
-    SpecCall(usize, u64, rollouts::Step),
+    RolloutCallDone(usize, u64, rollouts::Step),
     /// Begin the next spec, and so on.
-    NextSpec,
+    NextRollout,
     /// Send the newest engine list until it is taken.
     PutEngines,
     /// The engine list was sent.
-    EnginesSent(usize),
+    PutEnginesDone(usize),
     /// Ask for a storage node to be retired, until that is acknowledged.
     Retire(NodeIndex),
     /// That was answered.
-    RetireAnswered(NodeIndex),
+    RetireDone(NodeIndex),
     /// Ask whether a storage node is retired, until it is.
-    AskRetired(NodeIndex),
+    CheckRetired(NodeIndex),
     /// That was answered.
-    RetiredAnswered(NodeIndex),
+    CheckRetiredDone(NodeIndex),
     /// Weigh the waiting batch work, and so on.
-    WeighWaiting,
+    MeasureWaiting,
     /// Something about numbered configurations.
-    Configuration(orders::OrderActivity),
+    Order(orders::OrderActivity),
     /// Read the spec in force, and so on.
-    ReadSpec,
+    ReadConfiguration,
     /// The spec in force was asked for.
-    SpecAsked(crate::history::Us),
+    ReadConfigurationDone(crate::history::Us),
 }
 
 /// How much people do.
@@ -117,7 +117,7 @@
     works: std::collections::BTreeMap<bytes::Bytes, usize>,
     ready: std::collections::BTreeSet<NodeIndex>,
     batches: Vec<batches::BatchClient>,
-    specs: Vec<rollouts::SpecOperator>,
+    rollouts: Vec<rollouts::RolloutOperator>,
     orders: orders::Orders,
     /// Storage nodes whose retirement was acknowledged.
     retiring: std::collections::BTreeSet<NodeIndex>,
@@ -173,8 +173,8 @@
         let nodes: Vec<NodeIndex> = (0..self.nodes.len())
             .filter(|at| {
                 let node = &self.nodes[*at];
-                let awake = node.frozen_until.is_none_or(|until| until <= time);
-                node.kind == kind && node.is_running() && awake
+                let is_awake = node.frozen_until.is_none_or(|until| until <= time);
+                node.kind == kind && node.is_running() && is_awake
             })
             .map(NodeIndex)
             .collect();
@@ -199,55 +199,64 @@
         match activity {
             Activity::NextPrompt => self.next_prompt(),
             Activity::PromptArrives(prompt, relay) => self.prompt_arrives(prompt, relay),
-            Activity::AskReady => self.ask_ready(),
+            Activity::CheckReady => self.check_ready(),
             Activity::NextBatch => self.next_batch(),
-            Activity::Batch(batch) => self.look_after_batch(batch),
-            Activity::NextSpec => self.next_spec(),
-            Activity::Spec(spec) => self.look_after_spec(spec),
+            Activity::ContinueBatch(batch) => self.continue_batch(batch),
+            Activity::NextRollout => self.next_rollout(),
+            Activity::ContinueRollout(rollout) => self.continue_rollout(rollout),
             Activity::PutEngines => self.put_engines(),
-            Activity::Configuration(activity) => self.order_doing(activity),
-            Activity::ReadSpec => self.read_spec(),
-            Activity::WeighWaiting => {
-                self.schedule_after(250_000, crate::world::Event::Activity(Activity::WeighWaiting));
+            Activity::Order(activity) => self.perform_order(activity),
+            Activity::ReadConfiguration => self.read_configuration(),
+            Activity::MeasureWaiting => {
+                self.schedule_after(
+                    250_000,
+                    crate::world::Event::Activity(Activity::MeasureWaiting),
+                );
                 let waiting = self.waiting_work();
                 self.history.waiting.push((self.time, waiting));
             }
             Activity::Retire(node) => self.retire(node),
-            Activity::AskRetired(node) => self.ask_retired(node),
-            Activity::Ready(_)
-            | Activity::RetireAnswered(_)
-            | Activity::RetiredAnswered(_)
-            | Activity::BatchCall(..)
-            | Activity::SpecCall(..)
-            | Activity::EnginesSent(_)
-            | Activity::SpecAsked(_) => {}
+            Activity::CheckRetired(node) => self.check_retired(node),
+            Activity::CheckReadyDone(_)
+            | Activity::RetireDone(_)
+            | Activity::CheckRetiredDone(_)
+            | Activity::BatchCallDone(..)
+            | Activity::RolloutCallDone(..)
+            | Activity::PutEnginesDone(_)
+            | Activity::ReadConfigurationDone(_) => {}
         }
     }
 
     /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, activity: Activity, value: topazyard_relay::RelayResponse) {
+    pub(crate) fn relay_response(
+        &mut self,
+        activity: Activity,
+        value: topazyard_relay::RelayResponse,
+    ) {
         match activity {
-            Activity::Ready(relay) => self.ready_told(relay, &value),
-            Activity::BatchCall(batch, serial, asked) => {
-                self.batch_told(batch, serial, &asked, value);
+            Activity::CheckReadyDone(relay) => self.ready_response(relay, &value),
+            Activity::BatchCallDone(batch, serial, request) => {
+                self.batch_response(batch, serial, &request, value);
             }
             _ => {}
         }
     }
 
     /// A control node returned a call that somebody outside made.
-    pub(crate) fn control_told(
+    pub(crate) fn control_response(
         &mut self,
         activity: Activity,
         outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
         match activity {
-            Activity::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
-            Activity::RetireAnswered(node) => self.retire_told(node, &outcome),
-            Activity::RetiredAnswered(node) => self.retired_told(node, &outcome),
-            Activity::EnginesSent(list) => self.engines_told(list, &outcome),
-            Activity::SpecAsked(asked) => self.spec_read(asked, &outcome),
-            Activity::Configuration(activity) => self.order_told(activity, outcome),
+            Activity::RolloutCallDone(rollout, serial, step) => {
+                self.rollout_response(rollout, serial, step, &outcome)
+            }
+            Activity::RetireDone(node) => self.retire_response(node, &outcome),
+            Activity::CheckRetiredDone(node) => self.retirement_response(node, &outcome),
+            Activity::PutEnginesDone(list) => self.put_engines_response(list, &outcome),
+            Activity::ReadConfigurationDone(asked) => self.configuration_read(asked, &outcome),
+            Activity::Order(activity) => self.order_response(activity, outcome),
             _ => {}
         }
     }
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -7,7 +7,7 @@
 use super::Activity;
 use crate::history::{OrderAnswer, OrderSeen, ReadBack, ReadBackSeen, Us};
 use crate::world::{Caller, Event, InjectedBug, NodeIndex, NodeKind, World};
-use contents::Fault;
+use contents::Defect;
 pub(crate) use contents::fingerprint;
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest, Query};
@@ -33,13 +33,13 @@
 
 impl OrderActivity {
     pub(super) fn event(self) -> Event {
-        Event::Activity(Activity::Configuration(self))
+        Event::Activity(Activity::Order(self))
     }
 }
 
 /// How an order stands with its operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum OrderStatus {
     /// It is sent until its answer is clear.
     Open,
     /// Its answer was clear.
@@ -49,37 +49,37 @@
 /// The orders of all operators.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    standings: Vec<Standing>,
+    statuses: Vec<OrderStatus>,
     /// The newest number that an operator saw acknowledged or read back.
     newest: u64,
 }
 
 /// How often what is in force is read back.
-const READ_EVERY_US: Us = 250_000;
+const READ_BACK_INTERVAL_US: Us = 250_000;
 /// After how long an answer comes no more: the node's own front answers by then that it knows
 /// nothing.
-const ANSWER_WITHIN_US: Us = 900_000;
+const RESPONSE_TIMEOUT_US: Us = 900_000;
 /// How far orders of the past reach that are sent again.
-const SENT_AGAIN_OF: u64 = 3;
+const RESEND_OLD_ONE_IN: u64 = 3;
 
 impl World {
     /// The first configuration, and whatever follows it.
     pub fn first_order(&mut self) {
         let content = self.new_content(None);
-        self.begin_order(1, 0, content, 0);
+        self.start_order(1, 0, content, 0);
         self.schedule_after(0, OrderActivity::Begin.event());
-        self.schedule_after(READ_EVERY_US, OrderActivity::Read.event());
+        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::Read.event());
     }
 
-    pub(super) fn order_doing(&mut self, activity: OrderActivity) {
+    pub(super) fn perform_order(&mut self, activity: OrderActivity) {
         match activity {
-            OrderActivity::Begin => self.begin_orders(),
+            OrderActivity::Begin => self.start_next_orders(),
             OrderActivity::Send(order) => self.send_order(order),
             OrderActivity::Arrives(order, attempt, node) => {
                 self.order_arrives(order, attempt, node)
             }
             OrderActivity::Answered(order, attempt) => {
-                self.order_answered(order, attempt, OrderAnswer::Unclear);
+                self.record_answer(order, attempt, OrderAnswer::Unclear);
             }
             OrderActivity::Read => self.read_back(),
             OrderActivity::ReadArrives(read, node) => self.read_arrives(read, node),
@@ -88,28 +88,28 @@
     }
 
     /// A control node answered an operator.
-    pub(super) fn order_told(&mut self, activity: OrderActivity, outcome: OperatorOutcome) {
-        let lost = self.workload.settings.lost_responses_percent;
+    pub(super) fn order_response(&mut self, activity: OrderActivity, outcome: OperatorOutcome) {
+        let lost_percent = self.workload.settings.lost_responses_percent;
         let loses_all = self.injected_bug == Some(InjectedBug::LoseResponses)
             && self.workload.orders.newest > 0;
-        if loses_all || (lost > 0 && self.draw(0..100) < lost) {
+        if loses_all || (lost_percent > 0 && self.draw(0..100) < lost_percent) {
             return;
         }
         match activity {
             OrderActivity::Answered(order, attempt) => {
                 let asked = self.history.orders[order].attempts[attempt].asked;
-                if self.time < asked + ANSWER_WITHIN_US {
-                    let answer = self.spoiled(attempt, answer_of(&outcome));
-                    self.order_answered(order, attempt, answer);
+                if self.time < asked + RESPONSE_TIMEOUT_US {
+                    let answer = self.altered_answer(attempt, answer_of(&outcome));
+                    self.record_answer(order, attempt, answer);
                 }
             }
-            OrderActivity::ReadAnswered(read) => self.read_told(read, outcome),
+            OrderActivity::ReadAnswered(read) => self.read_back_response(read, outcome),
             _ => {}
         }
     }
 
     /// An answer as the planted bug would have it.
-    fn spoiled(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
+    fn altered_answer(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
         use OrderAnswer::{Acknowledged, Refused};
         match (self.injected_bug, answer) {
             (Some(InjectedBug::AcknowledgeAll), Refused) => Acknowledged,
@@ -119,48 +119,49 @@
         }
     }
 
-    fn begin_orders(&mut self) {
-        let every = self.workload.settings.order_interval_ms.max(1) * 1_000;
-        let next = every / 2 + self.draw(0..every);
+    fn start_next_orders(&mut self) {
+        let interval_us = self.workload.settings.order_interval_ms.max(1) * 1_000;
+        let next = interval_us / 2 + self.draw(0..interval_us);
         self.schedule_after(next, OrderActivity::Begin.event());
-        let open = self.workload.orders.standings.iter().filter(|s| **s == Standing::Open).count();
-        let room = self.workload.settings.max_open_orders.saturating_sub(open);
+        let open =
+            self.workload.orders.statuses.iter().filter(|s| **s == OrderStatus::Open).count();
+        let free_slots = self.workload.settings.max_open_orders.saturating_sub(open);
         let base = self.workload.orders.newest;
-        if !self.workload.settings.is_active || base == 0 || room == 0 {
+        if !self.workload.settings.is_active || base == 0 || free_slots == 0 {
             return;
         }
         match self.draw(0..10) {
-            0 | 1 => self.order_on(base, None),
-            2 | 3 => self.order_in_part(base),
+            0 | 1 => self.start_order_on(base, None),
+            2 | 3 => self.start_patch_orders(base),
             4 | 5 => {
                 // Two operators under one number.
                 let number = self.next_number(base);
-                self.order_numbered(number, base, 0);
+                self.start_numbered_order(number, base, 0);
                 let after = self.draw(0..3_000);
-                self.order_numbered(number, base, after);
+                self.start_numbered_order(number, base, after);
             }
             6 => {
-                let many = self.draw(2..9).min(room as u64);
-                (0..many).for_each(|_| self.order_on(base, None));
+                let count = self.draw(2..9).min(free_slots as u64);
+                (0..count).for_each(|_| self.start_order_on(base, None));
             }
             7 => {
-                let fault = Fault::ALL[self.draw(0..Fault::ALL.len() as u64) as usize];
-                self.order_on(base, Some(fault));
+                let defect = Defect::ALL[self.draw(0..Defect::ALL.len() as u64) as usize];
+                self.start_order_on(base, Some(defect));
             }
-            8 => self.order_in_turn(base),
-            _ => self.send_again(),
+            8 => self.start_order_chain(base),
+            _ => self.resend_acknowledged(),
         }
     }
 
     /// An order that says only what it changes of the configuration that an operator knows under
     /// that number; a whole one where none does. Now and then two operators race with such orders.
-    fn order_in_part(&mut self, base: u64) {
-        let Some(before) = self.known_source(base) else { return self.order_on(base, None) };
+    fn start_patch_orders(&mut self, base: u64) {
+        let Some(before) = self.known_source(base) else { return self.start_order_on(base, None) };
         for _ in 0..=self.draw(0..2) {
             let number = self.next_number(base);
             let after = self.draw(0..3_000);
-            if let Some(content) = self.changed_content(&before) {
-                self.begin_order(number, base, content, after);
+            if let Some(content) = self.patched_content(&before) {
+                self.start_order(number, base, content, after);
             }
         }
     }
@@ -178,33 +179,33 @@
     }
 
     /// Two orders of which one builds on the other, which may still be under way.
-    fn order_in_turn(&mut self, base: u64) {
+    fn start_order_chain(&mut self, base: u64) {
         let number = self.next_number(base);
-        self.order_numbered(number, base, 0);
+        self.start_numbered_order(number, base, 0);
         let next = self.next_number(number);
         let after = self.draw(0..30_000);
-        self.order_numbered(next, number, after);
+        self.start_numbered_order(next, number, after);
     }
 
     fn next_number(&mut self, base: u64) -> u64 {
         base + self.draw(1..9)
     }
 
-    fn order_on(&mut self, base: u64, fault: Option<Fault>) {
-        let number = match fault {
-            Some(Fault::NumberNotAbove) => base - self.draw(0..base),
+    fn start_order_on(&mut self, base: u64, defect: Option<Defect>) {
+        let number = match defect {
+            Some(Defect::NumberNotAbove) => base - self.draw(0..base),
             _ => self.next_number(base),
         };
-        let content = self.new_content(fault);
-        self.begin_order(number, base, content, 0);
+        let content = self.new_content(defect);
+        self.start_order(number, base, content, 0);
     }
 
-    fn order_numbered(&mut self, number: u64, base: u64, after: Us) {
+    fn start_numbered_order(&mut self, number: u64, base: u64, after: Us) {
         let content = self.new_content(None);
-        self.begin_order(number, base, content, after);
+        self.start_order(number, base, content, after);
     }
 
-    fn begin_order(&mut self, number: u64, base: u64, content: contents::Content, after: Us) {
+    fn start_order(&mut self, number: u64, base: u64, content: contents::Content, after: Us) {
         let order = self.history.orders.len();
         self.history.orders.push(OrderSeen {
             number,
@@ -214,29 +215,29 @@
             patch: content.patch,
             attempts: Vec::new(),
         });
-        self.workload.orders.standings.push(Standing::Open);
+        self.workload.orders.statuses.push(OrderStatus::Open);
         self.schedule_after(after, OrderActivity::Send(order).event());
     }
 
     /// Sends an order again that was acknowledged, the newest or any before it.
-    fn send_again(&mut self) {
+    fn resend_acknowledged(&mut self) {
         let acknowledged: Vec<usize> = (0..self.history.orders.len())
             .filter(|order| {
-                let is_closed = self.workload.orders.standings[*order] == Standing::Closed;
+                let is_closed = self.workload.orders.statuses[*order] == OrderStatus::Closed;
                 let seen = &self.history.orders[*order];
                 is_closed && seen.first(OrderAnswer::Acknowledged).is_some()
             })
             .collect();
         let Some(newest) = acknowledged.last().copied() else { return };
-        let order = match self.draw(0..SENT_AGAIN_OF) {
+        let order = match self.draw(0..RESEND_OLD_ONE_IN) {
             0 => acknowledged[self.draw(0..acknowledged.len() as u64) as usize],
             _ => newest,
         };
-        self.workload.orders.standings[order] = Standing::Open;
+        self.workload.orders.statuses[order] = OrderStatus::Open;
         self.schedule_after(0, OrderActivity::Send(order).event());
     }
 
-    fn order_answered(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
+    fn record_answer(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
         let time = self.time;
         let seen = &mut self.history.orders[order];
         let number = seen.number;
@@ -246,22 +247,22 @@
         }
         *known = Some((time, answer));
         match answer {
-            OrderAnswer::Unclear => self.send_later(order),
-            OrderAnswer::Refused => self.workload.orders.standings[order] = Standing::Closed,
+            OrderAnswer::Unclear => self.schedule_resend(order),
+            OrderAnswer::Refused => self.workload.orders.statuses[order] = OrderStatus::Closed,
             OrderAnswer::Acknowledged => {
-                self.workload.orders.standings[order] = Standing::Closed;
-                self.saw_newest(number);
+                self.workload.orders.statuses[order] = OrderStatus::Closed;
+                self.observe_number(number);
             }
         }
     }
 
-    fn saw_newest(&mut self, number: u64) {
+    fn observe_number(&mut self, number: u64) {
         let newest = &mut self.workload.orders.newest;
         *newest = number.max(*newest);
     }
 
     fn read_back(&mut self) {
-        self.schedule_after(READ_EVERY_US, OrderActivity::Read.event());
+        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::Read.event());
         let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
         let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
@@ -275,13 +276,12 @@
             return;
         }
         if self.nodes[node.0].is_running() {
-            let caller =
-                Caller::Activity(Activity::Configuration(OrderActivity::ReadAnswered(read)));
+            let caller = Caller::Activity(Activity::Order(OrderActivity::ReadAnswered(read)));
             self.call_control(node, OperatorRequest::Query(Query::ReadSource), caller);
         }
     }
 
-    fn read_told(&mut self, read: usize, outcome: OperatorOutcome) {
+    fn read_back_response(&mut self, read: usize, outcome: OperatorOutcome) {
         let time = self.time;
         let read_back = match outcome {
             OperatorOutcome::Done(source) => ReadBack::Given(source.into()),
@@ -297,7 +297,7 @@
         if let ReadBack::Given(source) = &read_back {
             let found = self.history.orders.iter().find(|order| order.source == *source);
             let number = found.map_or(0, |order| order.number);
-            self.saw_newest(number);
+            self.observe_number(number);
         }
         self.history.read_backs[read].told = Some((time, read_back));
     }
--- a/fleet-simulator/src/workload/orders/contents.rs
+++ b/fleet-simulator/src/workload/orders/contents.rs
@@ -6,25 +6,25 @@
 
 /// What is wrong with an invalid configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fault {
+pub(super) enum Defect {
     /// It can't be read whole.
-    Unreadable,
+    Truncated,
     /// A route names an unknown pool.
     UnknownPool,
     /// Two routes share host and prefix.
-    SamePlace,
+    DuplicateRoute,
     /// A route's weights add up to 0.
-    NoWeight,
+    ZeroWeight,
     /// Its number is not above the one that it builds on.
     NumberNotAbove,
 }
 
-impl Fault {
+impl Defect {
     pub(super) const ALL: [Self; 5] = [
-        Self::Unreadable,
+        Self::Truncated,
         Self::UnknownPool,
-        Self::SamePlace,
-        Self::NoWeight,
+        Self::DuplicateRoute,
+        Self::ZeroWeight,
         Self::NumberNotAbove,
     ];
 }
@@ -42,10 +42,10 @@
 
 impl Content {
     /// The content that a text comes to.
-    fn of(text: String, patch: Option<String>) -> Self {
-        let fingerprint = Configuration::read(&text).ok().map(|bundle| {
-            let routes = bundle.routes.clone();
-            fingerprint(&Configuration { routes: Vec::new(), ..bundle }, routes.iter())
+    fn from_text(text: String, patch: Option<String>) -> Self {
+        let fingerprint = Configuration::read(&text).ok().map(|configuration| {
+            let routes = configuration.routes.clone();
+            fingerprint(&Configuration { routes: Vec::new(), ..configuration }, routes.iter())
         });
         Self { source: text.into(), fingerprint, patch }
     }
@@ -56,7 +56,7 @@
 
 impl World {
     /// A content that no other order has: one route tells it apart.
-    pub(super) fn new_content(&mut self, fault: Option<Fault>) -> Content {
+    pub(super) fn new_content(&mut self, defect: Option<Defect>) -> Content {
         let order = self.history.orders.len();
         let mut routes = vec![route("only", &format!("/{order}/"), "main", 1, 1_000)];
         for number in 0..CHANGING_ROUTES {
@@ -66,31 +66,31 @@
                 routes.push(route(&format!("route-{number}"), "/", "main", 1, timeout_ms));
             }
         }
-        match fault {
-            Some(Fault::UnknownPool) => routes.push(route("lost", "/", "no such pool", 1, 500)),
-            Some(Fault::NoWeight) => routes.push(route("light", "/", "main", 0, 500)),
-            Some(Fault::SamePlace) => routes.push(route("only", "/again/", "main", 1, 500)),
-            Some(Fault::Unreadable | Fault::NumberNotAbove) | None => {}
+        match defect {
+            Some(Defect::UnknownPool) => routes.push(route("lost", "/", "no such pool", 1, 500)),
+            Some(Defect::ZeroWeight) => routes.push(route("light", "/", "main", 0, 500)),
+            Some(Defect::DuplicateRoute) => routes.push(route("only", "/again/", "main", 1, 500)),
+            Some(Defect::Truncated | Defect::NumberNotAbove) | None => {}
         }
-        let mut text = self.bundle_of("m-only", "main", &routes).to_string();
-        if fault == Some(Fault::Unreadable) {
+        let mut text = self.configuration_json("m-only", "main", &routes).to_string();
+        if defect == Some(Defect::Truncated) {
             text.truncate(text.len() / 2);
         }
-        Content::of(text, None)
+        Content::from_text(text, None)
     }
 
     /// A content that changes another in part: the route that tells it apart is replaced, and some
     /// of the others are added, replaced or removed. None where the other is no sound bundle.
-    pub(super) fn changed_content(&mut self, before: &[u8]) -> Option<Content> {
+    pub(super) fn patched_content(&mut self, before: &[u8]) -> Option<Content> {
         let order = self.history.orders.len();
-        let bundle = Configuration::read(std::str::from_utf8(before).ok()?).ok()?;
+        let configuration = Configuration::read(std::str::from_utf8(before).ok()?).ok()?;
         let mut upserted = vec![route("only", &format!("/{order}/"), "main", 1, 1_000)];
         let mut removed = Vec::new();
         for number in 0..CHANGING_ROUTES {
             let name = format!("route-{number}");
-            let is_there = bundle.routes.iter().any(|route| route.name.0 == name);
+            let is_present = configuration.routes.iter().any(|route| route.name.0 == name);
             match self.draw(0..4) {
-                0 if is_there => removed.push(name),
+                0 if is_present => removed.push(name),
                 0 | 1 => {}
                 _ => {
                     let timeout_ms = 500 + 250 * self.draw(0..4);
@@ -98,11 +98,11 @@
                 }
             }
         }
-        let lists = |items| std::collections::BTreeMap::from([("routes".to_owned(), items)]);
+        let route_lists = |items| std::collections::BTreeMap::from([("routes".to_owned(), items)]);
         let remove = std::collections::BTreeMap::from([("routes".to_owned(), removed)]);
-        let patch = Patch { upsert: lists(upserted), remove, ..Patch::default() };
+        let patch = Patch { upsert: route_lists(upserted), remove, ..Patch::default() };
         let after = patch.apply(&serde_json::from_slice(before).ok()?).ok()?;
-        Some(Content::of(after.to_string(), serde_json::to_string(&patch).ok()))
+        Some(Content::from_text(after.to_string(), serde_json::to_string(&patch).ok()))
     }
 }
 
@@ -122,10 +122,10 @@
 
 /// What tells a configuration apart: the bundle without its routes, and its routes in any order.
 pub(crate) fn fingerprint<'a>(
-    bundle: &Configuration,
+    configuration: &Configuration,
     routes: impl Iterator<Item = &'a topazyard_spec::Route>,
 ) -> Digest {
-    let rest = serde_json::to_vec(bundle).unwrap_or_default();
+    let rest = serde_json::to_vec(configuration).unwrap_or_default();
     let mut parts: Vec<Vec<u8>> =
         routes.map(|route| serde_json::to_vec(route).unwrap_or_default()).collect();
     parts.sort();
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -1,7 +1,7 @@
 //! How an order travels: to any node that the operator's list names, again after a failure or a
 //! second of silence, with a pause that grows.
 
-use super::{OrderActivity, Standing};
+use super::{OrderActivity, OrderStatus};
 use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
 use crate::workload::Activity;
 use crate::world::{Caller, InjectedBug, NodeIndex, NodeKind, World};
@@ -9,16 +9,16 @@
 use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
 /// After how long without an answer an operator goes on to another node.
-const SILENCE_US: Us = 1_000_000;
+const ATTEMPT_TIMEOUT_US: Us = 1_000_000;
 /// The pause before an order is sent again; it doubles with each sending.
-const PAUSE_US: Us = 50_000;
+const INITIAL_RETRY_DELAY_US: Us = 50_000;
 /// The longest pause.
-const LONGEST_PAUSE_US: Us = 800_000;
+const MAX_RETRY_DELAY_US: Us = 800_000;
 
 impl World {
     /// Sends an order to any control node on the list: ones that just went still stand there.
     pub(super) fn send_order(&mut self, order: usize) {
-        if self.workload.orders.standings[order] == Standing::Closed {
+        if self.workload.orders.statuses[order] == OrderStatus::Closed {
             return;
         }
         let Some(node) = self.draw_listed_control() else { return };
@@ -28,7 +28,7 @@
         self.history.orders[order].attempts.push(sent);
         let delay = self.network_delay();
         self.schedule_after(delay, OrderActivity::Arrives(order, attempt, node).event());
-        self.schedule_after(SILENCE_US, OrderActivity::Answered(order, attempt).event());
+        self.schedule_after(ATTEMPT_TIMEOUT_US, OrderActivity::Answered(order, attempt).event());
     }
 
     fn draw_listed_control(&mut self) -> Option<NodeIndex> {
@@ -43,39 +43,38 @@
     }
 
     pub(super) fn order_arrives(&mut self, order: usize, attempt: usize, node: NodeIndex) {
-        let again = OrderActivity::Arrives(order, attempt, node);
+        let arrival = OrderActivity::Arrives(order, attempt, node);
         // What lies in a frozen process's socket is taken when it wakes.
-        if self.defer_if_frozen(node, || again.event()) {
+        if self.defer_if_frozen(node, || arrival.event()) {
             return;
         }
         if !self.nodes[node.0].is_running() {
-            self.order_answered(order, attempt, OrderAnswer::Unclear);
+            self.record_answer(order, attempt, OrderAnswer::Unclear);
             return;
         }
         if self.injected_bug == Some(InjectedBug::RefuseWithoutCause) && attempt == 0 && order > 0 {
-            self.order_answered(order, attempt, OrderAnswer::Refused);
+            self.record_answer(order, attempt, OrderAnswer::Refused);
             return;
         }
         let seen = &self.history.orders[order];
-        let command = command_of(seen);
-        let caller =
-            Caller::Activity(Activity::Configuration(OrderActivity::Answered(order, attempt)));
+        let command = order_command(seen);
+        let caller = Caller::Activity(Activity::Order(OrderActivity::Answered(order, attempt)));
         self.call_control(node, OperatorRequest::Command(command), caller);
     }
 
-    pub(super) fn send_later(&mut self, order: usize) {
+    pub(super) fn schedule_resend(&mut self, order: usize) {
         let sent = self.history.orders[order].attempts.len().min(8) as u32;
-        let pause = (PAUSE_US << sent).min(LONGEST_PAUSE_US);
-        let pause = pause / 2 + self.draw(0..pause);
-        self.schedule_after(pause, OrderActivity::Send(order).event());
+        let retry_delay = (INITIAL_RETRY_DELAY_US << sent).min(MAX_RETRY_DELAY_US);
+        let retry_delay = retry_delay / 2 + self.draw(0..retry_delay);
+        self.schedule_after(retry_delay, OrderActivity::Send(order).event());
     }
 }
 
 /// The largest configuration that an operator's order may make, in bytes.
-const MOST_SOURCE_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_SOURCE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// What an order asks of control.
-fn command_of(order: &OrderSeen) -> Command {
+fn order_command(order: &OrderSeen) -> Command {
     let (base, version) = (ConfigurationVersion(order.base), ConfigurationVersion(order.number));
     match &order.patch {
         None => Command::ApplyConfiguration {
@@ -92,7 +91,7 @@
             source: SourcePatch {
                 order: patch.clone().into(),
                 patch: patch.clone(),
-                max_bytes: MOST_SOURCE_BYTES,
+                max_bytes: MAX_SOURCE_BYTES,
             },
         },
     }
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -7,24 +7,28 @@
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 
 impl World {
-    pub(super) fn ask_ready(&mut self) {
-        self.schedule_after(500_000, Event::Activity(Activity::AskReady));
+    pub(super) fn check_ready(&mut self) {
+        self.schedule_after(500_000, Event::Activity(Activity::CheckReady));
         for at in 0..self.nodes.len() {
             let relay = NodeIndex(at);
             let node = &self.nodes[at];
             if node.kind != NodeKind::Relay {
                 continue;
             }
-            let awake = node.frozen_until.is_none_or(|until| until <= self.time);
-            if node.is_running() && awake {
-                self.call_relay(relay, RelayCall::Ready, Caller::Activity(Activity::Ready(relay)));
+            let is_awake = node.frozen_until.is_none_or(|until| until <= self.time);
+            if node.is_running() && is_awake {
+                self.call_relay(
+                    relay,
+                    RelayCall::Ready,
+                    Caller::Activity(Activity::CheckReadyDone(relay)),
+                );
             } else {
                 self.workload.ready.remove(&relay);
             }
         }
     }
 
-    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayResponse) {
+    pub(super) fn ready_response(&mut self, relay: NodeIndex, value: &RelayResponse) {
         if matches!(value, RelayResponse::Done) {
             self.workload.ready.insert(relay);
         } else {
@@ -64,10 +68,10 @@
             .collect();
         let text = serde_json::json!({ "engines": engines }).to_string();
         let request = OperatorRequest::Command(Command::PutEngines { text });
-        self.call_control(control, request, Caller::Activity(Activity::EnginesSent(list)));
+        self.call_control(control, request, Caller::Activity(Activity::PutEnginesDone(list)));
     }
 
-    pub(super) fn engines_told(&mut self, list: usize, outcome: &OperatorOutcome) {
+    pub(super) fn put_engines_response(&mut self, list: usize, outcome: &OperatorOutcome) {
         if matches!(outcome, OperatorOutcome::Done(_)) {
             let time = self.time;
             self.history.engine_lists[list].acknowledged.get_or_insert(time);
--- a/fleet-simulator/src/workload/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -23,8 +23,8 @@
         let specs = self.history.specs.len() as u64;
         match self.draw(0..100) {
             0..=7 if specs > 0 => {
-                let back = self.draw(0..3).min(specs - 1);
-                self.history.specs[(specs - 1 - back) as usize].model.clone()
+                let age = self.draw(0..3).min(specs - 1);
+                self.history.specs[(specs - 1 - age) as usize].model.clone()
             }
             8..=9 => "unmapped".to_owned(),
             _ => "m".to_owned(),
@@ -32,11 +32,11 @@
     }
 
     fn send_prompt(&mut self) {
-        let habits = self.workload.settings.clone();
+        let settings = self.workload.settings.clone();
         let model = self.draw_model();
         let repeatable = self.draw(0..4) == 0;
-        let words = self.draw(habits.words / 2..habits.words * 3 / 2 + 1);
-        let work = self.new_work(&model, words, habits.new_tokens, repeatable, None);
+        let words = self.draw(settings.words / 2..settings.words * 3 / 2 + 1);
+        let work = self.new_work(&model, words, settings.new_tokens, repeatable, None);
         let relay = self.draw_relay();
         let wait = [1_500_000, 3_000_000, 8_000_000][self.draw(0..3) as usize];
         let name = relay.map_or("none".to_owned(), |relay| self.nodes[relay.0].name.clone());
@@ -66,8 +66,8 @@
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
             return;
         }
-        let again = Activity::PromptArrives(prompt, relay);
-        if self.defer_if_frozen(relay, || crate::world::Event::Activity(again)) {
+        let arrival = Activity::PromptArrives(prompt, relay);
+        if self.defer_if_frozen(relay, || crate::world::Event::Activity(arrival)) {
             return;
         }
         let seen = &self.history.prompts[prompt];
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -12,54 +12,55 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Which version is the newest?
-    Look,
+    FindBase,
     /// Submit on that base.
     Submit(u64),
     /// Sign off.
-    Sign,
+    SignOff,
     /// Roll out.
     RollOut,
     /// It is in force, or was refused.
-    Over,
+    Finished,
 }
 
 /// An operator with a spec.
 #[derive(Debug)]
-pub(super) struct SpecOperator {
+pub(super) struct RolloutOperator {
     step: Step,
     serial: u64,
-    asked: Option<Us>,
-    is_broken: bool,
+    requested_at: Option<Us>,
+    is_invalid: bool,
 }
 
 impl World {
     /// The first spec, before anything else.
     pub fn first_rollout(&mut self) {
-        self.begin_spec(false);
+        self.start_rollout(false);
     }
 
-    pub(super) fn next_spec(&mut self) {
-        let every = self.workload.settings.rollout_interval_s;
+    pub(super) fn next_rollout(&mut self) {
+        let interval_s = self.workload.settings.rollout_interval_s;
         if self.has_orders() {
             return;
         }
-        self.schedule_after(every.max(1) * 1_000_000, Event::Activity(Activity::NextSpec));
-        let all_over = self.workload.specs.iter().all(|spec| spec.step == Step::Over);
-        if every == 0 || !self.workload.settings.is_active || !all_over {
+        self.schedule_after(interval_s.max(1) * 1_000_000, Event::Activity(Activity::NextRollout));
+        let all_finished =
+            self.workload.rollouts.iter().all(|operator| operator.step == Step::Finished);
+        if interval_s == 0 || !self.workload.settings.is_active || !all_finished {
             return;
         }
         match self.draw(0..4) {
-            0 => self.begin_spec(true),
+            0 => self.start_rollout(true),
             1 => {
                 // Two operators at once.
-                self.begin_spec(false);
-                self.begin_spec(false);
+                self.start_rollout(false);
+                self.start_rollout(false);
             }
-            _ => self.begin_spec(false),
+            _ => self.start_rollout(false),
         }
     }
 
-    fn begin_spec(&mut self, is_broken: bool) {
+    fn start_rollout(&mut self, is_invalid: bool) {
         let number = self.history.specs.len();
         self.history.specs.push(SpecSeen {
             version: None,
@@ -69,122 +70,125 @@
             asked: None,
             acknowledged: None,
         });
-        let operator = SpecOperator { step: Step::Look, serial: 0, asked: None, is_broken };
-        self.workload.specs.push(operator);
-        self.schedule_after(0, Event::Activity(Activity::Spec(number)));
+        let operator =
+            RolloutOperator { step: Step::FindBase, serial: 0, requested_at: None, is_invalid };
+        self.workload.rollouts.push(operator);
+        self.schedule_after(0, Event::Activity(Activity::ContinueRollout(number)));
     }
 
-    fn bundle(&self, spec: usize) -> String {
-        let model = &self.history.specs[spec].model;
-        let pool = if self.workload.specs[spec].is_broken { "no such pool" } else { "main" };
-        self.bundle_of(model, pool, &[]).to_string()
+    fn rollout_text(&self, rollout: usize) -> String {
+        let model = &self.history.specs[rollout].model;
+        let pool = if self.workload.rollouts[rollout].is_invalid { "no such pool" } else { "main" };
+        self.configuration_json(model, pool, &[]).to_string()
     }
 
     /// A bundle with a lane of its own, its batches' lane at that pool, and these routes.
-    pub(super) fn bundle_of(
+    pub(super) fn configuration_json(
         &self,
         model: &str,
         pool: &str,
         routes: &[serde_json::Value],
     ) -> serde_json::Value {
-        let habits = &self.workload.settings;
+        let settings = &self.workload.settings;
         let mut lanes = vec![
             serde_json::json!({"name": "live", "kind": "live", "models": ["m"], "pool": "main"}),
             serde_json::json!({"name": "batch", "kind": "batch", "models": ["m"], "pool": pool}),
             serde_json::json!({"name": model, "kind": "live", "models": [model], "pool": "main"}),
         ];
-        for lane in 0..habits.extra_model_routes {
+        for lane in 0..settings.extra_model_routes {
             lanes.push(serde_json::json!({
                 "name": format!("more-{lane}"), "kind": "live",
                 "models": [format!("more-{lane}")], "pool": "main",
             }));
         }
         serde_json::json!({
-            "pools": [{"name": "main", "limit_tokens": habits.limit_tokens}],
+            "pools": [{"name": "main", "limit_tokens": settings.limit_tokens}],
             "lanes": lanes,
             "routes": routes,
             "batches": {
-                "waiting_ceiling_tokens": habits.waiting_ceiling,
+                "waiting_ceiling_tokens": settings.waiting_ceiling,
                 "max_items": 1000, "max_item_bytes": 65536,
             },
             "weights": {
-                "live_floor_percent": habits.live_percents.0,
-                "live_start_percent": habits.live_percents.1,
-                "live_ceiling_percent": habits.live_percents.2,
+                "live_floor_percent": settings.live_percents.0,
+                "live_start_percent": settings.live_percents.1,
+                "live_ceiling_percent": settings.live_percents.2,
             },
         })
     }
 
-    pub(super) fn look_after_spec(&mut self, spec: usize) {
-        let operator = &self.workload.specs[spec];
-        if operator.step == Step::Over {
+    pub(super) fn continue_rollout(&mut self, rollout: usize) {
+        let operator = &self.workload.rollouts[rollout];
+        if operator.step == Step::Finished {
             return;
         }
-        self.schedule_after(300_000, Event::Activity(Activity::Spec(spec)));
-        let operator = &self.workload.specs[spec];
-        if operator.asked.is_some_and(|asked| self.time - asked < 6_000_000) {
+        self.schedule_after(300_000, Event::Activity(Activity::ContinueRollout(rollout)));
+        let operator = &self.workload.rollouts[rollout];
+        if operator.requested_at.is_some_and(|requested_at| self.time - requested_at < 6_000_000) {
             return;
         }
-        if operator.asked.is_some() && matches!(operator.step, Step::Submit(_)) {
+        if operator.requested_at.is_some() && matches!(operator.step, Step::Submit(_)) {
             // Nobody knows what became of it; it is never signed, so it must never take effect.
-            self.give_spec_up(spec);
+            self.abandon_rollout(rollout);
             return;
         }
         let Some(control) = self.draw_node(NodeKind::Control) else { return };
-        let version = ConfigurationVersion(self.history.specs[spec].version.unwrap_or(0));
-        let step = self.workload.specs[spec].step;
+        let version = ConfigurationVersion(self.history.specs[rollout].version.unwrap_or(0));
+        let step = self.workload.rollouts[rollout].step;
         let request = match step {
-            Step::Look => OperatorRequest::Query(Query::ListConfigurations),
+            Step::FindBase => OperatorRequest::Query(Query::ListConfigurations),
             Step::Submit(base) => OperatorRequest::Command(Command::SubmitConfiguration {
                 base: ConfigurationVersion(base),
-                text: self.bundle(spec),
+                text: self.rollout_text(rollout),
             }),
-            Step::Sign => {
-                let by = format!("operator {spec}");
+            Step::SignOff => {
+                let by = format!("operator {rollout}");
                 OperatorRequest::Command(Command::SignOff { version, by })
             }
             Step::RollOut => {
                 let time = self.time;
-                self.history.specs[spec].asked.get_or_insert(time);
+                self.history.specs[rollout].asked.get_or_insert(time);
                 OperatorRequest::Command(Command::RollOut { version })
             }
-            Step::Over => return,
+            Step::Finished => return,
         };
         let time = self.time;
-        let operator = &mut self.workload.specs[spec];
+        let operator = &mut self.workload.rollouts[rollout];
         operator.serial += 1;
-        operator.asked = Some(time);
-        let activity = Activity::SpecCall(spec, operator.serial, step);
+        operator.requested_at = Some(time);
+        let activity = Activity::RolloutCallDone(rollout, operator.serial, step);
         self.call_control(control, request, Caller::Activity(activity));
     }
 
-    fn give_spec_up(&mut self, spec: usize) {
-        self.history.specs[spec].refused = true;
-        self.workload.specs[spec].step = Step::Over;
+    fn abandon_rollout(&mut self, rollout: usize) {
+        self.history.specs[rollout].refused = true;
+        self.workload.rollouts[rollout].step = Step::Finished;
     }
 
-    pub(super) fn spec_told(
+    pub(super) fn rollout_response(
         &mut self,
-        spec: usize,
+        rollout: usize,
         serial: u64,
         step: Step,
         outcome: &OperatorOutcome,
     ) {
-        let operator = &mut self.workload.specs[spec];
+        let operator = &mut self.workload.rollouts[rollout];
         if operator.serial != serial || operator.step != step {
             return;
         }
-        operator.asked = None;
+        operator.requested_at = None;
         let text = match outcome {
             OperatorOutcome::Done(text) => text,
             OperatorOutcome::Refused(error) => {
                 let status = error.code.status();
                 match (step, status, error.ran) {
                     // Surely nothing happened, or asking again is harmless.
-                    (Step::Look, ..) | (_, 503, _) | (Step::Sign | Step::RollOut, 504, _) => {}
-                    (_, _, Execution::MayHaveRun) => self.give_spec_up(spec),
+                    (Step::FindBase, ..)
+                    | (_, 503, _)
+                    | (Step::SignOff | Step::RollOut, 504, _) => {}
+                    (_, _, Execution::MayHaveRun) => self.abandon_rollout(rollout),
                     // Refused: it must never take effect.
-                    _ => self.give_spec_up(spec),
+                    _ => self.abandon_rollout(rollout),
                 }
                 return;
             }
@@ -192,39 +196,39 @@
         let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
         let time = self.time;
         let next = match step {
-            Step::Look => {
+            Step::FindBase => {
                 let newest = shown["specs"].as_array().and_then(|specs| specs.last()).cloned();
                 let newest = newest.and_then(|spec| spec["version"].as_u64()).unwrap_or(0);
                 Step::Submit(newest)
             }
             Step::Submit(_) => {
-                self.history.specs[spec].version = shown["version"].as_u64();
-                Step::Sign
+                self.history.specs[rollout].version = shown["version"].as_u64();
+                Step::SignOff
             }
-            Step::Sign => Step::RollOut,
+            Step::SignOff => Step::RollOut,
             Step::RollOut => {
-                self.history.specs[spec].acknowledged = Some(time);
-                Step::Over
+                self.history.specs[rollout].acknowledged = Some(time);
+                Step::Finished
             }
-            Step::Over => Step::Over,
+            Step::Finished => Step::Finished,
         };
-        self.workload.specs[spec].step = next;
-        self.schedule_after(0, Event::Activity(Activity::Spec(spec)));
+        self.workload.rollouts[rollout].step = next;
+        self.schedule_after(0, Event::Activity(Activity::ContinueRollout(rollout)));
     }
 
-    pub(super) fn read_spec(&mut self) {
+    pub(super) fn read_configuration(&mut self) {
         if self.has_orders() {
             return;
         }
-        self.schedule_after(1_000_000, Event::Activity(Activity::ReadSpec));
+        self.schedule_after(1_000_000, Event::Activity(Activity::ReadConfiguration));
         if let Some(control) = self.draw_node(NodeKind::Control) {
             let request = OperatorRequest::Query(Query::ReadConfiguration(None));
-            let asked = Activity::SpecAsked(self.time);
+            let asked = Activity::ReadConfigurationDone(self.time);
             self.call_control(control, request, Caller::Activity(asked));
         }
     }
 
-    pub(super) fn spec_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
+    pub(super) fn configuration_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
         if let OperatorOutcome::Done(text) = outcome {
             let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
             if let Some(version) = shown["version"].as_u64() {
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -222,10 +222,10 @@
             }
             (Caller::Item(run), Response::Relay(value)) => self.item_response(run, value),
             (Caller::Activity(activity), Response::Relay(value)) => {
-                self.relay_told(activity, value)
+                self.relay_response(activity, value)
             }
             (Caller::Activity(activity), Response::Operate(value)) => {
-                self.control_told(activity, value)
+                self.control_response(activity, value)
             }
             _ => {}
         }
