--- a/fleet-simulator/src/world/disk.rs
+++ b/fleet-simulator/src/world/disk.rs
@@ -1,24 +1,24 @@
-//! Disks: writes are synced in order after a while; what was not synced is lost with the power.
+//! Disks: writes are synced in order after a delay; unsynced writes are lost on a power loss.
 
 use super::{Event, InjectedBug, NodeIndex, World};
 use topazyard_wire::disk::DiskState;
 use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
 
-/// A disk.
+/// A simulated disk.
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
-    /// What is synced.
+    /// The synced rows.
     pub synced: LoadedRows,
     pub(crate) queue: std::collections::VecDeque<(u64, WriteToken, Vec<RowChange>)>,
     pub(crate) last_write: u64,
-    /// How long a sync takes besides its usual time, in microseconds.
+    /// Extra time of each sync, in microseconds.
     pub slow_us: u64,
-    /// Whether it takes no more bytes: what is handed to it waits.
+    /// Whether the disk is full: new writes wait.
     pub is_full: bool,
-    /// Whether the process on it was told so.
+    /// Whether the disk was reported as full to its process.
     pub(crate) reported_full: bool,
-    /// Whether the process on it waits for room before it starts.
+    /// Whether the process waits for free space before it starts.
     pub(crate) start_is_waiting: bool,
 }
 
@@ -33,12 +33,13 @@
         }
     }
 
-    /// The power goes: what was not synced is gone.
+    /// Drops all unsynced writes, as on a power loss.
     pub fn lose_power(&mut self) {
         self.queue.clear();
     }
 
-    /// The process is killed: the system may have synced some more of what was handed over.
+    /// Syncs the first `count` pending writes and drops the others: when a process is killed, the
+    /// operating system may still have synced some of its writes.
     pub fn keep_some_writes(&mut self, count: usize) {
         for _ in 0..if self.is_full { 0 } else { count } {
             if let Some((_, token, changes)) = self.queue.pop_front() {
@@ -50,7 +51,8 @@
 }
 
 impl World {
-    /// A disk has room again: what waited is synced, or the process that waited starts.
+    /// Gives a full disk free space again: pending writes are synced, or the process that waited
+    /// for space starts.
     pub(crate) fn free_space(&mut self, node: NodeIndex) {
         let disk = &mut self.nodes[node.0].disk;
         if !std::mem::replace(&mut disk.is_full, false) {
@@ -75,7 +77,7 @@
         self.schedule_after(usual + slow_us, Event::Synced(node, write));
     }
 
-    /// Syncs everything up to a write, and says so to the process that asked for it.
+    /// Syncs all writes up to a number and reports them to the process.
     pub(crate) fn sync(&mut self, node: NodeIndex, write: u64) {
         if self.defer_if_frozen(node, || Event::Synced(node, write)) {
             return;
--- a/fleet-simulator/src/world/engines.rs
+++ b/fleet-simulator/src/world/engines.rs
@@ -1,58 +1,58 @@
-//! Simulated engines: their pace falls with the tokens in flight; they crash, go dark, slow down
-//! or cut their returns. Each logs what it runs.
+//! Simulated engines: they get slower with the tokens in flight; they crash, become unresponsive,
+//! slow down or cut off their responses. Each logs what it runs.
 
 use super::{Event, InjectedBug, SessionEvent, World, sessions::ItemEvent};
 use crate::history::{EngineRun, Piece};
 use topazyard_types::EngineName;
 
-/// How an engine fares.
+/// The health of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineHealth {
-    /// Well.
+    /// It works.
     Well,
-    /// Gone: it takes no connection.
+    /// It is down: it accepts no connections.
     Gone,
-    /// Dark: it takes everything and returns nothing.
+    /// It is unresponsive: it accepts requests and never responds.
     Dark,
-    /// Slow, by that factor.
+    /// It is slower by this factor.
     Slow(u64),
-    /// It cuts every return half way.
+    /// It cuts off every response half way.
     Cutting,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: std::net::SocketAddr,
-    /// How it fares.
+    /// Its health.
     pub health: EngineHealth,
     pub(crate) generation: u64,
     pub(crate) tokens: u64,
     pub(crate) open_runs: std::collections::BTreeSet<usize>,
 }
 
-/// Who waits for a run.
+/// The relay-side owner of an engine run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RunOwner {
-    /// A prompt's session, at that try.
+    /// A prompt's session, with the attempt.
     Session(usize, u32),
-    /// An item's run.
+    /// A run of a batch item.
     Item(usize),
 }
 
-/// Something at an engine.
+/// An event at an engine.
 #[derive(Debug)]
 pub(crate) enum EngineEvent {
-    /// A body arrives.
+    /// A request arrives.
     RequestArrives { engine: usize, body: bytes::Bytes, pieces: u32, owner: RunOwner },
-    /// A piece of a run's return is due.
+    /// A piece of a run's response is due.
     PieceDue { engine: usize, generation: u64, run: usize, piece: Piece, owner: RunOwner },
 }
 
-/// Tokens in flight at which an engine's pace is halved.
+/// Tokens in flight at which an engine runs at half its speed.
 const HALF_SPEED_TOKENS: u64 = 6_000;
 
 impl World {
@@ -72,7 +72,7 @@
         self.engines.iter().position(|engine| engine.name == name.0)
     }
 
-    /// Whether an engine takes connections.
+    /// Whether an engine accepts connections.
     pub(crate) fn engine_accepts_connections(&self, name: &EngineName) -> bool {
         self.engine_named(name).is_some_and(|at| self.engines[at].health != EngineHealth::Gone)
     }
@@ -83,14 +83,14 @@
         })
     }
 
-    /// How many requests wait inside an engine, if it says so.
+    /// How many requests wait inside an engine, if it responds.
     pub(crate) fn engine_queue(&self, name: &EngineName) -> Option<u64> {
         let state = &self.engines[self.engine_named(name)?];
         let is_silent = matches!(state.health, EngineHealth::Gone | EngineHealth::Dark);
         (!is_silent).then(|| state.tokens.saturating_sub(HALF_SPEED_TOKENS) / 256)
     }
 
-    /// Changes how an engine fares. One that goes breaks all its connections.
+    /// Changes the health of an engine. One that goes down loses all its connections.
     pub fn set_engine_health(&mut self, at: usize, health: EngineHealth) {
         self.engines[at].health = health;
         if health == EngineHealth::Gone {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether nothing runs and no batch waits.
+    /// Whether nothing runs and every accepted batch has been listed completely.
     pub fn is_idle(&self) -> bool {
         self.engines.iter().all(|engine| engine.open_runs.is_empty()) && self.batches_are_done()
     }
@@ -226,7 +226,7 @@
             RunOwner::Item(item) => Event::Item(ItemEvent::Complete(item, sent)),
         };
         if !is_lost {
-            // Pieces of one connection arrive in the order they were sent.
+            // Pieces on one connection arrive in the order they were sent.
             self.schedule_after(900 + u64::from(piece.index), event);
         }
         if self.injected_bug == Some(InjectedBug::RepeatPiece)
@@ -255,7 +255,7 @@
         }
     }
 
-    /// The relay closed the connection of a run: the engine stops it.
+    /// Stops a run whose connection the relay closed.
     pub(crate) fn cancel_run(&mut self, run: usize) {
         let name = self.history.runs[run].engine.clone();
         if let Some(engine) = self.engine_named(&EngineName(name))
--- a/fleet-simulator/src/world/mod.rs
+++ b/fleet-simulator/src/world/mod.rs
@@ -16,10 +16,10 @@
 pub use nodes::{Node, NodeIndex, NodeKind};
 pub use sessions::{Session, SessionEvent};
 
-/// Something that is to happen.
+/// An event scheduled for a simulated time.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A process's tick.
+    /// The timer tick of a process, in a generation of it.
     Tick(NodeIndex, u64),
     /// A frame arrives.
     Frame {
@@ -28,136 +28,137 @@
         sender: topazyard_types::NodeId,
         message: topazyard_wire::Message,
     },
-    /// A write is synced.
+    /// A disk syncs all writes up to a number.
     Synced(NodeIndex, u64),
-    /// Something in a prompt's way.
+    /// An event of a prompt that a relay handles.
     Session(usize, SessionEvent),
-    /// Something at an engine.
+    /// An event at an engine.
     Engine(engines::EngineEvent),
-    /// An item's run came to something at its relay.
+    /// An event of a batch item that a relay runs.
     Item(sessions::ItemEvent),
-    /// A look at an engine's health came back.
+    /// The result of an engine's health check reaches the relay that requested it.
     HealthChecked(NodeIndex, u64, topazyard_types::EngineName, bool),
-    /// What engines said of their load reaches a control node.
+    /// The load reports of engines reach a control node.
     EngineLoads(NodeIndex, u64, Vec<topazyard_types::EngineName>),
-    /// Somebody outside does something.
+    /// A client, an operator or the platform acts.
     Activity(crate::workload::Activity),
     /// A fault.
     Fault(crate::faults::Fault),
 }
 
-/// What a call into a machine was made for.
+/// The caller that receives the response to a call into a machine.
 #[derive(Debug, Clone)]
 pub(crate) enum Caller {
-    /// A prompt.
+    /// A prompt at a relay.
     Session(usize),
-    /// An item's run.
+    /// A run of a batch item.
     Item(usize),
-    /// Somebody outside.
+    /// A client, an operator or the platform.
     Activity(crate::workload::Activity),
-    /// Nobody waits.
+    /// Nobody: the response is discarded.
     Ignored,
 }
 
-/// The world.
+/// The whole simulated world and its event queue.
 pub struct World {
-    /// The present moment.
+    /// The current simulated time.
     pub time: Us,
     pub(crate) rng: rand::rngs::StdRng,
     events: std::collections::BTreeMap<(Us, u64), Event>,
     last_event: u64,
     /// The network.
     pub network: Network,
-    /// Processes, the ended ones too.
+    /// Processes, including stopped ones.
     pub nodes: Vec<Node>,
     /// Engines.
     pub engines: Vec<Engine>,
     pub(crate) sessions: Vec<Session>,
     pub(crate) item_runs: Vec<sessions::ItemRun>,
     pub(crate) workload: crate::workload::Workload,
-    /// What was seen from outside.
+    /// Everything observed from outside the fleet.
     pub history: History,
-    /// What the processes noted in their logs.
+    /// Log lines of all processes.
     pub notes: Vec<String>,
-    /// How much is sent, by kind of message.
+    /// Frames sent, by kind of message.
     pub sent: std::collections::BTreeMap<&'static str, u64>,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
     pub(crate) zones: u16,
-    /// What the settings of all processes say of times and losses.
+    /// The bounds on times and losses in the settings of all processes.
     pub(crate) bounds: topazyard_spec::Bounds,
-    /// What waited in each shard when it was last weighed, and at which place.
+    /// The waiting cost of each shard when it was last computed, with the log position it was
+    /// computed at.
     pub(crate) waiting_by_shard:
         std::collections::BTreeMap<topazyard_types::ShardId, (topazyard_types::LogPosition, u64)>,
-    /// What each relay last had in force, by its place in the history.
+    /// Index in the history of the configuration that each relay last had in force.
     pub(crate) last_in_force: std::collections::BTreeMap<NodeIndex, usize>,
-    /// Bugs planted to show that the checker can fail.
+    /// The bug injected to show that the checker reports it.
     pub injected_bug: Option<InjectedBug>,
-    /// After how many more answers on batches disks and power are lost, none if 0, and for how many
-    /// milliseconds.
+    /// How many more batch responses precede a loss of disks and power (0 for no loss), and how
+    /// many milliseconds the loss lasts.
     pub(crate) wipe_after: (u64, u64),
 }
 
-/// A bug planted in the world, to show that the checker sees it.
+/// A bug injected into the world to show that the checker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
     /// An engine runs a body twice.
     RunTwice,
-    /// A stream's piece is lost.
+    /// A piece of a streamed response is lost.
     LosePiece,
-    /// A stream's piece is repeated.
+    /// A piece of a streamed response is delivered twice.
     RepeatPiece,
-    /// A cut return looks whole.
+    /// An interrupted response looks complete to its client.
     InterruptedLooksComplete,
-    /// A return goes to another client.
+    /// A response goes to another client.
     WrongResponse,
-    /// A sent prompt is said not to have run.
+    /// A prompt that was sent to an engine is reported as not run.
     ReportNotRun,
-    /// An engine runs a body that nobody sent.
+    /// An engine runs a request body that no client sent.
     AlteredBody,
-    /// A listed return changes.
+    /// A listed result of a batch item changes.
     ChangeListedResult,
-    /// A process's clock stands still while it is frozen.
+    /// The clock of a process stops while the process is frozen.
     StoppedClock,
-    /// A prompt that was checked a last time is sent only seconds later.
+    /// A prompt reaches its engine seconds after the last check before sending.
     SendLate,
-    /// An item that was checked a last time is sent only seconds later.
+    /// A batch item reaches its engine seconds after the last check before sending.
     SendItemsLate,
-    /// Every check against the budget says yes.
+    /// Every check against the token budget is granted.
     AlwaysGrantBudget,
-    /// Every check against the ceiling on waiting work says yes.
+    /// Every check against the ceiling on waiting work is granted.
     AlwaysGrantCeiling,
-    /// Holds are never let go.
+    /// Budget holds are never released.
     LoseReleases,
-    /// Refusals don't say when to come back.
+    /// Refusals omit the time after which to retry.
     OmitRetryAfter,
-    /// A relay that is asked to drain goes at once.
+    /// A relay that is requested to drain stops at once.
     SkipDrain,
-    /// Changes of the spec in force are lost on their way to whoever follows the feed.
+    /// Changes of the configuration in force are lost on their way to the feed's followers.
     KeepOldConfiguration,
-    /// Whoever follows the feed reads a lane into the spec that nobody declared.
+    /// Followers of the feed see a model in a model route that no operator declared.
     RouteUndeclaredModel,
-    /// Refused numbered configurations are said to be acknowledged.
+    /// Refused numbered configurations are reported as acknowledged.
     AcknowledgeAll,
-    /// A numbered configuration that is sent again is said to be refused.
+    /// A numbered configuration that is sent again is reported as refused.
     RefuseResent,
-    /// A numbered configuration that was taken is said to be refused.
+    /// A numbered configuration that was applied is reported as refused.
     RefuseApplied,
-    /// A node refuses numbered configurations without asking anybody.
+    /// A node refuses numbered configurations without consulting any other node.
     RefuseWithoutCause,
-    /// Every answer to an operator is lost once the first configuration is taken.
+    /// Every response to an operator is lost once the first configuration is applied.
     LoseResponses,
-    /// Every read-back gives the first configuration.
+    /// Every read-back returns the first configuration.
     ReadFirstConfiguration,
-    /// A route is lost on its way to whoever follows the feed.
+    /// A route is lost on its way to the feed's followers.
     LoseRoute,
-    /// A relay that learns of a configuration goes on with the one before it for once.
+    /// A relay that receives a configuration reverts to the previous one for a moment.
     RevertConfiguration,
-    /// Syncs are said before they happen, so that a power loss takes acknowledged writes.
+    /// Syncs are reported before they happen, so that a power loss takes acknowledged writes.
     EarlySyncReport,
 }
 
 impl World {
-    /// An empty world.
+    /// Creates an empty world.
     pub fn new(seed: u64, zones: u16) -> Self {
         Self {
             time: 0,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A number drawn from the world's seed.
+    /// Draws a number from the generator seeded with the world's seed.
     pub(crate) fn draw(&mut self, range: std::ops::Range<u64>) -> u64 {
         self.rng.random_range(range)
     }
@@ -197,7 +198,7 @@
         self.schedule_at(self.time + us, event);
     }
 
-    /// Lets everything happen up to a moment.
+    /// Processes all events up to a simulated time.
     pub fn run_until(&mut self, until: Us) {
         while let Some(entry) = self.events.first_entry() {
             let (time, _) = *entry.key();
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -1,38 +1,38 @@
-//! The network: delays, losses and cuts, one way or both.
+//! The network: delays, frame loss and links blocked in one or both directions.
 
 use super::{Event, InjectedBug, World};
 use topazyard_wire::message::counter::CounterBody;
 use topazyard_wire::message::feed::{FeedMessage, UpdateContent};
 
-/// Which ways are cut, and how lossy the rest is.
+/// Which links are blocked, and how lossy the others are.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Frames lost, of ten thousand.
+    /// Of ten thousand frames, how many are lost.
     pub loss_per_10000: u64,
-    /// Frames that come twice, and as many that come late, of ten thousand.
+    /// Of ten thousand frames, how many are duplicated and how many are delayed.
     pub disordered_per_10000: u64,
     blocked: std::collections::BTreeSet<(std::net::SocketAddr, std::net::SocketAddr)>,
 }
 
 impl Network {
-    /// Cuts the way from one address to another.
+    /// Blocks frames from one address to another.
     pub fn block(&mut self, from: std::net::SocketAddr, to: std::net::SocketAddr) {
         self.blocked.insert((from, to));
     }
 
-    /// Mends every cut.
+    /// Unblocks all links.
     pub fn unblock_all(&mut self) {
         self.blocked.clear();
     }
 
-    /// Whether the way is cut.
+    /// Whether frames from one address to another are blocked.
     pub fn is_blocked(&self, from: std::net::SocketAddr, to: std::net::SocketAddr) -> bool {
         self.blocked.contains(&(from, to))
     }
 }
 
 impl World {
-    /// How long something takes on its way.
+    /// Draws the network delay of one message, in microseconds.
     pub(crate) fn network_delay(&mut self) -> u64 {
         let usual = self.draw(150..900);
         if self.draw(0..200) == 0 { usual + self.draw(1_000..20_000) } else { usual }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Spoils a frame as the planted bug would; gives whether it is lost.
+/// Alters a frame as the injected bug would. Returns whether the frame is lost.
 fn inject(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
     if let topazyard_wire::Message::Feed(FeedMessage::Update { content, .. }) = message {
         alter_update(injected_bug, content);
--- a/fleet-simulator/src/world/nodes/clocks.rs
+++ b/fleet-simulator/src/world/nodes/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks of processes: each runs at its own rate.
+//! Clocks of processes, each with its own rate.
 
 use super::NodeIndex;
 use crate::history::Us;
@@ -17,7 +17,8 @@
         shown + ((self.time - at) as i64 * (1_000_000 + node.rate_ppm) / 1_000_000) as Us
     }
 
-    /// From now on its clock runs so much faster than right, in millionths.
+    /// Makes a process's clock run faster than real time from now on, by this many parts per
+    /// million.
     pub(crate) fn set_clock_rate(&mut self, index: NodeIndex, rate_ppm: i64) {
         let shown = self.clock_us(index);
         let time = self.time;
@@ -25,12 +26,12 @@
         (node.clock_reference, node.rate_ppm) = ((time, shown), rate_ppm);
     }
 
-    /// A relay's moment so many microseconds ahead, on its own clock.
+    /// The time on a relay's clock this many microseconds from now.
     pub(crate) fn relay_clock_after(&self, index: NodeIndex, ahead: Us) -> MonotonicMs {
         MonotonicMs(self.node_clock(index).0 + ahead / 1_000)
     }
 
-    /// Whether a moment on a process's clock is still ahead.
+    /// Whether a process's clock has not reached a deadline yet.
     pub(crate) fn is_before_deadline(&self, index: NodeIndex, until: MonotonicMs) -> bool {
         self.node_clock(index) < until
     }
--- a/fleet-simulator/src/world/nodes/in_force.rs
+++ b/fleet-simulator/src/world/nodes/in_force.rs
@@ -1,4 +1,4 @@
-//! What relays have in force of numbered configurations, as they learn it and for how long.
+//! Records which numbered configurations relays have in force, and for how long.
 
 use super::{NodeIndex, NodeMachine};
 use crate::history::InForceSeen;
@@ -6,7 +6,7 @@
 use crate::world::{InjectedBug, World};
 
 impl World {
-    /// Notes what a relay has in force after it heard of the feed.
+    /// Records what a relay has in force after it received a feed message.
     pub(super) fn record_in_force(&mut self, index: NodeIndex) {
         let (time, now) = (self.time, self.node_clock(index));
         let node = &self.nodes[index.0];
@@ -41,7 +41,7 @@
         self.history.in_force.push(seen);
     }
 
-    /// Notes that a relay that steps has in force still what it had.
+    /// Records at a relay's tick that the configuration last seen is still in force.
     pub(super) fn extend_in_force(&mut self, index: NodeIndex) {
         let (time, now) = (self.time, self.node_clock(index));
         let node = &self.nodes[index.0];
--- a/fleet-simulator/src/world/nodes/inspection.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -1,4 +1,5 @@
-//! What the simulator itself sees inside the machines, to aim faults and to weigh what waits.
+//! What the simulator reads from the machines' state, to choose the targets of faults and to
+//! measure waiting work.
 
 use super::{Node, NodeIndex, NodeMachine};
 use crate::world::World;
@@ -10,13 +11,13 @@
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
-    /// The first backup of control, as the primary's record has it, if it runs.
+    /// The first control backup in the primary's epoch record, if it runs.
     pub fn control_backup(&self) -> Option<NodeIndex> {
         let record = self.control_record()?;
         self.running_node_at(record.backups.first()?.address)
     }
 
-    /// A control node that runs and is neither primary nor backup.
+    /// A control node that is neither primary nor backup and has not been replaced.
     pub fn control_spare(&self) -> Option<NodeIndex> {
         let record = self.control_record()?;
         let is_spare = |node: &Node| {
@@ -40,7 +41,7 @@
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
-    /// A storage node that runs, has a copy of a shard and doesn't serve it.
+    /// A running storage node that has a copy of a shard and doesn't serve it.
     pub fn other_replica(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
         let holds_copy = |node: &Node| match &node.machine {
             NodeMachine::Storage(machine) => {
@@ -51,7 +52,7 @@
         self.nodes.iter().position(holds_copy).map(NodeIndex)
     }
 
-    /// The storage nodes that run and have a copy of a shard.
+    /// The running storage nodes that have a copy of a shard.
     pub(crate) fn replica_nodes(&self, shard: topazyard_types::ShardId) -> Vec<NodeIndex> {
         let holds_copy = |node: &Node| match &node.machine {
             NodeMachine::Storage(machine) => machine.copy(shard).is_some(),
@@ -60,8 +61,8 @@
         (0..self.nodes.len()).map(NodeIndex).filter(|at| holds_copy(&self.nodes[at.0])).collect()
     }
 
-    /// The cost of all accepted items without a final return, as the most advanced copy of each
-    /// shard has it.
+    /// The cost of all accepted items without a final result, according to the most advanced copy
+    /// of each shard.
     pub(crate) fn waiting_work(&mut self) -> u64 {
         let mut total = 0;
         for shard in topazyard_types::ShardId::all().filter(|shard| !shard.is_counter()) {
@@ -84,7 +85,7 @@
         total
     }
 
-    /// Holds at the counter, where one leads it.
+    /// The number of budget holds at the counter, if a storage node serves it.
     pub fn counter_holds(&self) -> Option<usize> {
         self.nodes.iter().find_map(|node| match &node.machine {
             NodeMachine::Storage(machine)
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated processes, each with one of the real machines.
+//! Simulated processes, each running one of the real state machines.
 
 mod clocks;
 mod in_force;
@@ -16,63 +16,63 @@
 use topazyard_wire::driver::DiskStart;
 use topazyard_wire::message::membership::{Member, MemberRole};
 
-/// Names a process in the world.
+/// The index of a process in the world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeIndex(pub usize);
 
-/// What a process is.
+/// The kind of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeKind {
     /// A control node.
     Control,
     /// A storage node.
     Storage,
-    /// An agent beside a relay.
+    /// An edge agent next to a relay.
     Agent,
     /// A relay.
     Relay,
 }
 
-/// A process's machine.
+/// The state machine that a process runs.
 pub(crate) enum NodeMachine {
-    /// It does not run.
+    /// The process is not running.
     Stopped,
-    /// A control node's.
+    /// The machine of a control node.
     Control(Box<ControlMachine>),
-    /// A storage node's.
+    /// The machine of a storage node.
     Storage(Box<StorageMachine>),
-    /// An agent's.
+    /// The machine of an edge agent.
     Agent(Box<AgentMachine>),
-    /// A relay's.
+    /// The machine of a relay.
     Relay(Box<RelayMachine>),
 }
 
-/// How the name of a process ends whose place another took, or that was taken away.
+/// Suffix of the name of a process that was replaced or removed.
 pub(crate) const REPLACED: &str = " (replaced)";
 
-/// A process.
+/// A simulated process and the machine it runs on.
 pub struct Node {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub kind: NodeKind,
-    /// Where it takes frames.
+    /// The address it receives frames on.
     pub address: std::net::SocketAddr,
-    /// Its neighbour, for relays and agents.
+    /// The address of the agent next to a relay, or of the relay next to an agent.
     pub neighbour: Option<std::net::SocketAddr>,
     /// Its failure zone.
     pub zone: u16,
-    /// The seeds in its settings: where control nodes were when it was set up.
+    /// The seed addresses in its settings: where control nodes were when it was set up.
     seeds: Vec<std::net::SocketAddr>,
     /// Its disk.
     pub disk: Disk,
     pub(crate) machine: NodeMachine,
     pub(crate) id: NodeId,
-    /// Rises with each start.
+    /// Rises with each start and stop, so that events of an earlier run are ignored.
     pub(crate) generation: u64,
     pub(crate) frozen_until: Option<Us>,
-    /// What its clock showed at some moment, and how much faster than right it runs since, in
-    /// millionths.
+    /// A simulated time and what the process's clock showed then. Since then the clock has run
+    /// faster than real time by `rate_ppm` parts per million.
     clock_reference: (Us, Us),
     rate_ppm: i64,
     clock_stopped_us: Us,
@@ -81,19 +81,19 @@
 }
 
 impl Node {
-    /// Whether another machine took its place, or it was taken away.
+    /// Whether another machine replaced it, or it was removed.
     pub fn is_replaced(&self) -> bool {
         self.name.ends_with(REPLACED)
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_running(&self) -> bool {
         !matches!(self.machine, NodeMachine::Stopped)
     }
 }
 
 impl World {
-    /// Adds a process that does not run yet.
+    /// Adds a process that is not running yet.
     pub fn add_node(
         &mut self,
         name: String,
@@ -125,7 +125,8 @@
         NodeIndex(self.nodes.len() - 1)
     }
 
-    /// Starts a process from what its disk holds.
+    /// Starts a process from the synced rows of its disk. If the disk is full, the process starts
+    /// once there is space.
     pub fn start(&mut self, index: NodeIndex) {
         if self.nodes[index.0].is_running() {
             return;
@@ -234,7 +235,7 @@
         self.schedule_after(offset, Event::Tick(index, generation));
     }
 
-    /// Ends a process; `power` says whether the power goes with it.
+    /// Stops a process; `loses_power` says whether its machine loses power too.
     pub fn stop(&mut self, index: NodeIndex, loses_power: bool) {
         let extra_writes = self.draw(0..4) as usize;
         if self.nodes[index.0].is_running() {
@@ -252,7 +253,7 @@
         self.abort_sessions_of(index);
     }
 
-    /// Freezes a process: nothing of it happens until it wakes.
+    /// Freezes a process: its events wait until it wakes.
     pub fn freeze(&mut self, index: NodeIndex, us: Us) {
         let until = self.time + us;
         self.nodes[index.0].frozen_until = Some(until);
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Notes that a process's machine is struck from now on.
+    /// Records that a process's machine is impaired from now on.
     pub(crate) fn record_impairment(&mut self, index: NodeIndex, by: Struck) {
         let node = &self.nodes[index.0];
         let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
@@ -273,12 +274,13 @@
         self.history.struck.push(StruckSeen { name, by, has_disk, from, until: None });
     }
 
-    /// Notes that all that were struck so are well again.
+    /// Records that all impairments of this kind have ended.
     pub(crate) fn end_impairments(&mut self, by: Struck) {
         self.end_impairments_where(|impairment| impairment.by == by);
     }
 
-    /// Takes a machine away that is not missed, as others have what it had.
+    /// Removes a machine for good: others hold its data, so its absence no longer counts as an
+    /// outage.
     pub(crate) fn remove(&mut self, index: NodeIndex) {
         self.stop(index, true);
         let node = &mut self.nodes[index.0];
@@ -291,7 +293,7 @@
         self.end_outage(&format!("{name}{REPLACED}"));
     }
 
-    /// Notes that the machine of that name is no longer missed.
+    /// Records that the outage of the machine with this name has ended.
     pub(crate) fn end_outage(&mut self, name: &str) {
         self.end_impairments_where(|impairment| {
             impairment.by == Struck::Off && impairment.name == name
@@ -310,7 +312,7 @@
         self.nodes[index.0].frozen_until.is_some_and(|until| until > self.time)
     }
 
-    /// Puts an event off while a process is frozen.
+    /// Postpones an event while a process is frozen. Returns whether it did.
     pub(crate) fn defer_if_frozen(
         &mut self,
         index: NodeIndex,
@@ -330,7 +332,7 @@
         self.nodes.iter().position(is_match).map(NodeIndex)
     }
 
-    /// The newest process of that name.
+    /// The newest process with this name.
     pub fn node_named(&self, name: &str) -> Option<NodeIndex> {
         self.nodes.iter().rposition(|node| node.name == name).map(NodeIndex)
     }
--- a/fleet-simulator/src/world/nodes/steps.rs
+++ b/fleet-simulator/src/world/nodes/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of the machines: what they are told, and their effects on the world.
+//! Steps of the machines: their inputs, and their effects on the world.
 
 use super::{NodeIndex, NodeMachine};
 use crate::world::{Caller, Event, World};
@@ -8,10 +8,10 @@
 use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest};
 use topazyard_wire::{Effect, Input, Machine as _, Message, WriteToken};
 
-/// How often a process ticks.
+/// The tick interval of a process.
 pub(super) const TICK_US: u64 = 25_000;
 
-/// What a machine put out, whichever machine it is.
+/// A response from any kind of machine.
 enum Response {
     Operate(OperatorOutcome),
     Relay(RelayResponse),
@@ -77,7 +77,7 @@
         self.step(index, StepInput::Control(call, request));
     }
 
-    /// Tells a control node that its process is about to end.
+    /// Requests a control node to leave before its process is stopped.
     pub(crate) fn request_leave(&mut self, index: NodeIndex) {
         let call = self.register_call(index, Caller::Ignored);
         self.step(index, StepInput::Control(call, topazyard_control::ControlCall::Leave));
@@ -93,7 +93,7 @@
 
     fn step(&mut self, index: NodeIndex, input: StepInput) {
         let now = self.node_clock(index);
-        // Taken out while it steps, so that its effects may reach the whole world.
+        // The machine is taken out while it steps, so that its effects can borrow the whole world.
         let mut node_machine =
             std::mem::replace(&mut self.nodes[index.0].machine, NodeMachine::Stopped);
         let generation = self.nodes[index.0].generation;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Makes an effect of a machine happen that nobody outside calls and that begins no tasks.
+    /// Applies an effect of a machine that takes no calls from outside and starts no tasks.
     fn apply_effect<R>(
         &mut self,
         index: NodeIndex,
@@ -169,7 +169,7 @@
                 self.handle_response(index, call, Response::Operate(value))
             }
             Effect::Log { text, .. } => self.log(index, &text),
-            // The platform hands the list of engines in.
+            // The simulated platform submits the list of engines itself.
             Effect::StartTask(topazyard_control::ControlTask::ListEngines) => {}
             Effect::StartTask(topazyard_control::ControlTask::FetchLoads(engines)) => {
                 let generation = self.nodes[index.0].generation;
@@ -235,9 +235,10 @@
         let generation = self.nodes[index.0].generation;
         match task {
             RelayTask::RunItem { run, target, body } => self.start_item(index, run, target, body),
-            // Nobody here hands in routed items.
+            // No simulated client submits routed items.
             RelayTask::RunRoutedItem(_) | RelayTask::AbortRoutedRuns => {}
-            // Lanes alone are simulated: no engine is ever reached for a route.
+            // Only model routes are simulated: no engine is ever contacted for a route by host and
+            // path.
             RelayTask::CheckHealth(target) | RelayTask::ProbeConnection(target) => {
                 let is_healthy = self.engine_answers_health_checks(&target.engine);
                 let us = if is_healthy { 2 * self.network_delay() } else { 800_000 };
@@ -268,7 +269,7 @@
     }
 }
 
-/// What a machine is told, whichever it is.
+/// An input to any kind of machine.
 enum StepInput {
     Tick,
     Frame(NodeId, std::net::SocketAddr, Message),
@@ -279,7 +280,7 @@
 }
 
 impl StepInput {
-    /// The input of a machine that takes no calls here.
+    /// Converts to the input of a machine that takes no calls from outside.
     fn into_input<C>(self) -> Option<Input<C>> {
         match self {
             Self::Tick => Some(Input::Tick),
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -1,5 +1,5 @@
-//! What a relay's process does outside its machine: a prompt's way by the same state chart as in
-//! the real process, and runs of items.
+//! What a relay process does outside its machine: handling of prompts, with the same request state
+//! machine as in the real process, and runs of batch items.
 
 use super::engines::{EngineEvent, RunOwner};
 use super::{Caller, Event, InjectedBug, NodeIndex, World};
@@ -11,12 +11,12 @@
 use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::message::batch::{Run, RunEnd};
 
-/// A prompt on its way through a relay.
+/// A prompt that a relay handles.
 #[derive(Debug)]
 pub struct Session {
     node: NodeIndex,
     generation: u64,
-    /// The prompt in the history.
+    /// Index of the prompt in the history.
     prompt: usize,
     state_machine: RequestStateMachine,
     body: bytes::Bytes,
@@ -29,22 +29,22 @@
     is_finished: bool,
 }
 
-/// Something in a prompt's way; the number says at which try.
+/// An event of a prompt; the number is the attempt it belongs to.
 #[derive(Debug)]
 pub enum SessionEvent {
-    /// A connection to the engine is there, or not.
+    /// The connection to the engine was established, or failed.
     Connected(u32, bool),
-    /// A piece of the return came.
+    /// A piece of the response arrived.
     Piece(u32, Piece),
-    /// The engine's connection broke.
+    /// The connection to the engine was lost.
     ConnectionLost(u32),
-    /// The head of the return was waited for long enough.
+    /// The head of the response did not arrive in time.
     HeadTimedOut(u32),
-    /// The client's wait is over.
+    /// The client's deadline has passed.
     Deadline,
 }
 
-/// An item's run at a relay.
+/// A run of a batch item at a relay.
 #[derive(Debug)]
 pub(crate) struct ItemRun {
     node: NodeIndex,
@@ -56,21 +56,21 @@
     is_finished: bool,
 }
 
-/// Something in an item's run.
+/// An event of a batch item's run.
 #[derive(Debug)]
 pub(crate) enum ItemEvent {
-    /// A connection is there, or not.
+    /// The connection to the engine was established, or failed.
     Connected(usize, bool),
-    /// The whole return came.
+    /// The complete response arrived.
     Complete(usize, Piece),
-    /// The engine's connection broke.
+    /// The connection to the engine was lost.
     ConnectionLost(usize),
-    /// It took too long.
+    /// The run timed out.
     TimedOut(usize),
 }
 
 impl World {
-    /// A prompt arrives at a relay.
+    /// Starts to handle a prompt that arrived at a relay.
     pub(crate) fn start_session(&mut self, node: NodeIndex, prompt: usize, pieces: u32) {
         let seen = &self.history.prompts[prompt];
         let work = &self.history.works[seen.work];
@@ -124,7 +124,7 @@
         let seen = &mut self.history.prompts[prompt];
         if seen.end.is_none() {
             let gave_up = seen.sent + seen.wait + 1_500_000;
-            // A client that waited far beyond its time has hung up.
+            // A client that waited well past its deadline has disconnected.
             seen.end = Some(if at > gave_up { (gave_up, PromptEnd::Broken) } else { (at, end) });
         }
     }
@@ -220,7 +220,7 @@
                 if known.attempt == attempt && !known.is_finished {
                     known.run = Some(run);
                 } else {
-                    // The relay closed the connection while the body was on its way.
+                    // The relay closed the connection while the request was in flight.
                     self.cancel_run(run);
                 }
             }
@@ -311,7 +311,8 @@
         }
     }
 
-    /// A relay's process ended: its connections break on both sides.
+    /// Ends all prompts and item runs of a relay process that stopped: its connections to clients
+    /// and engines are lost.
     pub(crate) fn abort_sessions_of(&mut self, node: NodeIndex) {
         for at in 0..self.sessions.len() {
             let session = &mut self.sessions[at];
