--- a/fleet-simulator/src/deployment.rs
+++ b/fleet-simulator/src/deployment.rs
@@ -1,13 +1,14 @@
-//! The two deployments at their full sizes, and both grown, with two machines that may be lost.
+//! The two simulated deployments at full size, and a grown variant of each that tolerates the loss
+//! of two machines.
 
-/// How large a fleet is and how it is used.
+/// The size of a fleet and its load.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     /// Its name.
     pub name: &'static str,
     /// Control nodes; the first three are the seeds.
     pub controls: u16,
-    /// Machines with a disk that may be lost at the same time.
+    /// How many machines with a disk may be lost at the same time.
     pub lost_machines: u16,
     /// Storage nodes.
     pub storages: u16,
@@ -30,12 +31,12 @@
 }
 
 impl Deployment {
-    /// All of them.
+    /// All deployments.
     pub fn all() -> [Self; 4] {
         [Self::cristallo(), Self::quito(), Self::grown_cristallo(), Self::grown_quito()]
     }
 
-    /// Materials checks and datasheet extractions, small batches every second.
+    /// Materials checks and datasheet extractions, with small batches every two seconds.
     ///
     /// ```
     /// assert_eq!(fleet_simulator::Deployment::cristallo().relays, 9);
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Line checks and cue fixes in a steady flow, reels now and then.
+    /// Line checks and cue fixes at a steady rate, with large batches of whole reels every ten
+    /// seconds.
     ///
     /// ```
     /// assert_eq!(fleet_simulator::Deployment::quito().storages, 4);
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Cristallo once it has grown: two machines may be lost at once. Fewer edge nodes keep it fast.
+    /// Cristallo after growth: two machines may be lost at once. Fewer edge nodes keep the
+    /// simulation fast.
     ///
     /// ```
     /// assert_eq!(fleet_simulator::Deployment::grown_cristallo().lost_machines, 2);
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Quito once it has grown, likewise.
+    /// Quito after growth: two machines may be lost at once. Fewer edge nodes keep the simulation
+    /// fast.
     ///
     /// ```
     /// assert_eq!(fleet_simulator::Deployment::grown_quito().storages, 10);
--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults, as they are caused.
+//! Faults and their effects on the simulated world.
 
 use crate::history::{FaultSeen, Struck};
 use crate::workload::Activity;
@@ -10,118 +10,120 @@
 use topazyard_types::{DurationMs, ShardId};
 use topazyard_wire::message::operate::{Command, OperatorRequest};
 
-/// Whom a fault strikes.
+/// The process a fault applies to, resolved when the fault happens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Whom {
-    /// The process of that name.
+    /// The process with this name.
     Named(String),
-    /// Whoever is the control primary then.
+    /// The control primary at that time.
     ControlPrimary,
-    /// Whoever is the control backup then: a control node that is not the primary.
+    /// The first running control node that is not the primary.
     OtherControl,
-    /// The first backup of control then.
+    /// The first control backup in the primary's epoch record.
     ControlBackup,
-    /// A control node that runs and is neither primary nor backup then.
+    /// A control node that is neither primary nor backup.
     ControlSpare,
-    /// Whoever leads a shard then.
+    /// The primary of a shard at that time.
     ShardPrimary(u16),
-    /// Another node that holds a copy of a shard then.
+    /// A running storage node that has a copy of a shard and is not its primary.
     ShardHolder(u16),
 }
 
-/// A fault.
+/// A fault, or a change of load or configuration that a scenario makes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
     /// A process is killed.
     Kill(Whom),
-    /// A machine loses its power, and what was not synced with it.
+    /// A machine loses power and all unsynced writes.
     LosePower(Whom),
-    /// A machine loses its disk and its power.
+    /// A machine loses its disk and power.
     LoseDisk(Whom),
-    /// A process that was struck starts again.
+    /// A stopped process starts again.
     Start(Whom),
-    /// Everything that was struck starts again.
+    /// All stopped processes start again, except replaced ones.
     StartAll,
-    /// A process freezes for so many milliseconds, and wakes.
+    /// A process freezes for this many milliseconds.
     Freeze(Whom, u64),
-    /// A process is cut off from all others; the numbers say which ways are cut.
+    /// A process is cut off from all others, in one or both directions.
     CutOff(Whom, Direction),
-    /// A control node is cut off from the other control nodes alone.
+    /// A process is cut off from control nodes only.
     CutOffFromCore(Whom, Direction),
-    /// Control nodes are split from all storage nodes.
+    /// Control nodes and storage nodes can't reach each other.
     SplitCoreFromStorage,
     /// A zone is cut off from all others.
     CutZone(u16),
-    /// Every machine of a zone loses its power.
+    /// Every machine of a zone loses power.
     LoseZone(u16),
-    /// Of ten thousand frames so many come twice, and as many up to 3 s late.
+    /// Of ten thousand frames, this many are duplicated and as many arrive up to 3 s late.
     Untidy(u64),
-    /// From now on each clock runs up to a hundredth too fast or too slow.
+    /// From now on each clock runs up to 1 % too fast or too slow.
     Drift,
-    /// All cuts are mended.
+    /// All blocked links work again.
     Mend,
-    /// Of ten thousand frames so many are lost.
+    /// Of ten thousand frames, this many are lost.
     Lossy(u64),
-    /// A disk takes so many milliseconds longer for each sync.
+    /// Each sync of a disk takes this many milliseconds longer.
     SlowDisk(Whom, u64),
-    /// All disks are as fast as ever.
+    /// All disks have their usual speed again.
     FastDisks,
-    /// A disk takes no more bytes.
+    /// A disk is full.
     FullDisk(Whom),
-    /// Every process whose disk is full is killed.
+    /// All processes whose disk is full are killed.
     KillFull,
-    /// All disks have room again.
+    /// All disks have free space again.
     Room,
-    /// An engine fares so.
+    /// The health of an engine changes.
     Engine(u16, EngineHealth),
     /// The platform lists an engine as leaving.
     EngineLeaves(u16),
     /// The platform lists an engine as ready again.
     EngineReady(u16),
-    /// The clients send so many prompts a second.
+    /// Clients send this many prompts a second.
     Crowd(u64),
-    /// So many batches land at once.
+    /// This many batches are submitted at once.
     Batches(u64),
     /// A machine is replaced by an empty one at a new address.
     Replace(Whom),
-    /// An empty machine is started at a new address to take a machine's place, which runs on.
+    /// An empty machine is started at a new address to take the place of a machine, which keeps
+    /// running.
     Succeed(Whom),
-    /// A control node is told to leave.
+    /// A control node is requested to leave.
     Leave(Whom),
-    /// A machine whose place another took is taken away.
+    /// A machine that was replaced is removed.
     Remove(Whom),
-    /// An operator has a storage node retired, and takes it away once that is done.
+    /// An operator requests the retirement of a storage node and removes it once that is completed.
     Retire(Whom),
-    /// Of a hundred answers to operators so many are lost.
+    /// Of a hundred responses to operators, this many are lost.
     LoseAnswers(u64),
-    /// Operators order a numbered configuration every so many milliseconds.
+    /// Operators submit numbered configurations at this interval in milliseconds.
     OrdersEvery(u64),
     /// A new storage node is added.
     AddStorage,
-    /// A relay is asked to drain.
+    /// A relay is requested to drain.
     Drain(Whom),
-    /// An operator asks for a storage node to be emptied.
+    /// An operator requests a storage node to be emptied.
     Empty(Whom),
-    /// Specs have so many lanes more.
+    /// New configurations have this many extra model routes.
     MoreLanes(u64),
-    /// The next specs have that ceiling on waiting batch work.
+    /// New configurations have this ceiling on waiting batch work.
     Ceiling(u64),
-    /// After so many more answers that tell a client of a batch, as many disks are lost as may be, those
-    /// of the batch's shard among them, and all other machines lose their power at the same instant. All
-    /// start again after so many milliseconds.
+    /// After this many more responses to clients about a batch, the maximum number of disks is
+    /// lost, among them disks with copies of the batch's shard, and all other machines lose power
+    /// at the same instant. All start again after this many milliseconds.
     WipeAfterAnswers(u64, u64),
-    /// The machines with a disk are split into two halves, drawn from that number.
+    /// The machines with a disk are split into two halves that can't reach each other; the number
+    /// seeds the split.
     Halves(u64),
 }
 
-/// Which ways are cut.
+/// The directions in which a process is cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// Both.
+    /// Both directions.
     Both,
-    /// Only what it sends.
+    /// Only the frames it sends.
     Outward,
-    /// Only what it gets.
+    /// Only the frames it receives.
     Inward,
 }
 
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Causes a fault, and notes it in the history.
+    /// Applies a fault and records it in the history.
     pub(crate) fn apply_fault(&mut self, fault: Fault) {
         let target = match &fault {
             Fault::Kill(whom)
@@ -335,7 +337,8 @@
         }
     }
 
-    /// A client was told of a batch: the loss that waits for that may strike now.
+    /// Counts a response to a client about a batch, and causes the loss of disks and power planned
+    /// by `Fault::WipeAfterAnswers` once enough responses were sent.
     pub(crate) fn count_batch_response(&mut self, shard: ShardId) {
         let (responses, down_ms) = self.wipe_after;
         self.wipe_after.0 = responses.saturating_sub(1);
@@ -364,7 +367,8 @@
         self.schedule_after(down_ms * 1_000, Event::Fault(Fault::StartAll));
     }
 
-    /// Splits the machines with a disk into halves, each with some of the core and of the storage nodes.
+    /// Splits the machines with a disk into two halves, each with some control nodes and some
+    /// storage nodes.
     fn split_into_halves(&mut self, seed: u64) {
         use rand::{SeedableRng as _, seq::SliceRandom as _};
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
@@ -403,7 +407,7 @@
         &mut self,
         is_blocked: impl Fn(std::net::SocketAddr, std::net::SocketAddr) -> bool,
     ) {
-        // An agent and its relay talk over loopback, which no cut reaches.
+        // An agent and its relay communicate over loopback, which is never blocked.
         let are_neighbours = |world: &Self, from, to| {
             world.nodes.iter().any(|node| node.address == from && node.neighbour == Some(to))
         };
@@ -423,7 +427,7 @@
         nodes.map(|node| node.address).collect()
     }
 
-    /// Cuts a node off from those others, one way or both.
+    /// Cuts a node off from the given peers, in one or both directions.
     fn isolate(
         &mut self,
         index: NodeIndex,
@@ -443,14 +447,14 @@
         });
     }
 
-    /// Starts an empty machine at a new address in a machine's place.
+    /// Starts an empty machine at a new address in place of another machine.
     fn start_successor(&mut self, index: NodeIndex) {
         let (kind, zone) = (self.nodes[index.0].kind, self.nodes[index.0].zone);
         let name = self.nodes[index.0].name.clone();
         self.nodes[index.0].name = format!("{name}{REPLACED}");
         let port = 3_000 + self.nodes.len() as u16;
         if kind == NodeKind::Control {
-            // Whoever sets up machines from now on names the new one as a seed.
+            // Machines set up from now on have the new address as a seed.
             let old = self.nodes[index.0].address;
             let address = std::net::SocketAddr::from(([10, 0, 0, 1], port));
             self.seeds.iter_mut().filter(|seed| **seed == old).for_each(|seed| *seed = address);
@@ -459,7 +463,7 @@
         self.start(new);
     }
 
-    /// Plans a fault.
+    /// Schedules a fault.
     pub fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
         self.schedule_at(at_ms * 1_000, Event::Fault(fault));
     }
--- a/fleet-simulator/src/lib.rs
+++ b/fleet-simulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! Whole clusters in one process, from a seed: the same machines as in the real processes, on a
-//! simulated network, clock and disk that loses what was not synced.
+//! Deterministic simulation of whole fleets in one process, from a seed: the same state machines as
+//! in the real processes, on a simulated network, clocks, and disks that lose unsynced writes.
 //!
-//! The checker in [`check`] sees only what clients, operators, the platform and the engines saw.
+//! The checker in [`check`] sees only what clients, operators, the platform and the engines
+//! observed.
 
 pub mod check;
 pub mod deployment;
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -5,34 +5,35 @@
 use clap::Parser as _;
 use fleet_simulator::{Deployment, Scenario, run};
 
-/// Runs simulated fleets from seeds; prints each seed that crossed a line, with its trace
+/// Runs simulated fleets from seeds; prints each seed with a violation, with its trace
 #[derive(clap::Parser)]
 #[command(version)]
 struct Flags {
-    /// What to do instead of running scenarios
+    /// A subcommand to run instead of scenarios
     #[command(subcommand)]
     command: Option<Command>,
-    /// The scenario, or all
+    /// The scenario to run, or all
     #[arg(long, default_value = "all")]
     scenario: String,
-    /// cristallo, quito, both of them, grown-cristallo, grown-quito, grown for both of them, or all
+    /// The deployment: cristallo, quito, both (these two), grown-cristallo, grown-quito, grown
+    /// (these two), or all
     #[arg(long, default_value = "both")]
     deployment: String,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds
+    /// The number of seeds
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How many runs at a time
+    /// The number of runs in parallel
     #[arg(long, default_value_t = 8)]
     threads: usize,
 }
 
-/// What else it can do
+/// Subcommands
 #[derive(clap::Subcommand)]
 enum Command {
-    /// Searches the orders of events that the control side may meet
+    /// Explores the orders of events that control nodes may encounter
     Model(model_command::ModelFlags),
 }
 
@@ -50,7 +51,7 @@
         name => match Scenario::named(name) {
             Some(scenario) => vec![scenario],
             None => {
-                eprintln!("there is no scenario {name}");
+                eprintln!("unknown scenario: {name}");
                 return std::process::ExitCode::from(2);
             }
         },
@@ -73,17 +74,17 @@
         }
     }
     let total = jobs.len();
-    let mut crossed = 0;
+    let mut violated = 0;
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::scope(|scope| {
-        let mut shares: Vec<Vec<_>> = vec![Vec::new(); flags.threads.max(1)];
-        for (at, job) in jobs.into_iter().enumerate() {
-            shares[at % flags.threads.max(1)].push(job);
+        let mut job_lists: Vec<Vec<_>> = vec![Vec::new(); flags.threads.max(1)];
+        for (index, job) in jobs.into_iter().enumerate() {
+            job_lists[index % flags.threads.max(1)].push(job);
         }
-        for share in shares {
+        for job_list in job_lists {
             let sender = sender.clone();
             scope.spawn(move || {
-                for (deployment, scenario, seed) in share {
+                for (deployment, scenario, seed) in job_list {
                     let report = run(&deployment, scenario, seed, None);
                     if sender.send((deployment.name, scenario, seed, report)).is_err() {
                         return;
@@ -98,9 +99,9 @@
             if report.violations.is_empty() {
                 continue;
             }
-            crossed += 1;
+            violated += 1;
             println!(
-                "CROSSED. Again: fleet-simulator --deployment {deployment} --scenario {} --seed {seed}",
+                "VIOLATION. Reproduce with: fleet-simulator --deployment {deployment} --scenario {} --seed {seed}",
                 scenario.name()
             );
             report.faults.iter().for_each(|fault| println!("  {fault}"));
@@ -110,6 +111,6 @@
             }
         }
     });
-    println!("{total} runs, {crossed} crossed a line");
-    if crossed == 0 { std::process::ExitCode::SUCCESS } else { std::process::ExitCode::FAILURE }
+    println!("{total} runs, {violated} with violations");
+    if violated == 0 { std::process::ExitCode::SUCCESS } else { std::process::ExitCode::FAILURE }
 }
--- a/fleet-simulator/src/plan/chaos.rs
+++ b/fleet-simulator/src/plan/chaos.rs
@@ -1,4 +1,4 @@
-//! Everything, drawn by chance.
+//! Random faults of all kinds.
 
 use super::PlanBuilder;
 use crate::faults::{Direction, Fault};
--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -1,18 +1,19 @@
-//! Control under its worst days: cut off, raced at, struck again at once, left behind.
+//! Faults of control nodes: they are cut off, get racing orders, are lost right after another loss,
+//! or are absent for long.
 
 use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Direction, Fault, Whom};
 use rand::Rng as _;
 
-/// How long a machine that is back counts as lost.
+/// How long a machine that is back still counts as lost.
 const CATCH_UP_MS: u64 = 5_000;
-/// For how long control nodes are cut off.
+/// How long control nodes are cut off.
 const CUT_OFF_MS: u64 = 20_000;
-/// For how long a member is left behind.
+/// How long a control node is absent.
 const ABSENT_MS: u64 = 20_000;
 
 impl PlanBuilder<'_> {
-    /// Members of the core, as many as may be lost at once, each another one.
+    /// Draws different control nodes, as many as may be lost at once.
     fn core_members(&mut self) -> Vec<Whom> {
         let mut roles = vec![
             Whom::ControlPrimary,
@@ -22,7 +23,7 @@
         ];
         let count = usize::from(self.deployment.lost_machines);
         if count > 1 {
-            // A seed may be any of the others.
+            // The seed could be the same node as one of the other three.
             roles.truncate(3);
         }
         (0..count).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
@@ -45,7 +46,7 @@
                 self.add(0, fault);
             }
             self.add(CUT_OFF_MS, Fault::Mend);
-            // The next one in turn, sometimes as soon as the last one counts no more.
+            // The next loss, sometimes as soon as the last one no longer counts.
             self.at_ms += CUT_OFF_MS + CATCH_UP_MS + self.rng.random_range(0..3_000);
         }
         self.add(0, Fault::LoseAnswers(0));
@@ -78,7 +79,8 @@
     pub(super) fn second_loss(&mut self) {
         let storages = self.count_storages();
         for round in 0..7 {
-            // A clean leave beside a loss, and a retirement beside a wipe.
+            // Once, a storage node retires right before a loss. Planned replacements, below, add clean
+            // leaves between losses.
             if round == 3 {
                 let node = named("storage", self.rng.random_range(1..=storages));
                 self.add(0, Fault::AddStorage);
@@ -89,8 +91,8 @@
             let members = self.worst_members();
             let kind = self.rng.random_range(0..5);
             if kind == 4 {
-                // The new one has had its time when the old one leaves, so that the next loss may
-                // come at once.
+                // The new node has had time to catch up when the old one leaves, so the next loss
+                // may come at once.
                 self.planned_replacement();
                 continue;
             }
@@ -119,7 +121,7 @@
         self.at_ms += 210;
     }
 
-    /// Machines whose loss at this moment hurts most, as many as may be lost at once.
+    /// Draws the processes whose loss has the greatest impact, as many as may be lost at once.
     fn worst_members(&mut self) -> Vec<Whom> {
         let shard = self.rng.random_range(0..5);
         let all = [
@@ -154,7 +156,7 @@
             self.add(ABSENT_MS, Fault::Mend);
             self.add(ABSENT_MS + 1_000, Fault::OrdersEvery(300));
             self.at_ms += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
-            // One after the other leads and goes, so that the one that was away must lead.
+            // One primary after another is killed, so that the node that was absent must take over.
             for _ in 0..2 {
                 self.add(0, Fault::Kill(Whom::ControlPrimary));
                 if self.may_lose_two() {
@@ -216,7 +218,7 @@
         self.at_ms += 1_400 + CATCH_UP_MS;
     }
 
-    /// The primary goes while whoever takes over has a slow or stalled disk.
+    /// The primary is killed while the nodes that may take over have a slow or stalled disk.
     fn takeover_on_slow_disks(&mut self) {
         let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
         self.add(0, Fault::SlowDisk(Whom::ControlBackup, ms));
--- a/fleet-simulator/src/plan/load.rs
+++ b/fleet-simulator/src/plan/load.rs
@@ -1,4 +1,4 @@
-//! Load: crowds, batches, engines and what is emptied in order.
+//! Load spikes, batches, engine faults, drained nodes and losses of the counter.
 
 use super::{PlanBuilder, named};
 use crate::faults::{Fault, Whom};
@@ -28,7 +28,7 @@
             self.add(6_000, Fault::StartAll);
             self.at_ms += 9_000;
         }
-        // Both holders of the counter at once, and with them a shard's primary.
+        // All replicas of the counter at once, and with them a shard's primary.
         self.add(0, Fault::Batches(20));
         let shard = self.rng.random_range(1..5);
         self.add(300, Fault::Kill(Whom::ShardPrimary(shard)));
@@ -36,8 +36,8 @@
             self.add(500, Fault::Kill(named("storage", n)));
         }
         let storages = self.count_storages();
-        // Only as many as a shard needs are back at first: where all holders of a shard are
-        // missing, nobody says what waits there.
+        // At first only as many storage nodes are back as a shard has replicas: while all replicas
+        // of a shard are missing, its waiting work is unknown.
         let first = self.rng.random_range(1..=self.count_storages());
         for n in 0..=u64::from(self.deployment.lost_machines) {
             let next = (first - 1 + n) % storages + 1;
--- a/fleet-simulator/src/plan/losses.rs
+++ b/fleet-simulator/src/plan/losses.rs
@@ -1,4 +1,4 @@
-//! Processes and machines that are lost, and come back.
+//! Processes and machines that fail and come back.
 
 use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Fault, Whom};
@@ -38,7 +38,7 @@
             }
             self.at_ms += ms.max(4_000) + self.rng.random_range(0..4_000);
         }
-        // A relay wakes before its agent, when half of the engines have long left.
+        // A relay wakes before its agent, when half of the engines have left long ago.
         self.add(0, Fault::Freeze(named("relay", 1), 5_000));
         self.add(0, Fault::Freeze(named("agent", 1), 7_000));
         for engine in 0..self.deployment.engines / 2 {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Several short times without room and a long one; in some of them the process on the disk is
-    /// killed too, and finds no room when it starts.
+    /// Several short periods with full disks and a long one; in some of them the process on the
+    /// disk is killed too, and finds no free space when it starts.
     pub(super) fn full_disks(&mut self) {
         for n in 0..4 {
             let targets = if self.may_lose_two() {
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn zones(&mut self) {
-        // Whatever shares the fate of a zone: its engines go with it.
+        // The engines of a zone fail together with its machines.
         let (engines, zones) = (self.deployment.engines, self.deployment.zones);
         let engines_of = |zone: u16| (0..engines).filter(move |n| (n + 1) % zones == zone);
         let lost = self.rng.random_range(0..self.deployment.zones);
@@ -162,8 +162,9 @@
         }
     }
 
-    /// Batches land, and soon after an answer on one of them disks are lost and all else is dark. Mostly a
-    /// shard's primary has a slow disk by then, so that its copies are apart.
+    /// Batches are submitted, and soon after a response about one of them disks are lost and all
+    /// other machines lose power. In most rounds a shard's primary has a slow disk by then, so that
+    /// the shard's copies differ.
     pub(super) fn wipes(&mut self) {
         for round in 0..5 {
             let ms = [0, 20, 300, 1_500][self.rng.random_range(0..4)];
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Halves for some seconds, under load; a storage node is killed in one of them now and then.
+    /// The machines with a disk are split into halves for some seconds, under load; sometimes one
+    /// of them loses power meanwhile.
     pub(super) fn halves(&mut self) {
         for _ in 0..4 {
             let seed = self.rng.random_range(0..u64::MAX);
--- a/fleet-simulator/src/plan/machines.rs
+++ b/fleet-simulator/src/plan/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that are replaced, and processes that are restarted in turn.
+//! Machines that are replaced, and processes that are restarted one by one.
 
 use super::{PlanBuilder, all_of_kind, named};
 use crate::faults::{Fault, Whom};
@@ -20,7 +20,7 @@
             self.add(0, Fault::Replace(named("control", n)));
             self.at_ms += 18_000;
         }
-        // The whole edge starts anew with settings that name none of the present seeds.
+        // All edge nodes restart with settings that name none of the current seeds.
         for n in 1..=self.count_relays() {
             for whom in [named("relay", n), named("agent", n)] {
                 self.add(0, Fault::Kill(whom.clone()));
--- a/fleet-simulator/src/plan/mod.rs
+++ b/fleet-simulator/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario's faults, planned from the seed.
+//! The fault plan of a scenario, derived from the seed.
 
 mod chaos;
 mod core;
@@ -11,27 +11,27 @@
 use crate::{Deployment, Scenario};
 use rand::{Rng as _, SeedableRng as _};
 
-/// When the first fault may strike.
+/// The earliest time of the first fault.
 pub(crate) const FIRST_FAULT_MS: u64 = 15_000;
 
-/// The faults of a run, each with its moment in milliseconds.
+/// The faults of a run.
 pub(crate) struct Plan {
-    /// All of them.
+    /// Each fault with its time in milliseconds.
     pub(crate) faults: Vec<(u64, Fault)>,
-    /// When the last one is closed.
+    /// When the last fault is over.
     pub(crate) end_ms: u64,
 }
 
-/// A plan being drawn up.
+/// Builds the fault plan of a scenario.
 struct PlanBuilder<'a> {
     deployment: &'a Deployment,
     rng: rand::rngs::StdRng,
     faults: Vec<(u64, Fault)>,
-    /// The moment that the plan has come to.
+    /// The time that the plan has reached.
     at_ms: u64,
 }
 
-/// Plans a scenario's faults from the seed.
+/// Plans the faults of a scenario from the seed.
 pub(crate) fn plan(deployment: &Deployment, scenario: Scenario, seed: u64) -> Plan {
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed ^ 0x0007_0a5a_0ac7);
     let at_ms = FIRST_FAULT_MS + rng.random_range(0..1_000);
@@ -88,7 +88,7 @@
         Plan { end_ms: ends.max().unwrap_or(FIRST_FAULT_MS), faults: self.faults }
     }
 
-    /// Adds a fault so long after the moment that the plan has come to.
+    /// Adds a fault this long after the time that the plan has reached.
     fn add(&mut self, after_ms: u64, fault: Fault) {
         self.faults.push((self.at_ms + after_ms, fault));
     }
@@ -110,7 +110,7 @@
         u64::from(self.deployment.relays)
     }
 
-    /// Any machine, drawn by chance.
+    /// Draws any process.
     fn any_process(&mut self) -> Whom {
         let (storages, relays) = (self.count_storages(), self.count_relays());
         match self.rng.random_range(0..8) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A machine with a disk, drawn by chance.
+    /// Draws a machine with a disk.
     fn machine_with_disk(&mut self) -> Whom {
         match self.rng.random_range(0..5) {
             0 => Whom::ControlPrimary,
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Machines with a disk that are struck at the same instant, as many as may be lost: those
-    /// whose loss together hurts most.
+    /// Draws two machines with a disk to fail at the same instant, for deployments that tolerate
+    /// two losses: pairs whose loss has the greatest impact.
     fn worst_pair(&mut self) -> [Whom; 2] {
         let shard = self.rng.random_range(0..5);
         match self.rng.random_range(0..6) {
--- a/fleet-simulator/src/plan/network.rs
+++ b/fleet-simulator/src/plan/network.rs
@@ -1,4 +1,4 @@
-//! Cuts, and frames that come late.
+//! Blocked links, and duplicated and delayed frames.
 
 use super::{FIRST_FAULT_MS, PlanBuilder};
 use crate::faults::{Direction, Fault};
@@ -41,7 +41,7 @@
             let share = self.rng.random_range(50..300);
             self.add(0, Fault::Untidy(share));
             self.at_ms += 4_000;
-            // Late frames of the time before go on arriving while others take over.
+            // Delayed frames sent before still arrive while other nodes take over.
             self.add(0, Fault::Untidy(0));
             let whom = self.any_process();
             self.add(0, Fault::Kill(whom));
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -6,19 +6,19 @@
 use crate::workload::{Activity, WorkloadSettings};
 use crate::world::{Event, InjectedBug, NodeIndex, NodeKind, World};
 
-/// When load begins.
+/// When clients start to send load.
 const LOAD_START_MS: u64 = 7_000;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The lines that were crossed.
+    /// Violations that the checker found.
     pub violations: Vec<Violation>,
-    /// Figures.
+    /// Figures measured in the run.
     pub figures: Figures,
-    /// What was done, for the trace.
+    /// The faults that were caused, for the trace.
     pub faults: Vec<String>,
-    /// What the processes noted in their logs.
+    /// Log lines of all processes.
     pub notes: Vec<String>,
     /// A digest of the whole history: the same for the same seed.
     pub digest: topazyard_types::Digest,
@@ -28,7 +28,7 @@
     pub simulated_ms: u64,
 }
 
-/// Builds a fleet whose processes all start at once.
+/// Builds a fleet and starts all its processes at once.
 pub fn build(deployment: &crate::Deployment, seed: u64) -> World {
     let mut world = World::new(seed, deployment.zones);
     world.bounds.lost_machines = deployment.lost_machines;
@@ -68,7 +68,7 @@
     world
 }
 
-/// What people do in a scenario, unless told otherwise.
+/// The default workload of a scenario.
 pub fn workload_settings(deployment: &crate::Deployment, scenario: Scenario) -> WorkloadSettings {
     let cost = deployment.words + deployment.new_tokens;
     let usual = WorkloadSettings {
@@ -77,7 +77,7 @@
         new_tokens: deployment.new_tokens,
         items_per_batch: deployment.items_per_batch,
         batch_interval_s: deployment.batch_interval_s,
-        // In a crowd the budget is what must hold.
+        // The scenario with load spikes tests the budget, so its limit is low enough to be reached.
         limit_tokens: if scenario == Scenario::Crowds { 25 * cost } else { 40_000 },
         rollout_interval_s: if scenario == Scenario::Operators { 2 } else { 6 },
         ..WorkloadSettings::default()
@@ -85,7 +85,7 @@
     if !scenario.has_orders() {
         return usual;
     }
-    // What is watched here is control; a lighter load makes room for longer runs.
+    // These scenarios test control; a lighter load allows longer runs.
     WorkloadSettings {
         prompts_per_s: 12,
         items_per_batch: 10,
@@ -105,7 +105,7 @@
     run_with(deployment, scenario, seed, injected_bug, workload_settings(deployment, scenario))
 }
 
-/// Runs a scenario from a seed with habits other than the usual ones.
+/// Runs a scenario from a seed with a workload other than the default.
 pub fn run_with(
     deployment: &crate::Deployment,
     scenario: Scenario,
@@ -146,7 +146,7 @@
     world.run_until(faults_end + 18_000_000);
     world.workload.settings.is_active = false;
     world.run_until(faults_end + 30_000_000);
-    // Until nothing runs any more and every batch is done, within reason.
+    // Waits until nothing runs any more and every batch is done, at most 150 s.
     for _ in 0..30 {
         if world.is_idle() {
             break;
--- a/fleet-simulator/src/scenario.rs
+++ b/fleet-simulator/src/scenario.rs
@@ -1,71 +1,73 @@
-//! What goes wrong in a run.
+//! Scenarios: the faults of a run.
 
 /// What goes wrong in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scenario {
-    /// Nothing.
+    /// No faults.
     Calm,
-    /// Crowds, jumps, and many batches at once.
+    /// Load spikes, and many batches at once.
     Crowds,
-    /// Engines crash, go dark, slow down, cut returns, and are replaced in turn.
+    /// Engines crash, become unresponsive, slow down, cut off responses, and are replaced one by
+    /// one.
     Engines,
-    /// Many batches land at once while the shards' and the counter's holders and control are lost,
-    /// and a spec lowers the ceiling.
+    /// Many batches are submitted at once while control and the primaries of shards and of the
+    /// counter are lost, and a new configuration lowers the ceiling.
     Ceiling,
     /// Processes of every kind are killed and start again.
     Kills,
-    /// Processes of every kind freeze and wake.
+    /// Processes of every kind freeze and continue.
     Freezes,
     /// Machines lose power, and disks are lost.
     Power,
-    /// Every machine loses its power at once.
+    /// All machines lose power at once.
     Blackout,
-    /// Disks turn slow or stall.
+    /// Disks become slow or stall.
     SlowDisks,
-    /// Disks run full, some while their process is killed and starts again.
+    /// Disks become full, some while their process is killed and starts again.
     FullDisks,
-    /// Nodes are cut off, one way, both, flapping; core and storage are split; a zone is cut.
+    /// Nodes are cut off, in one or both directions, repeatedly; control and storage are split; a
+    /// zone is cut off.
     Cuts,
     /// Machines are replaced by empty ones at new addresses, and one is added.
     Replaced,
-    /// All three seed machines are exchanged one by one.
+    /// All three seed machines are replaced one by one.
     Seeds,
-    /// The counter's holders are lost, one and both.
+    /// The counter's primary is lost, and then all storage nodes at once.
     Counter,
-    /// Operators race while specs grow and control is struck.
+    /// Operators race while configurations grow and the control primary is killed and frozen.
     Operators,
-    /// Relays are drained and storage nodes emptied, and then they go.
+    /// Relays are drained and storage nodes emptied, and then they stop.
     Drains,
-    /// A whole zone, with its core, storage, edge and engines, loses power for long; another is
-    /// cut off for long.
+    /// A whole zone, with its control, storage and edge nodes and engines, loses power for a long
+    /// time; another is cut off for a long time.
     Zones,
-    /// Every process is restarted in turn, as when a new version is rolled out.
+    /// Every process is restarted in turn, as in a rolling upgrade.
     Rolling,
-    /// Frames come twice, late and out of order, and clocks run fast or slow.
+    /// Frames are duplicated, delayed and reordered, and clocks run fast or slow.
     Untidy,
     /// All control processes are killed at the same instant and start again within a second.
     Controls,
     /// Many processes of every kind are killed at the same instant and start again soon.
     Herd,
-    /// Everything, drawn by chance.
+    /// Random faults of all kinds.
     Chaos,
-    /// Control nodes are cut off from the core or from all, one way or both, for 20 s, while
-    /// operators order numbered configurations on either side.
+    /// Control nodes are cut off from the other control nodes or from all nodes, in one or both
+    /// directions, for 20 s, while operators submit numbered configurations on both sides.
     CutOffControl,
-    /// Operators race under the same number and base, and answers to them are lost, while frames
-    /// come late and control is struck.
+    /// Operators race with the same number and base, and responses to them are lost, while frames
+    /// are delayed and control nodes fail.
     Races,
-    /// The next loss comes as soon as the one before it counts no more.
+    /// Each loss comes as soon as the machine lost before no longer counts as lost.
     SecondLoss,
-    /// Hundreds of configurations are taken while a member of the core and relays are away; then
-    /// it must do without the others.
+    /// Hundreds of configurations are applied while a control node and relays are absent; then
+    /// control must work without the others.
     LongAbsent,
-    /// All of control loses its power, seeds are exchanged, disks stall while others take over.
+    /// All control nodes lose power, seeds are replaced, and disks stall during a takeover.
     CoreTroubles,
-    /// Right after work was accepted as many disks are lost as may be, and all other machines lose
-    /// their power with them.
+    /// Right after work was accepted the maximum number of disks is lost, and all other machines
+    /// lose power at the same time.
     Wipes,
-    /// The machines with a disk are split into two halves; all others reach both.
+    /// The machines with a disk are split into two halves; all other machines reach both.
     Halves,
 }
 
@@ -103,7 +105,8 @@
         Self::Halves,
     ];
 
-    /// Whether operators order numbered configurations instead of signing specs off.
+    /// Whether operators submit numbered configurations instead of signing configurations off and
+    /// rolling them out.
     pub fn has_orders(self) -> bool {
         matches!(
             self,
@@ -115,7 +118,7 @@
         )
     }
 
-    /// Its name, as the command line takes it.
+    /// Its name on the command line.
     ///
     /// ```
     /// assert_eq!(fleet_simulator::Scenario::SlowDisks.name(), "slowdisks");
@@ -124,7 +127,7 @@
         format!("{self:?}").to_lowercase()
     }
 
-    /// The scenario of that name.
+    /// The scenario with this name.
     ///
     /// ```
     /// use fleet_simulator::Scenario;
--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -1,4 +1,4 @@
-//! Clients with batches: they hand in, read, list, ask items back and end.
+//! Clients with batches: they submit, read and list them, recall items and end batches.
 
 use super::Activity;
 use crate::history::{BatchSeen, ListedReturn, ReadSeen, ReadTold, Us};
@@ -7,22 +7,22 @@
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
 use topazyard_wire::message::batch::{BatchCall, BatchResponse, Item, ItemEnd};
 
-/// What a client asked of its batch.
+/// A client's request about its batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchRequest {
-    /// Take it.
+    /// Submit the batch.
     Submit,
-    /// How does it stand?
+    /// Read the status of the batch.
     Read,
-    /// Its returns after those already listed.
+    /// List the results after those already listed.
     List,
-    /// An item back.
+    /// Recall an item.
     Recall(u32),
-    /// End it.
+    /// End the batch.
     End,
 }
 
-/// A client with a batch.
+/// A client that submitted a batch.
 #[derive(Debug)]
 pub(super) struct BatchClient {
     serial: u64,
@@ -35,9 +35,9 @@
     polls: u64,
 }
 
-/// After how many whole lists with all returns a client is content.
+/// The number of complete lists with all results after which a client stops.
 const REQUIRED_COMPLETE_LISTS: u32 = 3;
-/// For how long after its acceptance a batch is read at the least.
+/// The minimum time for which a batch is read after it was accepted.
 const MIN_READ_PERIOD_US: Us = 10_000_000;
 
 impl World {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Somebody hands in a batch now.
+    /// Submits a batch of a new client.
     pub fn submit_batch(&mut self) {
         let settings = self.workload.settings.clone();
         let batch = self.history.batches.len();
@@ -61,7 +61,8 @@
                 self.new_work("m", settings.words, settings.new_tokens, repeatable, Some(batch));
             cost += self.history.works[work].cost;
         }
-        // The older word stays: the id follows from the key, and a seed's history from the id.
+        // The word "parcel" stays: the batch id is derived from this key, so another key would
+        // change the history of every seed.
         let key = format!("parcel {batch} of {}", self.time);
         self.history.batches.push(BatchSeen {
             id: BatchId::from_key(&key),
@@ -91,7 +92,7 @@
         self.schedule_after(0, Event::Activity(Activity::ContinueBatch(batch)));
     }
 
-    /// Whether every accepted batch was listed whole.
+    /// Whether every accepted batch was listed completely as often as required.
     pub(crate) fn batches_are_done(&self) -> bool {
         let all = self.history.batches.iter().zip(&self.workload.batches);
         all.into_iter().all(|(seen, client)| {
@@ -225,7 +226,8 @@
         }
     }
 
-    /// A page of the list: an empty one ends the list, and the next is read from the start.
+    /// Records a page of the list. An empty page ends the list, and the next list is read from the
+    /// start.
     fn record_list_page(
         &mut self,
         batch: usize,
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -1,4 +1,5 @@
-//! Clients, operators and the platform, as they act on the fleet from outside.
+//! The simulated workload: clients, operators and the platform, which act on the fleet from
+//! outside.
 
 mod batches;
 mod orders;
@@ -10,81 +11,82 @@
 use crate::world::{NodeIndex, World};
 pub(crate) use orders::fingerprint;
 
-/// Something that somebody outside does.
+/// An activity of a client, an operator or the platform.
 #[derive(Debug, Clone)]
 pub enum Activity {
-    /// Send the next prompt, and so on.
+    /// A client sends the next prompt; repeats.
     NextPrompt,
     /// A prompt arrives at its relay.
     PromptArrives(usize, NodeIndex),
-    /// Ask every relay whether it is ready, and so on.
+    /// The platform checks every relay for readiness; repeats.
     CheckReady,
-    /// A relay was asked whether it is ready.
+    /// The readiness check of a relay.
     CheckReadyDone(NodeIndex),
-    /// Hand in the next batch, and so on.
+    /// A client submits the next batch; repeats.
     NextBatch,
-    /// Look after a batch.
+    /// A client makes the next request about its batch; repeats.
     ContinueBatch(usize),
-    /// A batch's call, by its serial number.
+    /// A client's request about its batch, with a serial number.
     BatchCallDone(usize, u64, batches::BatchRequest),
-    /// Look after a spec.
+    /// An operator takes the next step of a rollout; repeats.
     ContinueRollout(usize),
-    /// A spec's step, by its serial number.
+    /// A step of a rollout, with a serial number.
     RolloutCallDone(usize, u64, rollouts::Step),
-    /// Begin the next spec, and so on.
+    /// An operator starts the next rollout; repeats.
     NextRollout,
-    /// Send the newest engine list until it is taken.
+    /// The platform sends the newest engine list until it is acknowledged.
     PutEngines,
-    /// The engine list was sent.
+    /// A sent engine list.
     PutEnginesDone(usize),
-    /// Ask for a storage node to be retired, until that is acknowledged.
+    /// An operator requests the retirement of a storage node, until that is acknowledged.
     Retire(NodeIndex),
     /// That was answered.
     RetireDone(NodeIndex),
-    /// Ask whether a storage node is retired, until it is.
+    /// An operator queries whether a storage node is retired, until it is.
     CheckRetired(NodeIndex),
     /// That was answered.
     CheckRetiredDone(NodeIndex),
-    /// Weigh the waiting batch work, and so on.
+    /// The simulator measures the waiting batch work; repeats.
     MeasureWaiting,
-    /// Something about numbered configurations.
+    /// An activity about numbered configurations.
     Order(orders::OrderActivity),
-    /// Read the spec in force, and so on.
+    /// An operator reads the configuration in force; repeats.
     ReadConfiguration,
-    /// The spec in force was asked for.
+    /// A read of the configuration in force, with the time of the request.
     ReadConfigurationDone(crate::history::Us),
 }
 
-/// How much people do.
+/// The settings of the workload.
 #[derive(Debug, Clone)]
 pub struct WorkloadSettings {
     /// Prompts a second.
     pub prompts_per_s: u64,
-    /// Words of a prompt.
+    /// Words per prompt.
     pub words: u64,
-    /// New tokens of a prompt.
+    /// New tokens per prompt.
     pub new_tokens: u64,
-    /// Items of a batch.
+    /// Items per batch.
     pub items_per_batch: u64,
     /// Seconds between batches; 0 for none.
     pub batch_interval_s: u64,
-    /// Seconds between specs; 0 for none.
+    /// Seconds between rollouts; 0 for none.
     pub rollout_interval_s: u64,
-    /// Milliseconds between numbered configurations; 0 for specs that are signed off instead.
+    /// Milliseconds between numbered configurations; 0 for configurations that are signed off and
+    /// rolled out instead.
     pub order_interval_ms: u64,
-    /// The most orders of numbered configurations under way at once.
+    /// The maximum number of open orders of numbered configurations.
     pub max_open_orders: usize,
-    /// Of a hundred answers to operators so many are lost.
+    /// The percentage of responses to operators that are lost.
     pub lost_responses_percent: u64,
-    /// Lanes that specs have besides the usual ones.
+    /// Model routes of each configuration besides the usual ones.
     pub extra_model_routes: u64,
     /// The budget of in-flight tokens.
     pub limit_tokens: u64,
     /// The ceiling on waiting batch work.
     pub waiting_ceiling: u64,
-    /// Floor, start and ceiling of the live share, in percent.
+    /// Floor, start value and ceiling of the live share, in percent.
     pub live_percents: (u8, u8, u8),
-    /// Whether anybody still begins something.
+    /// Whether clients and operators start anything new.
     pub is_active: bool,
 }
 
@@ -109,10 +111,10 @@
     }
 }
 
-/// Everybody outside.
+/// The state of all clients, operators and the platform.
 #[derive(Debug, Default)]
 pub struct Workload {
-    /// How much they do.
+    /// The settings of the workload.
     pub settings: WorkloadSettings,
     works: std::collections::BTreeMap<bytes::Bytes, usize>,
     ready: std::collections::BTreeSet<NodeIndex>,
@@ -121,24 +123,24 @@
     orders: orders::Orders,
     /// Storage nodes whose retirement was acknowledged.
     retiring: std::collections::BTreeSet<NodeIndex>,
-    /// Engines that the platform wants listed as ready.
+    /// Engines that the platform lists as ready.
     pub listed_ready: std::collections::BTreeSet<String>,
 }
 
 impl Workload {
-    /// Which work a body is, if anybody handed it in.
+    /// The work that a request body belongs to, if a client submitted it.
     pub(crate) fn work_of(&self, body: &bytes::Bytes) -> Option<usize> {
         self.works.get(body).copied()
     }
 }
 
 impl World {
-    /// Whether operators order numbered configurations.
+    /// Whether operators submit numbered configurations.
     pub(crate) fn has_orders(&self) -> bool {
         self.workload.settings.order_interval_ms > 0
     }
 
-    /// Hands in a kind of work with a body of its own.
+    /// Creates work with a unique request body.
     pub(crate) fn new_work(
         &mut self,
         model: &str,
@@ -167,7 +169,7 @@
         work
     }
 
-    /// A process of a kind that runs and is not frozen, drawn by chance.
+    /// Draws a running process of a kind that is not frozen.
     pub(crate) fn draw_node(&mut self, kind: crate::world::NodeKind) -> Option<NodeIndex> {
         let time = self.time;
         let nodes: Vec<NodeIndex> = (0..self.nodes.len())
@@ -185,7 +187,7 @@
         Some(nodes[at])
     }
 
-    /// The relay that the platform hands a client to: a ready one, or any if none is.
+    /// Draws the relay that the platform sends a client to: a ready one, or any if none is ready.
     fn draw_relay(&mut self) -> Option<NodeIndex> {
         let ready: Vec<NodeIndex> = self.workload.ready.iter().copied().collect();
         if ready.is_empty() {
@@ -227,7 +229,7 @@
         }
     }
 
-    /// A relay returned a call that somebody outside made.
+    /// Handles the response of a relay to a call from outside.
     pub(crate) fn relay_response(
         &mut self,
         activity: Activity,
@@ -242,7 +244,7 @@
         }
     }
 
-    /// A control node returned a call that somebody outside made.
+    /// Handles the response of a control node to a call from outside.
     pub(crate) fn control_response(
         &mut self,
         activity: Activity,
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -1,5 +1,5 @@
-//! Operators with numbered configurations, each taken in one step: they race, send an order again
-//! unchanged to any node until its answer is clear, and read back what is in force.
+//! Operators with numbered configurations, each applied in one step: they race, resend an order
+//! unchanged to any node until they get a definite answer, and read back what is in force.
 
 mod contents;
 mod sending;
@@ -12,18 +12,18 @@
 use topazyard_wire::api::Code;
 use topazyard_wire::message::operate::{OperatorOutcome, OperatorRequest, Query};
 
-/// Something that an operator with numbered configurations does.
+/// An activity of an operator with numbered configurations.
 #[derive(Debug, Clone, Copy)]
 pub enum OrderActivity {
-    /// Begin the next orders, and so on.
+    /// Start the next orders; repeats.
     Begin,
     /// Send an order to a node.
     Send(usize),
-    /// A sending of an order arrives at a node.
+    /// An attempt to send an order arrives at a node.
     Arrives(usize, usize, NodeIndex),
-    /// A sending of an order was silent for long enough, or is answered.
+    /// An attempt to send an order timed out, or got a response.
     Answered(usize, usize),
-    /// Read back what is in force, and so on.
+    /// Read back the configuration in force; repeats.
     Read,
     /// A read-back arrives at a node.
     ReadArrives(usize, NodeIndex),
@@ -37,12 +37,12 @@
     }
 }
 
-/// How an order stands with its operator.
+/// The status of an order at its operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OrderStatus {
-    /// It is sent until its answer is clear.
+    /// It is sent again until its answer is definite.
     Open,
-    /// Its answer was clear.
+    /// Its answer was definite.
     Closed,
 }
 
@@ -50,20 +50,20 @@
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     statuses: Vec<OrderStatus>,
-    /// The newest number that an operator saw acknowledged or read back.
+    /// The newest number that an operator got acknowledged or read back.
     newest: u64,
 }
 
-/// How often what is in force is read back.
+/// The interval at which the configuration in force is read back.
 const READ_BACK_INTERVAL_US: Us = 250_000;
-/// After how long an answer comes no more: the node's own front answers by then that it knows
-/// nothing.
+/// How long a response is accepted after an attempt: by then the node's own HTTP front end responds
+/// that the outcome is unknown.
 const RESPONSE_TIMEOUT_US: Us = 900_000;
-/// How far orders of the past reach that are sent again.
+/// One in this many resent orders is any acknowledged one; the others are the newest one.
 const RESEND_OLD_ONE_IN: u64 = 3;
 
 impl World {
-    /// The first configuration, and whatever follows it.
+    /// Submits the first configuration and starts the orders and read-backs that follow.
     pub fn first_order(&mut self) {
         let content = self.new_content(None);
         self.start_order(1, 0, content, 0);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A control node answered an operator.
+    /// Handles the response of a control node to an operator.
     pub(super) fn order_response(&mut self, activity: OrderActivity, outcome: OperatorOutcome) {
         let lost_percent = self.workload.settings.lost_responses_percent;
         let loses_all = self.injected_bug == Some(InjectedBug::LoseResponses)
@@ -108,7 +108,7 @@
         }
     }
 
-    /// An answer as the planted bug would have it.
+    /// An answer as the injected bug would alter it.
     fn altered_answer(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
         use OrderAnswer::{Acknowledged, Refused};
         match (self.injected_bug, answer) {
@@ -134,7 +134,7 @@
             0 | 1 => self.start_order_on(base, None),
             2 | 3 => self.start_patch_orders(base),
             4 | 5 => {
-                // Two operators under one number.
+                // Two operators with the same number.
                 let number = self.next_number(base);
                 self.start_numbered_order(number, base, 0);
                 let after = self.draw(0..3_000);
@@ -153,8 +153,8 @@
         }
     }
 
-    /// An order that says only what it changes of the configuration that an operator knows under
-    /// that number; a whole one where none does. Now and then two operators race with such orders.
+    /// Starts an order that contains only the changes to the configuration with number `base`, or a
+    /// complete one if no operator knows the base. Sometimes two operators race with such orders.
     fn start_patch_orders(&mut self, base: u64) {
         let Some(before) = self.known_source(base) else { return self.start_order_on(base, None) };
         for _ in 0..=self.draw(0..2) {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What was acknowledged or read back under a number.
+    /// The source that was acknowledged or read back with a number.
     fn known_source(&self, number: u64) -> Option<bytes::Bytes> {
         let numbered = || self.history.orders.iter().filter(|order| order.number == number);
         let acknowledged = numbered().find(|o| o.first(OrderAnswer::Acknowledged).is_some());
@@ -178,7 +178,7 @@
         known.map(|order| order.source.clone())
     }
 
-    /// Two orders of which one builds on the other, which may still be under way.
+    /// Starts two orders of which the second builds on the first, which may not be applied yet.
     fn start_order_chain(&mut self, base: u64) {
         let number = self.next_number(base);
         self.start_numbered_order(number, base, 0);
@@ -219,7 +219,7 @@
         self.schedule_after(after, OrderActivity::Send(order).event());
     }
 
-    /// Sends an order again that was acknowledged, the newest or any before it.
+    /// Resends an acknowledged order, the newest or any other.
     fn resend_acknowledged(&mut self) {
         let acknowledged: Vec<usize> = (0..self.history.orders.len())
             .filter(|order| {
--- a/fleet-simulator/src/workload/orders/contents.rs
+++ b/fleet-simulator/src/workload/orders/contents.rs
@@ -1,4 +1,5 @@
-//! What stands in a numbered configuration: lanes as ever, and routes that come, change and go.
+//! The content of numbered configurations: fixed model routes, and routes that are added, changed
+//! and removed.
 
 use crate::world::World;
 use topazyard_spec::{Configuration, Patch};
@@ -7,15 +8,15 @@
 /// What is wrong with an invalid configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Defect {
-    /// It can't be read whole.
+    /// Its text is truncated.
     Truncated,
     /// A route names an unknown pool.
     UnknownPool,
-    /// Two routes share host and prefix.
+    /// Two routes share host and path prefix.
     DuplicateRoute,
     /// A route's weights add up to 0.
     ZeroWeight,
-    /// Its number is not above the one that it builds on.
+    /// Its number is not greater than its base.
     NumberNotAbove,
 }
 
@@ -32,16 +33,16 @@
 /// The content of a configuration.
 #[derive(Debug, Clone)]
 pub(super) struct Content {
-    /// What the operator sends and reads back; it is the bundle itself.
+    /// What the operator sends and reads back: the configuration itself.
     pub(super) source: bytes::Bytes,
-    /// What tells it apart where it is in force; none if its content is invalid.
+    /// Identifies the configuration where it is in force; none if the content is invalid.
     pub(super) fingerprint: Option<Digest>,
-    /// The change that makes it of the one that it builds on, where only that is sent.
+    /// The patch that makes it from its base, if only the patch is sent.
     pub(super) patch: Option<String>,
 }
 
 impl Content {
-    /// The content that a text comes to.
+    /// Creates the content from its text.
     fn from_text(text: String, patch: Option<String>) -> Self {
         let fingerprint = Configuration::read(&text).ok().map(|configuration| {
             let routes = configuration.routes.clone();
@@ -51,16 +52,16 @@
     }
 }
 
-/// Routes whose number of tokens, pools and times change from one configuration to the next.
+/// The number of routes that may be added, changed or removed from one configuration to the next.
 const CHANGING_ROUTES: u64 = 6;
 
 impl World {
-    /// A content that no other order has: one route tells it apart.
+    /// Creates a content that no other order has: one route is unique.
     pub(super) fn new_content(&mut self, defect: Option<Defect>) -> Content {
         let order = self.history.orders.len();
         let mut routes = vec![route("only", &format!("/{order}/"), "main", 1, 1_000)];
         for number in 0..CHANGING_ROUTES {
-            // Some routes go and come back.
+            // Some routes are removed and added again.
             if self.draw(0..4) > 0 {
                 let timeout_ms = 500 + 250 * self.draw(0..4);
                 routes.push(route(&format!("route-{number}"), "/", "main", 1, timeout_ms));
@@ -79,8 +80,8 @@
         Content::from_text(text, None)
     }
 
-    /// A content that changes another in part: the route that tells it apart is replaced, and some
-    /// of the others are added, replaced or removed. None where the other is no sound bundle.
+    /// Creates a content that patches another: the unique route is replaced, and some of the other
+    /// routes are added, replaced or removed. None if the other is not a valid configuration.
     pub(super) fn patched_content(&mut self, before: &[u8]) -> Option<Content> {
         let order = self.history.orders.len();
         let configuration = Configuration::read(std::str::from_utf8(before).ok()?).ok()?;
@@ -120,7 +121,7 @@
     })
 }
 
-/// What tells a configuration apart: the bundle without its routes, and its routes in any order.
+/// Identifies a configuration by its content without routes, and its routes in any order.
 pub(crate) fn fingerprint<'a>(
     configuration: &Configuration,
     routes: impl Iterator<Item = &'a topazyard_spec::Route>,
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -1,5 +1,5 @@
-//! How an order travels: to any node that the operator's list names, again after a failure or a
-//! second of silence, with a pause that grows.
+//! Sending of orders: to any node on the operator's list, again after a failure or a second without
+//! response, with a growing retry delay.
 
 use super::{OrderActivity, OrderStatus};
 use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
@@ -8,15 +8,16 @@
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
-/// After how long without an answer an operator goes on to another node.
+/// The time without response after which an operator tries another node.
 const ATTEMPT_TIMEOUT_US: Us = 1_000_000;
-/// The pause before an order is sent again; it doubles with each sending.
-const INITIAL_RETRY_DELAY_US: Us = 50_000;
-/// The longest pause.
+/// The delay that doubles with each attempt to send an order.
+const BASE_RETRY_DELAY_US: Us = 50_000;
+/// The maximum delay between two attempts, before jitter.
 const MAX_RETRY_DELAY_US: Us = 800_000;
 
 impl World {
-    /// Sends an order to any control node on the list: ones that just went still stand there.
+    /// Sends an order to any control node on the list, which still contains nodes that have just
+    /// stopped.
     pub(super) fn send_order(&mut self, order: usize) {
         if self.workload.orders.statuses[order] == OrderStatus::Closed {
             return;
@@ -44,7 +45,7 @@
 
     pub(super) fn order_arrives(&mut self, order: usize, attempt: usize, node: NodeIndex) {
         let arrival = OrderActivity::Arrives(order, attempt, node);
-        // What lies in a frozen process's socket is taken when it wakes.
+        // A request in the socket of a frozen process is read when the process wakes.
         if self.defer_if_frozen(node, || arrival.event()) {
             return;
         }
@@ -64,16 +65,16 @@
 
     pub(super) fn schedule_resend(&mut self, order: usize) {
         let sent = self.history.orders[order].attempts.len().min(8) as u32;
-        let retry_delay = (INITIAL_RETRY_DELAY_US << sent).min(MAX_RETRY_DELAY_US);
+        let retry_delay = (BASE_RETRY_DELAY_US << sent).min(MAX_RETRY_DELAY_US);
         let retry_delay = retry_delay / 2 + self.draw(0..retry_delay);
         self.schedule_after(retry_delay, OrderActivity::Send(order).event());
     }
 }
 
-/// The largest configuration that an operator's order may make, in bytes.
+/// The maximum size of a configuration that a patch may produce, in bytes.
 const MAX_SOURCE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// What an order asks of control.
+/// The command of an order.
 fn order_command(order: &OrderSeen) -> Command {
     let (base, version) = (ConfigurationVersion(order.base), ConfigurationVersion(order.number));
     match &order.patch {
@@ -83,7 +84,8 @@
             text: String::from_utf8_lossy(&order.source).into_owned(),
             source: order.source.clone(),
         },
-        // What is read back is the bundle itself, so both are changed alike.
+        // The source that is read back is the configuration itself, so the same patch applies to
+        // both.
         Some(patch) => Command::PatchConfiguration {
             base,
             version,
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: which engines there are, and which relays are ready.
+//! The platform: it lists the engines and checks which relays are ready.
 
 use super::Activity;
 use crate::history::EngineListSeen;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Lists the engines anew, with these ready and all others leaving.
+    /// Sends a new engine list, with `listed_ready` as ready and all other engines as leaving.
     pub fn list_engines(&mut self) {
         let ready = self.workload.listed_ready.clone();
         let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
--- a/fleet-simulator/src/workload/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -1,4 +1,4 @@
-//! Clients with prompts.
+//! Clients that send prompts.
 
 use super::Activity;
 use crate::history::{PromptEnd, PromptSeen};
@@ -17,8 +17,8 @@
         self.send_prompt();
     }
 
-    /// Which model a client asks for: mostly the usual one, sometimes one that only some spec
-    /// maps, sometimes one that none does.
+    /// Draws the model of a prompt: mostly the usual one, sometimes one that only one configuration
+    /// has a model route for, sometimes one without any model route.
     fn draw_model(&mut self) -> String {
         let specs = self.history.specs.len() as u64;
         match self.draw(0..100) {
@@ -72,7 +72,7 @@
         }
         let seen = &self.history.prompts[prompt];
         if seen.sent + seen.wait + 1_500_000 < self.time {
-            // The client hung up while its relay was frozen.
+            // The client disconnected while its relay was frozen.
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
             return;
         }
--- a/fleet-simulator/src/workload/retirement.rs
+++ b/fleet-simulator/src/workload/retirement.rs
@@ -1,15 +1,15 @@
-//! Operators who have a storage node retired, and take it away once that is done.
+//! Operators who request the retirement of a storage node and remove it once that is completed.
 
 use super::Activity;
 use crate::history::Us;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
-/// How often it is asked for and after.
+/// The interval at which the retirement is requested and its status is queried.
 const POLL_INTERVAL_US: Us = 500_000;
 
 impl World {
-    /// Asks for it, again and again until it is acknowledged.
+    /// Requests the retirement of a storage node repeatedly until it is acknowledged.
     pub(super) fn retire(&mut self, node: NodeIndex) {
         if self.workload.retiring.contains(&node) {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Asks whether it is done, again and again until it is.
+    /// Queries repeatedly whether the retirement is completed, until it is.
     pub(super) fn check_retired(&mut self, node: NodeIndex) {
         if self.nodes[node.0].is_replaced() {
             return;
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -1,5 +1,5 @@
-//! Operators: they submit, sign off and roll out specs, sometimes two at once, sometimes broken
-//! ones, and read back what is in force.
+//! Operators who submit, sign off and roll out configurations, sometimes two at once, sometimes
+//! invalid ones, and read back what is in force.
 
 use super::Activity;
 use crate::history::{SpecRead, SpecSeen, Us};
@@ -8,22 +8,22 @@
 use topazyard_wire::api::Execution;
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
-/// A step of a spec.
+/// A step of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Which version is the newest?
+    /// Query the newest version, to build on it.
     FindBase,
-    /// Submit on that base.
+    /// Submit the configuration on this base version.
     Submit(u64),
     /// Sign off.
     SignOff,
     /// Roll out.
     RollOut,
-    /// It is in force, or was refused.
+    /// The configuration is in force, or was refused.
     Finished,
 }
 
-/// An operator with a spec.
+/// An operator who rolls out a configuration.
 #[derive(Debug)]
 pub(super) struct RolloutOperator {
     step: Step,
@@ -33,7 +33,7 @@
 }
 
 impl World {
-    /// The first spec, before anything else.
+    /// Starts the first rollout, before any load.
     pub fn first_rollout(&mut self) {
         self.start_rollout(false);
     }
@@ -82,7 +82,8 @@
         self.configuration_json(model, pool, &[]).to_string()
     }
 
-    /// A bundle with a lane of its own, its batches' lane at that pool, and these routes.
+    /// A configuration with a model route for `model`, the batch model route at the given pool, and
+    /// the given routes.
     pub(super) fn configuration_json(
         &self,
         model: &str,
@@ -128,7 +129,8 @@
             return;
         }
         if operator.requested_at.is_some() && matches!(operator.step, Step::Submit(_)) {
-            // Nobody knows what became of it; it is never signed, so it must never take effect.
+            // The outcome of the submission is unknown. The configuration is never signed off, so
+            // it must never take effect.
             self.abandon_rollout(rollout);
             return;
         }
@@ -182,12 +184,12 @@
             OperatorOutcome::Refused(error) => {
                 let status = error.code.status();
                 match (step, status, error.ran) {
-                    // Surely nothing happened, or asking again is harmless.
+                    // The step had no effect, or repeating it is harmless.
                     (Step::FindBase, ..)
                     | (_, 503, _)
                     | (Step::SignOff | Step::RollOut, 504, _) => {}
                     (_, _, Execution::MayHaveRun) => self.abandon_rollout(rollout),
-                    // Refused: it must never take effect.
+                    // Refused: the configuration must never take effect.
                     _ => self.abandon_rollout(rollout),
                 }
                 return;
