--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -23,7 +23,7 @@
         ];
         let count = usize::from(self.deployment.lost_machines);
         if count > 1 {
-            // The seed could be the same node as one of the other three.
+            // The named control node could be the same node as one of the other three.
             roles.truncate(3);
         }
         (0..count).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
@@ -79,8 +79,8 @@
     pub(super) fn second_loss(&mut self) {
         let storages = self.count_storages();
         for round in 0..7 {
-            // Once, a storage node retires right before a loss. Planned replacements, below, add clean
-            // leaves between losses.
+            // Once, a storage node retires right before a loss. Planned replacements, below, add
+            // clean leaves between losses.
             if round == 3 {
                 let node = named("storage", self.rng.random_range(1..=storages));
                 self.add(0, Fault::AddStorage);
--- a/fleet-simulator/src/scenario.rs
+++ b/fleet-simulator/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Scenarios: the faults of a run.
+//! Scenarios of simulated runs.
 
-/// What goes wrong in a run.
+/// The faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scenario {
     /// No faults.
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -40,11 +40,11 @@
     PutEnginesDone(usize),
     /// An operator requests the retirement of a storage node, until that is acknowledged.
     Retire(NodeIndex),
-    /// That was answered.
+    /// The request for the retirement of a storage node.
     RetireDone(NodeIndex),
     /// An operator queries whether a storage node is retired, until it is.
     CheckRetired(NodeIndex),
-    /// That was answered.
+    /// The query whether a storage node is retired.
     CheckRetiredDone(NodeIndex),
     /// The simulator measures the waiting batch work; repeats.
     MeasureWaiting,
--- a/fleet-simulator/tests/lines.rs
+++ b/fleet-simulator/tests/lines.rs
@@ -1,6 +1,6 @@
-//! Both deployments at full size, and both grown, through every scenario, from fixed seeds: no line is crossed.
+//! Runs every scenario on all deployments from fixed seeds and expects no violations.
 //!
-//! A seed that ever failed stays among `seeds_that_once_failed`; its commit tells the cause.
+//! A seed that ever failed stays in `seeds_that_once_failed`; its commit states the cause.
 
 use fleet_simulator::{Deployment, Scenario, run};
 
@@ -8,98 +8,98 @@
     Deployment::all()
 }
 
-fn holds(deployment: &Deployment, scenario: Scenario, seed: u64) {
+fn assert_no_violations(deployment: &Deployment, scenario: Scenario, seed: u64) {
     let report = run(deployment, scenario, seed, None);
     assert!(
         report.violations.is_empty(),
-        "again: fleet-simulator --deployment {} --scenario {} --seed {seed}\n{:#?}\n{:#?}",
+        "reproduce with: fleet-simulator --deployment {} --scenario {} --seed {seed}\n{:#?}\n{:#?}",
         deployment.name,
         scenario.name(),
         report.faults,
         report.violations,
     );
-    // A run in which nothing was served would hold every line and prove nothing.
+    // A run that served nothing would have no violations and prove nothing.
     assert!(report.figures.whole > 300, "{} {}", deployment.name, scenario.name());
 }
 
-/// Both seeds of a scenario at the deployments that bear the loss of so many machines.
-fn holds_bearing(lost_machines: u16, scenario: Scenario) {
-    let of_size = |deployment: &Deployment| deployment.lost_machines == lost_machines;
-    let deployments: Vec<Deployment> = deployments().into_iter().filter(of_size).collect();
+/// Runs a scenario from both seeds on the deployments that tolerate the loss of this many machines.
+fn assert_no_violations_tolerating(lost_machines: u16, scenario: Scenario) {
+    let tolerates = |deployment: &Deployment| deployment.lost_machines == lost_machines;
+    let deployments: Vec<Deployment> = deployments().into_iter().filter(tolerates).collect();
     assert_eq!(deployments.len(), 2);
     for deployment in deployments {
-        (1..=2).for_each(|seed| holds(&deployment, scenario, seed));
+        (1..=2).for_each(|seed| assert_no_violations(&deployment, scenario, seed));
     }
 }
 
-/// Each scenario as a test of its own at either size, so that one that is red hides no other.
-macro_rules! holds_through {
+/// One test for each scenario and size, so that one failure does not hide another.
+macro_rules! scenario_tests {
     ($($name:ident: $scenario:ident),* $(,)?) => {
-        mod bearing_one_loss {
+        mod tolerating_one_loss {
             $(#[test]
             fn $name() {
-                super::holds_bearing(1, super::Scenario::$scenario);
+                super::assert_no_violations_tolerating(1, super::Scenario::$scenario);
             })*
         }
-        mod bearing_two_losses {
+        mod tolerating_two_losses {
             $(#[test]
             fn $name() {
-                super::holds_bearing(2, super::Scenario::$scenario);
+                super::assert_no_violations_tolerating(2, super::Scenario::$scenario);
             })*
         }
     };
 }
 
-holds_through! {
-    nothing_goes_wrong: Calm,
-    crowds_and_many_batches: Crowds,
-    batches_land_while_their_keepers_are_lost: Ceiling,
-    engines_crash_go_dark_and_leave: Engines,
+scenario_tests! {
+    no_faults: Calm,
+    load_spikes_and_many_batches: Crowds,
+    batches_arrive_while_shard_primaries_are_lost: Ceiling,
+    engines_crash_hang_and_leave: Engines,
     processes_are_killed: Kills,
-    processes_freeze_and_wake: Freezes,
+    processes_freeze_and_continue: Freezes,
     power_and_disks_are_lost: Power,
     every_machine_loses_power: Blackout,
     disks_are_slow_or_stall: SlowDisks,
-    disks_run_full: FullDisks,
+    disks_are_full: FullDisks,
     nodes_are_cut_off_and_split: Cuts,
     machines_are_replaced_and_added: Replaced,
-    all_seeds_are_exchanged: Seeds,
-    the_counters_holders_are_lost: Counter,
-    operators_race_while_specs_grow: Operators,
-    machines_are_drained_before_they_go: Drains,
-    domains_are_lost_and_cut_off: Zones,
+    all_seeds_are_replaced: Seeds,
+    counter_replicas_are_lost: Counter,
+    operators_race_while_configurations_grow: Operators,
+    machines_are_drained_before_they_stop: Drains,
+    zones_are_lost_and_cut_off: Zones,
     every_process_is_restarted_in_turn: Rolling,
-    frames_come_twice_and_late_and_clocks_drift: Untidy,
+    frames_are_duplicated_and_delayed_and_clocks_drift: Untidy,
     all_control_processes_are_killed_at_once: Controls,
     many_processes_are_killed_at_once: Herd,
-    anything_at_all: Chaos,
+    random_faults: Chaos,
     control_nodes_are_cut_off_for_long: CutOffControl,
-    operators_race_and_answers_are_lost: Races,
-    the_next_loss_comes_at_once: SecondLoss,
-    members_are_away_for_hundreds_of_changes: LongAbsent,
-    the_whole_core_is_in_trouble: CoreTroubles,
+    operators_race_and_responses_are_lost: Races,
+    next_loss_follows_at_once: SecondLoss,
+    control_nodes_are_absent_for_hundreds_of_changes: LongAbsent,
+    control_loses_power_and_seeds_are_replaced: CoreTroubles,
     disks_are_lost_while_all_else_loses_power: Wipes,
-    machines_with_disks_are_split_in_halves: Halves,
+    machines_with_disks_are_split_into_halves: Halves,
 }
 
-/// Each seed as a test of its own, so that one that is red hides no other.
-macro_rules! hold_again {
+/// One test for each seed, so that one failure does not hide another.
+macro_rules! regression_seeds {
     ($($name:ident: $deployment:literal, $scenario:ident, $seed:literal;)*) => {
         mod seeds_that_once_failed {
             $(#[test]
             fn $name() {
-                super::holds_at($deployment, super::Scenario::$scenario, $seed);
+                super::assert_no_violations_at($deployment, super::Scenario::$scenario, $seed);
             })*
         }
     };
 }
 
-fn holds_at(name: &str, scenario: Scenario, seed: u64) {
-    let of_name = deployments().into_iter().find(|deployment| deployment.name == name);
-    holds(&of_name.expect("a deployment of that name"), scenario, seed);
+fn assert_no_violations_at(name: &str, scenario: Scenario, seed: u64) {
+    let deployment = deployments().into_iter().find(|deployment| deployment.name == name);
+    assert_no_violations(&deployment.expect("a deployment of that name"), scenario, seed);
 }
 
-hold_again! {
+regression_seeds! {
     cristallo_cuts_11: "cristallo", Cuts, 11;
     cristallo_cuts_108: "cristallo", Cuts, 108;
     cristallo_cuts_5008: "cristallo", Cuts, 5008;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_history_each_time() {
+fn same_seed_gives_the_same_history() {
     let digest = || run(&Deployment::quito(), Scenario::Chaos, 7, None).digest;
     assert_eq!(digest(), digest());
 }
