--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -185,9 +185,9 @@
                 }
             }
             Fault::StartAll => {
-                for at in 0..self.nodes.len() {
-                    if !self.nodes[at].is_replaced() {
-                        self.start(NodeIndex(at));
+                for index in 0..self.nodes.len() {
+                    if !self.nodes[index].is_replaced() {
+                        self.start(NodeIndex(index));
                     }
                 }
             }
@@ -229,9 +229,9 @@
             }
             Fault::Untidy(share) => self.network.disordered_per_10000 = share,
             Fault::Drift => {
-                for at in 0..self.nodes.len() {
+                for index in 0..self.nodes.len() {
                     let rate_ppm = self.draw(0..20_001) as i64 - 10_000;
-                    self.set_clock_rate(NodeIndex(at), rate_ppm);
+                    self.set_clock_rate(NodeIndex(index), rate_ppm);
                 }
             }
             Fault::Mend => {
@@ -256,24 +256,24 @@
                 }
             }
             Fault::KillFull => {
-                for at in 0..self.nodes.len() {
-                    if self.nodes[at].disk.is_full {
-                        self.stop(NodeIndex(at), false);
+                for index in 0..self.nodes.len() {
+                    if self.nodes[index].disk.is_full {
+                        self.stop(NodeIndex(index), false);
                     }
                 }
             }
             Fault::Room => {
-                (0..self.nodes.len()).for_each(|at| self.free_space(NodeIndex(at)));
+                (0..self.nodes.len()).for_each(|index| self.free_space(NodeIndex(index)));
                 self.end_impairments(Struck::FullDisk);
             }
-            Fault::Engine(at, health) => self.set_engine_health(usize::from(at), health),
-            Fault::EngineLeaves(at) => {
-                let name = self.engines[usize::from(at)].name.clone();
+            Fault::Engine(engine, health) => self.set_engine_health(usize::from(engine), health),
+            Fault::EngineLeaves(engine) => {
+                let name = self.engines[usize::from(engine)].name.clone();
                 self.workload.listed_ready.remove(&name);
                 self.list_engines();
             }
-            Fault::EngineReady(at) => {
-                let name = self.engines[usize::from(at)].name.clone();
+            Fault::EngineReady(engine) => {
+                let name = self.engines[usize::from(engine)].name.clone();
                 self.workload.listed_ready.insert(name);
                 self.list_engines();
             }
@@ -351,8 +351,8 @@
             wiped.extend(primary.chain(self.control_backup()));
         }
         while wiped.len() > usize::from(self.bounds.lost_machines) {
-            let at = self.draw(0..wiped.len() as u64) as usize;
-            wiped.swap_remove(at);
+            let index = self.draw(0..wiped.len() as u64) as usize;
+            wiped.swap_remove(index);
         }
         let names: Vec<&str> =
             wiped.iter().map(|index| self.nodes[index.0].name.as_str()).collect();
@@ -375,7 +375,9 @@
         let mut half = std::collections::BTreeSet::new();
         for kind in [NodeKind::Control, NodeKind::Storage] {
             let mut all: Vec<NodeIndex> = (0..self.nodes.len()).map(NodeIndex).collect();
-            all.retain(|at| self.nodes[at.0].kind == kind && !self.nodes[at.0].is_replaced());
+            all.retain(|index| {
+                self.nodes[index.0].kind == kind && !self.nodes[index.0].is_replaced()
+            });
             all.iter().for_each(|index| self.record_impairment(*index, Struck::Cut));
             all.shuffle(&mut rng);
             let inside = &all[..all.len() / 2];
@@ -393,7 +395,7 @@
     }
 
     fn nodes_in_zone(&self, zone: u16) -> Vec<NodeIndex> {
-        let is_inside = |at: &NodeIndex| self.nodes[at.0].zone == zone;
+        let is_inside = |index: &NodeIndex| self.nodes[index.0].zone == zone;
         (0..self.nodes.len()).map(NodeIndex).filter(is_inside).collect()
     }
 
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -173,8 +173,8 @@
     pub(crate) fn draw_node(&mut self, kind: crate::world::NodeKind) -> Option<NodeIndex> {
         let time = self.time;
         let nodes: Vec<NodeIndex> = (0..self.nodes.len())
-            .filter(|at| {
-                let node = &self.nodes[*at];
+            .filter(|index| {
+                let node = &self.nodes[*index];
                 let is_awake = node.frozen_until.is_none_or(|until| until <= time);
                 node.kind == kind && node.is_running() && is_awake
             })
@@ -183,8 +183,8 @@
         if nodes.is_empty() {
             return None;
         }
-        let at = self.draw(0..nodes.len() as u64) as usize;
-        Some(nodes[at])
+        let index = self.draw(0..nodes.len() as u64) as usize;
+        Some(nodes[index])
     }
 
     /// Draws the relay that the platform sends a client to: a ready one, or any if none is ready.
@@ -193,8 +193,8 @@
         if ready.is_empty() {
             return self.draw_node(crate::world::NodeKind::Relay);
         }
-        let at = self.draw(0..ready.len() as u64) as usize;
-        Some(ready[at])
+        let index = self.draw(0..ready.len() as u64) as usize;
+        Some(ready[index])
     }
 
     pub(crate) fn perform(&mut self, activity: Activity) {
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -34,13 +34,13 @@
 
     fn draw_listed_control(&mut self) -> Option<NodeIndex> {
         let listed: Vec<usize> = (0..self.nodes.len())
-            .filter(|at| {
-                let node = &self.nodes[*at];
+            .filter(|index| {
+                let node = &self.nodes[*index];
                 node.kind == NodeKind::Control && !node.is_replaced()
             })
             .collect();
-        let at = self.draw(0..listed.len().max(1) as u64) as usize;
-        listed.get(at).map(|at| NodeIndex(*at))
+        let index = self.draw(0..listed.len().max(1) as u64) as usize;
+        listed.get(index).map(|index| NodeIndex(*index))
     }
 
     pub(super) fn order_arrives(&mut self, order: usize, attempt: usize, node: NodeIndex) {
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -9,9 +9,9 @@
 impl World {
     pub(super) fn check_ready(&mut self) {
         self.schedule_after(500_000, Event::Activity(Activity::CheckReady));
-        for at in 0..self.nodes.len() {
-            let relay = NodeIndex(at);
-            let node = &self.nodes[at];
+        for index in 0..self.nodes.len() {
+            let relay = NodeIndex(index);
+            let node = &self.nodes[index];
             if node.kind != NodeKind::Relay {
                 continue;
             }
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -195,16 +195,16 @@
                 return;
             }
         };
-        let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
+        let response: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
         let time = self.time;
         let next = match step {
             Step::FindBase => {
-                let newest = shown["specs"].as_array().and_then(|specs| specs.last()).cloned();
+                let newest = response["specs"].as_array().and_then(|specs| specs.last()).cloned();
                 let newest = newest.and_then(|spec| spec["version"].as_u64()).unwrap_or(0);
                 Step::Submit(newest)
             }
             Step::Submit(_) => {
-                self.history.specs[rollout].version = shown["version"].as_u64();
+                self.history.specs[rollout].version = response["version"].as_u64();
                 Step::SignOff
             }
             Step::SignOff => Step::RollOut,
@@ -225,15 +225,15 @@
         self.schedule_after(1_000_000, Event::Activity(Activity::ReadConfiguration));
         if let Some(control) = self.draw_node(NodeKind::Control) {
             let request = OperatorRequest::Query(Query::ReadConfiguration(None));
-            let asked = Activity::ReadConfigurationDone(self.time);
-            self.call_control(control, request, Caller::Activity(asked));
+            let activity = Activity::ReadConfigurationDone(self.time);
+            self.call_control(control, request, Caller::Activity(activity));
         }
     }
 
     pub(super) fn configuration_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
         if let OperatorOutcome::Done(text) = outcome {
-            let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
-            if let Some(version) = shown["version"].as_u64() {
+            let response: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
+            if let Some(version) = response["version"].as_u64() {
                 self.history.spec_reads.push(SpecRead { asked, version });
             }
         }
--- a/fleet-simulator/src/world/engines.rs
+++ b/fleet-simulator/src/world/engines.rs
@@ -74,12 +74,13 @@
 
     /// Whether an engine accepts connections.
     pub(crate) fn engine_accepts_connections(&self, name: &EngineName) -> bool {
-        self.engine_named(name).is_some_and(|at| self.engines[at].health != EngineHealth::Gone)
+        self.engine_named(name)
+            .is_some_and(|index| self.engines[index].health != EngineHealth::Gone)
     }
 
     pub(crate) fn engine_answers_health_checks(&self, name: &EngineName) -> bool {
-        self.engine_named(name).is_some_and(|at| {
-            !matches!(self.engines[at].health, EngineHealth::Gone | EngineHealth::Dark)
+        self.engine_named(name).is_some_and(|index| {
+            !matches!(self.engines[index].health, EngineHealth::Gone | EngineHealth::Dark)
         })
     }
 
@@ -91,12 +92,12 @@
     }
 
     /// Changes the health of an engine. One that goes down loses all its connections.
-    pub fn set_engine_health(&mut self, at: usize, health: EngineHealth) {
-        self.engines[at].health = health;
+    pub fn set_engine_health(&mut self, index: usize, health: EngineHealth) {
+        self.engines[index].health = health;
         if health == EngineHealth::Gone {
-            self.engines[at].generation += 1;
-            self.engines[at].tokens = 0;
-            let open_runs = std::mem::take(&mut self.engines[at].open_runs);
+            self.engines[index].generation += 1;
+            self.engines[index].tokens = 0;
+            let open_runs = std::mem::take(&mut self.engines[index].open_runs);
             for run in open_runs {
                 self.history.runs[run].ended = Some(self.time);
                 self.lose_connections_of(run);
@@ -115,7 +116,7 @@
             .iter()
             .enumerate()
             .filter(|(_, session)| session.run == Some(run))
-            .map(|(at, session)| (at, session.attempt))
+            .map(|(index, session)| (index, session.attempt))
             .collect();
         for (session, attempt) in sessions {
             let delay = self.network_delay();
@@ -125,7 +126,7 @@
             );
         }
         let items: Vec<usize> = (0..self.item_runs.len())
-            .filter(|at| self.item_runs[*at].engine_run == Some(run))
+            .filter(|index| self.item_runs[*index].engine_run == Some(run))
             .collect();
         for item in items {
             let delay = self.network_delay();
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -45,7 +45,7 @@
         to: std::net::SocketAddr,
         mut message: topazyard_wire::Message,
     ) {
-        if self.injected_bug.is_some_and(|injected_bug| inject(injected_bug, &mut message)) {
+        if self.injected_bug.is_some_and(|injected_bug| apply_bug(injected_bug, &mut message)) {
             return;
         }
         *self.sent.entry(message_kind(&message)).or_default() += 1;
@@ -65,7 +65,7 @@
 }
 
 /// Alters a frame as the injected bug would. Returns whether the frame is lost.
-fn inject(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
+fn apply_bug(injected_bug: InjectedBug, message: &mut topazyard_wire::Message) -> bool {
     if let topazyard_wire::Message::Feed(FeedMessage::Update { content, .. }) = message {
         alter_update(injected_bug, content);
     }
--- a/fleet-simulator/src/world/nodes/inspection.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -58,7 +58,10 @@
             NodeMachine::Storage(machine) => machine.copy(shard).is_some(),
             _ => false,
         };
-        (0..self.nodes.len()).map(NodeIndex).filter(|at| holds_copy(&self.nodes[at.0])).collect()
+        (0..self.nodes.len())
+            .map(NodeIndex)
+            .filter(|index| holds_copy(&self.nodes[index.0]))
+            .collect()
     }
 
     /// The cost of all accepted items without a final result, according to the most advanced copy
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -102,19 +102,19 @@
         self.call_relay(node, RelayCall::AdmitPrompt(prompt), Caller::Session(session));
     }
 
-    fn is_live(&self, at: usize) -> bool {
-        let session = &self.sessions[at];
+    fn is_live(&self, index: usize) -> bool {
+        let session = &self.sessions[index];
         !session.is_finished && self.nodes[session.node.0].generation == session.generation
     }
 
-    fn finish_session(&mut self, at: usize, engine_outcome: EngineOutcome, end: PromptEnd) {
-        let session = &mut self.sessions[at];
+    fn finish_session(&mut self, index: usize, engine_outcome: EngineOutcome, end: PromptEnd) {
+        let session = &mut self.sessions[index];
         session.is_finished = true;
         let (node, prompt, run) = (session.node, session.prompt, session.run.take());
         if let Some(run) = run.filter(|_| !matches!(engine_outcome, EngineOutcome::Completed(_))) {
             self.cancel_run(run);
         }
-        let id = PromptId(at as u64 + 1);
+        let id = PromptId(index as u64 + 1);
         self.call_relay(node, RelayCall::PromptEnded(id, engine_outcome), Caller::Ignored);
         let delay = self.network_delay();
         self.record_client_end(prompt, self.time + delay, end);
@@ -129,29 +129,34 @@
         }
     }
 
-    fn respond_with_error(&mut self, at: usize, engine_outcome: EngineOutcome, error: &ApiError) {
+    fn respond_with_error(
+        &mut self,
+        index: usize,
+        engine_outcome: EngineOutcome,
+        error: &ApiError,
+    ) {
         let mut ran = error.ran;
         if self.injected_bug == Some(InjectedBug::ReportNotRun) {
             ran = Execution::NotRun;
         }
-        let omits = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
-        let says_when = error.code.retry_after_s().is_some() && !omits;
+        let omits_retry_after = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
+        let says_when = error.code.retry_after_s().is_some() && !omits_retry_after;
         let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
-        self.finish_session(at, engine_outcome, end);
+        self.finish_session(index, engine_outcome, end);
     }
 
-    pub(crate) fn session_response(&mut self, at: usize, value: RelayResponse) {
-        if !self.is_live(at) {
+    pub(crate) fn session_response(&mut self, index: usize, value: RelayResponse) {
+        if !self.is_live(index) {
             return;
         }
         match value {
             RelayResponse::SendTo(target) => {
-                let session = &mut self.sessions[at];
+                let session = &mut self.sessions[index];
                 session.state_machine.hold();
                 session.attempt += 1;
                 let attempt = session.attempt;
                 let is_connected = self.engine_accepts_connections(&target.engine);
-                self.sessions[at].target = Some(target);
+                self.sessions[index].target = Some(target);
                 let us = if is_connected {
                     2 * self.network_delay()
                 } else {
@@ -159,35 +164,35 @@
                 };
                 self.schedule_after(
                     us,
-                    Event::Session(at, SessionEvent::Connected(attempt, is_connected)),
+                    Event::Session(index, SessionEvent::Connected(attempt, is_connected)),
                 );
             }
             RelayResponse::SendBefore(until) => {
-                if !self.is_before_deadline(self.sessions[at].node, until) {
+                if !self.is_before_deadline(self.sessions[index].node, until) {
                     let stale_feed = ApiError::not_run(topazyard_wire::api::Code::StaleFeed);
-                    let error = self.sessions[at].state_machine.refuse(stale_feed);
-                    self.respond_with_error(at, EngineOutcome::Aborted, &error);
+                    let error = self.sessions[index].state_machine.refuse(stale_feed);
+                    self.respond_with_error(index, EngineOutcome::Aborted, &error);
                     return;
                 }
-                self.send_to_engine(at);
+                self.send_to_engine(index);
             }
             RelayResponse::Refused(error) => {
-                let dispatching = self.sessions[at].target.is_some()
-                    && self.sessions[at].state_machine.state() == State::Held;
+                let dispatching = self.sessions[index].target.is_some()
+                    && self.sessions[index].state_machine.state() == State::Held;
                 if dispatching && error.code == topazyard_wire::api::Code::NoEngine {
-                    self.handle_failure(at, Failure::NotConnected);
+                    self.handle_failure(index, Failure::NotConnected);
                     return;
                 }
-                let error = self.sessions[at].state_machine.refuse(error);
-                self.respond_with_error(at, EngineOutcome::Aborted, &error);
+                let error = self.sessions[index].state_machine.refuse(error);
+                self.respond_with_error(index, EngineOutcome::Aborted, &error);
             }
             _ => {}
         }
     }
 
-    fn send_to_engine(&mut self, at: usize) {
-        let now = self.relay_clock_after(self.sessions[at].node, 0);
-        let session = &mut self.sessions[at];
+    fn send_to_engine(&mut self, index: usize) {
+        let now = self.relay_clock_after(self.sessions[index].node, 0);
+        let session = &mut self.sessions[index];
         session.state_machine.dispatch();
         session.sent_at = self.time;
         session.run = None;
@@ -196,7 +201,7 @@
         let name = session.target.as_ref().map(|target| target.engine.clone());
         let timeout = session.state_machine.timeout(now);
         let Some(engine) = name.and_then(|name| self.engine_named(&name)) else { return };
-        let owner = RunOwner::Session(at, attempt);
+        let owner = RunOwner::Session(index, attempt);
         let delay = self.delay_to_engine(InjectedBug::SendLate);
         self.schedule_after(
             delay,
@@ -204,7 +209,7 @@
         );
         self.schedule_after(
             timeout.0 * 1_000,
-            Event::Session(at, SessionEvent::HeadTimedOut(attempt)),
+            Event::Session(index, SessionEvent::HeadTimedOut(attempt)),
         );
     }
 
@@ -228,54 +233,55 @@
         }
     }
 
-    pub(crate) fn session_event(&mut self, at: usize, event: SessionEvent) {
-        if !self.is_live(at) {
+    pub(crate) fn session_event(&mut self, index: usize, event: SessionEvent) {
+        if !self.is_live(index) {
             return;
         }
-        let node = self.sessions[at].node;
+        let node = self.sessions[index].node;
         if self.is_frozen(node) {
-            self.defer_if_frozen(node, || Event::Session(at, event));
+            self.defer_if_frozen(node, || Event::Session(index, event));
             return;
         }
-        let (attempt, state) = (self.sessions[at].attempt, self.sessions[at].state_machine.state());
+        let (attempt, state) =
+            (self.sessions[index].attempt, self.sessions[index].state_machine.state());
         match event {
             SessionEvent::Connected(event_attempt, is_connected) if event_attempt == attempt => {
                 if !is_connected {
-                    self.handle_failure(at, Failure::NotConnected);
+                    self.handle_failure(index, Failure::NotConnected);
                     return;
                 }
-                let id = PromptId(at as u64 + 1);
-                let target = self.sessions[at].target.as_ref().map(|t| t.engine.clone());
+                let id = PromptId(index as u64 + 1);
+                let target = self.sessions[index].target.as_ref().map(|t| t.engine.clone());
                 if let Some(engine) = target {
                     let call = RelayCall::DispatchPrompt(id, engine);
-                    self.call_relay(node, call, Caller::Session(at));
+                    self.call_relay(node, call, Caller::Session(index));
                 }
             }
             SessionEvent::Piece(event_attempt, piece) if event_attempt == attempt => {
-                self.relay_piece(at, piece)
+                self.relay_piece(index, piece)
             }
             SessionEvent::ConnectionLost(event_attempt) if event_attempt == attempt => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
                 if sent && self.injected_bug == Some(InjectedBug::InterruptedLooksComplete) {
-                    self.finish_session(at, EngineOutcome::Failed, PromptEnd::Whole);
+                    self.finish_session(index, EngineOutcome::Failed, PromptEnd::Whole);
                 } else if sent {
-                    self.handle_failure(at, Failure::ConnectionLost);
+                    self.handle_failure(index, Failure::ConnectionLost);
                 }
             }
             SessionEvent::HeadTimedOut(event_attempt)
                 if event_attempt == attempt && state == State::Dispatched =>
             {
-                self.handle_failure(at, Failure::TimedOut);
+                self.handle_failure(index, Failure::TimedOut);
             }
             SessionEvent::Deadline if state == State::Relaying => {
-                self.handle_failure(at, Failure::TimedOut);
+                self.handle_failure(index, Failure::TimedOut);
             }
             _ => {}
         }
     }
 
-    fn relay_piece(&mut self, at: usize, piece: Piece) {
-        let session = &mut self.sessions[at];
+    fn relay_piece(&mut self, index: usize, piece: Piece) {
+        let session = &mut self.sessions[index];
         if session.pieces == 1 || session.state_machine.state() == State::Dispatched {
             session.state_machine.start_relaying();
         }
@@ -284,29 +290,29 @@
         let took = DurationMs((self.time - session.sent_at) / 1_000);
         self.history.prompts[prompt].pieces.push(piece);
         if piece.index + 1 == piece.of {
-            self.sessions[at].state_machine.complete();
-            self.finish_session(at, EngineOutcome::Completed(took), PromptEnd::Whole);
+            self.sessions[index].state_machine.complete();
+            self.finish_session(index, EngineOutcome::Completed(took), PromptEnd::Whole);
         }
     }
 
-    fn handle_failure(&mut self, at: usize, failure: Failure) {
-        let node = self.sessions[at].node;
+    fn handle_failure(&mut self, index: usize, failure: Failure) {
+        let node = self.sessions[index].node;
         let now = self.relay_clock_after(node, 0);
-        if let Some(run) = self.sessions[at].run.take() {
+        if let Some(run) = self.sessions[index].run.take() {
             self.cancel_run(run);
         }
-        match self.sessions[at].state_machine.fail(failure, now) {
+        match self.sessions[index].state_machine.fail(failure, now) {
             FailureAction::TryAnotherEngine => {
-                let failed = self.sessions[at].target.take().map(|target| target.engine);
-                let id = PromptId(at as u64 + 1);
+                let failed = self.sessions[index].target.take().map(|target| target.engine);
+                let id = PromptId(index as u64 + 1);
                 let call = RelayCall::RetryPrompt(id, failed.unwrap_or_default());
-                self.call_relay(node, call, Caller::Session(at));
+                self.call_relay(node, call, Caller::Session(index));
             }
             FailureAction::Respond(error) => {
-                self.respond_with_error(at, EngineOutcome::Failed, &error)
+                self.respond_with_error(index, EngineOutcome::Failed, &error)
             }
             FailureAction::CloseConnection => {
-                self.finish_session(at, EngineOutcome::Failed, PromptEnd::Broken)
+                self.finish_session(index, EngineOutcome::Failed, PromptEnd::Broken)
             }
         }
     }
@@ -314,8 +320,8 @@
     /// Ends all prompts and item runs of a relay process that stopped: its connections to clients
     /// and engines are lost.
     pub(crate) fn abort_sessions_of(&mut self, node: NodeIndex) {
-        for at in 0..self.sessions.len() {
-            let session = &mut self.sessions[at];
+        for index in 0..self.sessions.len() {
+            let session = &mut self.sessions[index];
             if session.node == node && !session.is_finished {
                 session.is_finished = true;
                 let (prompt, run) = (session.prompt, session.run.take());
@@ -325,8 +331,8 @@
                 self.record_client_end(prompt, self.time + 1_000, PromptEnd::Broken);
             }
         }
-        for at in 0..self.item_runs.len() {
-            let item = &mut self.item_runs[at];
+        for index in 0..self.item_runs.len() {
+            let item = &mut self.item_runs[index];
             if item.node == node && !item.is_finished {
                 item.is_finished = true;
                 if let Some(run) = item.engine_run {
@@ -348,44 +354,44 @@
         let item =
             ItemRun { node, generation, run, target, body, engine_run: None, is_finished: false };
         self.item_runs.push(item);
-        let at = self.item_runs.len() - 1;
+        let index = self.item_runs.len() - 1;
         let us = 2 * self.network_delay();
-        self.schedule_after(us, Event::Item(ItemEvent::Connected(at, is_connected)));
+        self.schedule_after(us, Event::Item(ItemEvent::Connected(index, is_connected)));
     }
 
-    pub(crate) fn item_response(&mut self, at: usize, value: RelayResponse) {
-        let node = self.item_runs[at].node;
+    pub(crate) fn item_response(&mut self, index: usize, value: RelayResponse) {
+        let node = self.item_runs[index].node;
         match value {
             RelayResponse::SendBefore(until) if self.is_before_deadline(node, until) => {
-                let body = self.item_runs[at].body.clone();
-                let name: EngineName = self.item_runs[at].target.engine.clone();
+                let body = self.item_runs[index].body.clone();
+                let name: EngineName = self.item_runs[index].target.engine.clone();
                 let Some(engine) = self.engine_named(&name) else { return };
                 let delay = self.delay_to_engine(InjectedBug::SendItemsLate);
-                let owner = RunOwner::Item(at);
+                let owner = RunOwner::Item(index);
                 let event = EngineEvent::RequestArrives { engine, body, pieces: 1, owner };
                 self.schedule_after(delay, Event::Engine(event));
                 let timeout_us = topazyard_relay::machine::items::RUN_TIMEOUT.0 * 1_000;
-                self.schedule_after(timeout_us, Event::Item(ItemEvent::TimedOut(at)));
+                self.schedule_after(timeout_us, Event::Item(ItemEvent::TimedOut(index)));
             }
-            _ => self.finish_item(at, RunEnd::NotRun),
+            _ => self.finish_item(index, RunEnd::NotRun),
         }
     }
 
-    fn finish_item(&mut self, at: usize, end: RunEnd) {
-        let item = &mut self.item_runs[at];
+    fn finish_item(&mut self, index: usize, end: RunEnd) {
+        let item = &mut self.item_runs[index];
         item.is_finished = true;
         let (node, run) = (item.node, item.run);
         self.call_relay(node, RelayCall::ItemEnded(run, end), Caller::Ignored);
     }
 
     pub(crate) fn item_event(&mut self, event: ItemEvent) {
-        let at = match &event {
-            ItemEvent::Connected(at, _)
-            | ItemEvent::Complete(at, _)
-            | ItemEvent::ConnectionLost(at)
-            | ItemEvent::TimedOut(at) => *at,
+        let index = match &event {
+            ItemEvent::Connected(index, _)
+            | ItemEvent::Complete(index, _)
+            | ItemEvent::ConnectionLost(index)
+            | ItemEvent::TimedOut(index) => *index,
         };
-        let item = &self.item_runs[at];
+        let item = &self.item_runs[index];
         if item.is_finished || self.nodes[item.node.0].generation != item.generation {
             return;
         }
@@ -395,24 +401,24 @@
             return;
         }
         match event {
-            ItemEvent::Connected(_, false) => self.finish_item(at, RunEnd::NotRun),
+            ItemEvent::Connected(_, false) => self.finish_item(index, RunEnd::NotRun),
             ItemEvent::Connected(_, true) => {
                 let call = RelayCall::DispatchItem(
-                    self.item_runs[at].run,
-                    self.item_runs[at].target.engine.clone(),
+                    self.item_runs[index].run,
+                    self.item_runs[index].target.engine.clone(),
                 );
-                self.call_relay(node, call, Caller::Item(at));
+                self.call_relay(node, call, Caller::Item(index));
             }
             ItemEvent::Complete(_, piece) => {
                 let body = format!("return of work {} run {}", piece.work, piece.run);
-                self.finish_item(at, RunEnd::Complete { status: 200, body: body.into() });
+                self.finish_item(index, RunEnd::Complete { status: 200, body: body.into() });
             }
-            ItemEvent::ConnectionLost(_) => self.finish_item(at, RunEnd::Unknown),
+            ItemEvent::ConnectionLost(_) => self.finish_item(index, RunEnd::Unknown),
             ItemEvent::TimedOut(_) => {
-                if let Some(run) = self.item_runs[at].engine_run {
+                if let Some(run) = self.item_runs[index].engine_run {
                     self.cancel_run(run);
                 }
-                self.finish_item(at, RunEnd::Unknown);
+                self.finish_item(index, RunEnd::Unknown);
             }
         }
     }
