--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -1,6 +1,6 @@
 //! Faults and their effects on the simulated world.
 
-use crate::history::{FaultSeen, Struck};
+use crate::history::{FaultRecord, ImpairmentKind};
 use crate::workload::Activity;
 use crate::world::{
     Caller, EngineHealth, Event, InjectedBug, NodeIndex, NodeKind, REPLACED, World,
@@ -169,7 +169,7 @@
         };
         let name = target.map_or(String::new(), |index| self.nodes[index.0].name.clone());
         let text = format!("{fault:?} {name}");
-        self.history.faults.push(FaultSeen { text, at: self.time });
+        self.history.faults.push(FaultRecord { text, at: self.time });
         match fault {
             Fault::Kill(_) => self.stop_target(target, false),
             Fault::LosePower(_) => self.stop_target(target, true),
@@ -217,7 +217,7 @@
             }
             Fault::CutZone(zone) => {
                 let inside = self.nodes_in_zone(zone);
-                inside.iter().for_each(|index| self.record_impairment(*index, Struck::Cut));
+                inside.iter().for_each(|index| self.record_impairment(*index, ImpairmentKind::Cut));
                 let inside: std::collections::BTreeSet<_> =
                     inside.into_iter().map(|index| self.nodes[index.0].address).collect();
                 self.block_where(|from, to| inside.contains(&from) != inside.contains(&to));
@@ -236,23 +236,23 @@
             }
             Fault::Mend => {
                 self.network.unblock_all();
-                self.end_impairments(Struck::Cut);
+                self.end_impairments(ImpairmentKind::Cut);
             }
             Fault::Lossy(share) => self.network.loss_per_10000 = share,
             Fault::SlowDisk(_, ms) => {
                 if let Some(index) = target {
                     self.nodes[index.0].disk.slow_us = ms * 1_000;
-                    self.record_impairment(index, Struck::SlowDisk);
+                    self.record_impairment(index, ImpairmentKind::SlowDisk);
                 }
             }
             Fault::FastDisks => {
                 self.nodes.iter_mut().for_each(|node| node.disk.slow_us = 0);
-                self.end_impairments(Struck::SlowDisk);
+                self.end_impairments(ImpairmentKind::SlowDisk);
             }
             Fault::FullDisk(_) => {
                 if let Some(index) = target {
                     self.nodes[index.0].disk.is_full = true;
-                    self.record_impairment(index, Struck::FullDisk);
+                    self.record_impairment(index, ImpairmentKind::FullDisk);
                 }
             }
             Fault::KillFull => {
@@ -264,7 +264,7 @@
             }
             Fault::Room => {
                 (0..self.nodes.len()).for_each(|index| self.free_space(NodeIndex(index)));
-                self.end_impairments(Struck::FullDisk);
+                self.end_impairments(ImpairmentKind::FullDisk);
             }
             Fault::Engine(engine, health) => self.set_engine_health(usize::from(engine), health),
             Fault::EngineLeaves(engine) => {
@@ -357,7 +357,7 @@
         let names: Vec<&str> =
             wiped.iter().map(|index| self.nodes[index.0].name.as_str()).collect();
         let text = format!("all lose their power, and their disks {}", names.join(" "));
-        self.history.faults.push(FaultSeen { text, at: self.time });
+        self.history.faults.push(FaultRecord { text, at: self.time });
         for index in (0..self.nodes.len()).map(NodeIndex) {
             if self.nodes[index.0].is_running() {
                 self.stop(index, true);
@@ -378,7 +378,7 @@
             all.retain(|index| {
                 self.nodes[index.0].kind == kind && !self.nodes[index.0].is_replaced()
             });
-            all.iter().for_each(|index| self.record_impairment(*index, Struck::Cut));
+            all.iter().for_each(|index| self.record_impairment(*index, ImpairmentKind::Cut));
             all.shuffle(&mut rng);
             let inside = &all[..all.len() / 2];
             half.extend(inside.iter().map(|index| self.nodes[index.0].address));
@@ -437,7 +437,7 @@
         is_peer: impl Fn(std::net::SocketAddr) -> bool,
     ) {
         let address = self.nodes[index.0].address;
-        self.record_impairment(index, Struck::Cut);
+        self.record_impairment(index, ImpairmentKind::Cut);
         self.block_where(|from, to| {
             let (outbound, inbound) =
                 (from == address && is_peer(to), to == address && is_peer(from));
--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -1,7 +1,7 @@
 //! Clients with batches: they submit, read and list them, recall items and end batches.
 
 use super::Activity;
-use crate::history::{BatchSeen, ListedReturn, ReadSeen, ReadTold, Us};
+use crate::history::{BatchRead, BatchReadOutcome, BatchRecord, ListedResult, Micros};
 use crate::world::{Caller, Event, InjectedBug, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
@@ -26,11 +26,11 @@
 #[derive(Debug)]
 pub(super) struct BatchClient {
     serial: u64,
-    requested_at: Option<Us>,
+    requested_at: Option<Micros>,
     /// The list being read, page by page.
-    page: Vec<ListedReturn>,
+    page: Vec<ListedResult>,
     complete_lists: u32,
-    end_at: Option<Us>,
+    end_at: Option<Micros>,
     recall: Option<u32>,
     polls: u64,
 }
@@ -38,7 +38,7 @@
 /// The number of complete lists with all results after which a client stops.
 const REQUIRED_COMPLETE_LISTS: u32 = 3;
 /// The minimum time for which a batch is read after it was accepted.
-const MIN_READ_PERIOD_US: Us = 10_000_000;
+const MIN_READ_PERIOD_US: Micros = 10_000_000;
 
 impl World {
     pub(super) fn next_batch(&mut self) {
@@ -64,7 +64,7 @@
         // The word "parcel" stays: the batch id is derived from this key, so another key would
         // change the history of every seed.
         let key = format!("parcel {batch} of {}", self.time);
-        self.history.batches.push(BatchSeen {
+        self.history.batches.push(BatchRecord {
             id: BatchId::from_key(&key),
             first_work,
             items: settings.items_per_batch as u32,
@@ -159,7 +159,7 @@
         let time = self.time;
         if matches!(batch_request, BatchRequest::Read | BatchRequest::List) {
             let relay = self.nodes[relay.0].name.clone();
-            let read = ReadSeen { asked: time, relay, told: None };
+            let read = BatchRead { requested_at: time, relay, outcome: None };
             self.history.batches[batch].reads.push(read);
         }
         let client = &mut self.workload.batches[batch];
@@ -183,14 +183,14 @@
         let time = self.time;
         if matches!(batch_request, BatchRequest::Read | BatchRequest::List) {
             let outcome = match &value {
-                RelayResponse::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
+                RelayResponse::Batch(BatchResponse::Unknown) => BatchReadOutcome::Unknown,
                 RelayResponse::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
-                    ReadTold::Given
+                    BatchReadOutcome::Given
                 }
-                _ => ReadTold::Refused,
+                _ => BatchReadOutcome::Refused,
             };
             if let Some(read) = self.history.batches[batch].reads.last_mut() {
-                read.told = Some((time, outcome));
+                read.outcome = Some((time, outcome));
             }
         }
         let RelayResponse::Batch(value) = value else { return };
@@ -247,7 +247,7 @@
                 ItemEnd::Abandoned => ("abandoned".to_owned(), None),
             };
             let item = result.item.0 + u32::from(shifts_items);
-            client.page.push(ListedReturn { position: result.position, item, text, body });
+            client.page.push(ListedResult { position: result.position, item, text, body });
         }
         if results.is_empty() {
             let list = std::mem::take(&mut client.page);
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -53,7 +53,7 @@
     /// An operator reads the configuration in force; repeats.
     ReadConfiguration,
     /// A read of the configuration in force, with the time of the request.
-    ReadConfigurationDone(crate::history::Us),
+    ReadConfigurationDone(crate::history::Micros),
 }
 
 /// The settings of the workload.
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -5,7 +5,7 @@
 mod sending;
 
 use super::Activity;
-use crate::history::{OrderAnswer, OrderSeen, ReadBack, ReadBackSeen, Us};
+use crate::history::{Micros, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord};
 use crate::world::{Caller, Event, InjectedBug, NodeIndex, NodeKind, World};
 use contents::Defect;
 pub(crate) use contents::fingerprint;
@@ -55,10 +55,10 @@
 }
 
 /// The interval at which the configuration in force is read back.
-const READ_BACK_INTERVAL_US: Us = 250_000;
+const READ_BACK_INTERVAL_US: Micros = 250_000;
 /// How long a response is accepted after an attempt: by then the node's own HTTP front end responds
 /// that the outcome is unknown.
-const RESPONSE_TIMEOUT_US: Us = 900_000;
+const RESPONSE_TIMEOUT_US: Micros = 900_000;
 /// One in this many resent orders is any acknowledged one; the others are the newest one.
 const RESEND_OLD_ONE_IN: u64 = 3;
 
@@ -79,7 +79,7 @@
                 self.order_arrives(order, attempt, node)
             }
             OrderActivity::Answered(order, attempt) => {
-                self.record_answer(order, attempt, OrderAnswer::Unclear);
+                self.record_answer(order, attempt, OrderResponse::Unclear);
             }
             OrderActivity::Read => self.read_back(),
             OrderActivity::ReadArrives(read, node) => self.read_arrives(read, node),
@@ -97,8 +97,8 @@
         }
         match activity {
             OrderActivity::Answered(order, attempt) => {
-                let asked = self.history.orders[order].attempts[attempt].asked;
-                if self.time < asked + RESPONSE_TIMEOUT_US {
+                let requested_at = self.history.orders[order].attempts[attempt].requested_at;
+                if self.time < requested_at + RESPONSE_TIMEOUT_US {
                     let answer = self.altered_answer(attempt, answer_of(&outcome));
                     self.record_answer(order, attempt, answer);
                 }
@@ -109,8 +109,8 @@
     }
 
     /// An answer as the injected bug would alter it.
-    fn altered_answer(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
-        use OrderAnswer::{Acknowledged, Refused};
+    fn altered_answer(&self, attempt: usize, answer: OrderResponse) -> OrderResponse {
+        use OrderResponse::{Acknowledged, Refused};
         match (self.injected_bug, answer) {
             (Some(InjectedBug::AcknowledgeAll), Refused) => Acknowledged,
             (Some(InjectedBug::RefuseResent), Acknowledged) if attempt > 0 => Refused,
@@ -169,10 +169,10 @@
     /// The source that was acknowledged or read back with a number.
     fn known_source(&self, number: u64) -> Option<bytes::Bytes> {
         let numbered = || self.history.orders.iter().filter(|order| order.number == number);
-        let acknowledged = numbered().find(|o| o.first(OrderAnswer::Acknowledged).is_some());
+        let acknowledged = numbered().find(|o| o.first(OrderResponse::Acknowledged).is_some());
         let was_read = |source: &bytes::Bytes| {
-            let told = self.history.read_backs.iter().filter_map(|read| read.told.as_ref());
-            told.into_iter().any(|(_, told)| *told == ReadBack::Given(source.clone()))
+            let told = self.history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
+            told.into_iter().any(|(_, told)| *told == ReadBackOutcome::Given(source.clone()))
         };
         let known = acknowledged.or_else(|| numbered().find(|order| was_read(&order.source)));
         known.map(|order| order.source.clone())
@@ -200,14 +200,14 @@
         self.start_order(number, base, content, 0);
     }
 
-    fn start_numbered_order(&mut self, number: u64, base: u64, after: Us) {
+    fn start_numbered_order(&mut self, number: u64, base: u64, after: Micros) {
         let content = self.new_content(None);
         self.start_order(number, base, content, after);
     }
 
-    fn start_order(&mut self, number: u64, base: u64, content: contents::Content, after: Us) {
+    fn start_order(&mut self, number: u64, base: u64, content: contents::Content, after: Micros) {
         let order = self.history.orders.len();
-        self.history.orders.push(OrderSeen {
+        self.history.orders.push(OrderRecord {
             number,
             base,
             source: content.source,
@@ -225,7 +225,7 @@
             .filter(|order| {
                 let is_closed = self.workload.orders.statuses[*order] == OrderStatus::Closed;
                 let seen = &self.history.orders[*order];
-                is_closed && seen.first(OrderAnswer::Acknowledged).is_some()
+                is_closed && seen.first(OrderResponse::Acknowledged).is_some()
             })
             .collect();
         let Some(newest) = acknowledged.last().copied() else { return };
@@ -237,19 +237,19 @@
         self.schedule_after(0, OrderActivity::Send(order).event());
     }
 
-    fn record_answer(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
+    fn record_answer(&mut self, order: usize, attempt: usize, answer: OrderResponse) {
         let time = self.time;
         let seen = &mut self.history.orders[order];
         let number = seen.number;
-        let known = &mut seen.attempts[attempt].answer;
+        let known = &mut seen.attempts[attempt].response;
         if known.is_some() {
             return;
         }
         *known = Some((time, answer));
         match answer {
-            OrderAnswer::Unclear => self.schedule_resend(order),
-            OrderAnswer::Refused => self.workload.orders.statuses[order] = OrderStatus::Closed,
-            OrderAnswer::Acknowledged => {
+            OrderResponse::Unclear => self.schedule_resend(order),
+            OrderResponse::Refused => self.workload.orders.statuses[order] = OrderStatus::Closed,
+            OrderResponse::Acknowledged => {
                 self.workload.orders.statuses[order] = OrderStatus::Closed;
                 self.observe_number(number);
             }
@@ -265,8 +265,8 @@
         self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::Read.event());
         let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
-        let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
-        self.history.read_backs.push(ReadBackSeen { node: name, asked, told: None });
+        let (name, requested_at) = (self.nodes[node.0].name.clone(), self.time);
+        self.history.read_backs.push(ReadBackRecord { node: name, requested_at, outcome: None });
         let delay = self.network_delay();
         self.schedule_after(delay, OrderActivity::ReadArrives(read, node).event());
     }
@@ -284,31 +284,33 @@
     fn read_back_response(&mut self, read: usize, outcome: OperatorOutcome) {
         let time = self.time;
         let read_back = match outcome {
-            OperatorOutcome::Done(source) => ReadBack::Given(source.into()),
-            OperatorOutcome::Refused(error) if error.code == Code::NotFound => ReadBack::Missing,
-            OperatorOutcome::Refused(_) => ReadBack::Unclear,
+            OperatorOutcome::Done(source) => ReadBackOutcome::Given(source.into()),
+            OperatorOutcome::Refused(error) if error.code == Code::NotFound => {
+                ReadBackOutcome::Missing
+            }
+            OperatorOutcome::Refused(_) => ReadBackOutcome::Unclear,
         };
         let read_back = match (self.injected_bug, read_back) {
-            (Some(InjectedBug::ReadFirstConfiguration), ReadBack::Given(_)) => {
-                ReadBack::Given(self.history.orders[0].source.clone())
+            (Some(InjectedBug::ReadFirstConfiguration), ReadBackOutcome::Given(_)) => {
+                ReadBackOutcome::Given(self.history.orders[0].source.clone())
             }
             (_, read_back) => read_back,
         };
-        if let ReadBack::Given(source) = &read_back {
+        if let ReadBackOutcome::Given(source) = &read_back {
             let found = self.history.orders.iter().find(|order| order.source == *source);
             let number = found.map_or(0, |order| order.number);
             self.observe_number(number);
         }
-        self.history.read_backs[read].told = Some((time, read_back));
+        self.history.read_backs[read].outcome = Some((time, read_back));
     }
 }
 
-fn answer_of(outcome: &OperatorOutcome) -> OrderAnswer {
+fn answer_of(outcome: &OperatorOutcome) -> OrderResponse {
     match outcome {
-        OperatorOutcome::Done(_) => OrderAnswer::Acknowledged,
+        OperatorOutcome::Done(_) => OrderResponse::Acknowledged,
         OperatorOutcome::Refused(error) => match error.code.status() {
-            408 | 429 | 500.. => OrderAnswer::Unclear,
-            _ => OrderAnswer::Refused,
+            408 | 429 | 500.. => OrderResponse::Unclear,
+            _ => OrderResponse::Refused,
         },
     }
 }
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -2,18 +2,18 @@
 //! response, with a growing retry delay.
 
 use super::{OrderActivity, OrderStatus};
-use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
+use crate::history::{Micros, OrderAttempt, OrderRecord, OrderResponse};
 use crate::workload::Activity;
 use crate::world::{Caller, InjectedBug, NodeIndex, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
 /// The time without response after which an operator tries another node.
-const ATTEMPT_TIMEOUT_US: Us = 1_000_000;
+const ATTEMPT_TIMEOUT_US: Micros = 1_000_000;
 /// The delay that doubles with each attempt to send an order.
-const BASE_RETRY_DELAY_US: Us = 50_000;
+const BASE_RETRY_DELAY_US: Micros = 50_000;
 /// The maximum delay between two attempts, before jitter.
-const MAX_RETRY_DELAY_US: Us = 800_000;
+const MAX_RETRY_DELAY_US: Micros = 800_000;
 
 impl World {
     /// Sends an order to any control node on the list, which still contains nodes that have just
@@ -24,8 +24,8 @@
         }
         let Some(node) = self.draw_listed_control() else { return };
         let attempt = self.history.orders[order].attempts.len();
-        let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
-        let sent = OrderAttempt { node: name, asked, answer: None };
+        let (name, requested_at) = (self.nodes[node.0].name.clone(), self.time);
+        let sent = OrderAttempt { node: name, requested_at, response: None };
         self.history.orders[order].attempts.push(sent);
         let delay = self.network_delay();
         self.schedule_after(delay, OrderActivity::Arrives(order, attempt, node).event());
@@ -50,11 +50,11 @@
             return;
         }
         if !self.nodes[node.0].is_running() {
-            self.record_answer(order, attempt, OrderAnswer::Unclear);
+            self.record_answer(order, attempt, OrderResponse::Unclear);
             return;
         }
         if self.injected_bug == Some(InjectedBug::RefuseWithoutCause) && attempt == 0 && order > 0 {
-            self.record_answer(order, attempt, OrderAnswer::Refused);
+            self.record_answer(order, attempt, OrderResponse::Refused);
             return;
         }
         let seen = &self.history.orders[order];
@@ -75,7 +75,7 @@
 const MAX_SOURCE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// The command of an order.
-fn order_command(order: &OrderSeen) -> Command {
+fn order_command(order: &OrderRecord) -> Command {
     let (base, version) = (ConfigurationVersion(order.base), ConfigurationVersion(order.number));
     match &order.patch {
         None => Command::ApplyConfiguration {
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -1,7 +1,7 @@
 //! The platform: it lists the engines and checks which relays are ready.
 
 use super::Activity;
-use crate::history::EngineListSeen;
+use crate::history::EngineListRecord;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
@@ -39,7 +39,7 @@
     /// Sends a new engine list, with `listed_ready` as ready and all other engines as leaving.
     pub fn list_engines(&mut self) {
         let ready = self.workload.listed_ready.clone();
-        let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
+        let seen = EngineListRecord { sent: self.time, acknowledged: None, ready };
         self.history.engine_lists.push(seen);
         self.schedule_after(0, Event::Activity(Activity::PutEngines));
     }
--- a/fleet-simulator/src/workload/retirement.rs
+++ b/fleet-simulator/src/workload/retirement.rs
@@ -1,12 +1,12 @@
 //! Operators who request the retirement of a storage node and remove it once that is completed.
 
 use super::Activity;
-use crate::history::Us;
+use crate::history::Micros;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// The interval at which the retirement is requested and its status is queried.
-const POLL_INTERVAL_US: Us = 500_000;
+const POLL_INTERVAL_US: Micros = 500_000;
 
 impl World {
     /// Requests the retirement of a storage node repeatedly until it is acknowledged.
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -2,7 +2,7 @@
 //! invalid ones, and read back what is in force.
 
 use super::Activity;
-use crate::history::{SpecRead, SpecSeen, Us};
+use crate::history::{ConfigurationRead, Micros, RolloutRecord};
 use crate::world::{Caller, Event, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Execution;
@@ -28,7 +28,7 @@
 pub(super) struct RolloutOperator {
     step: Step,
     serial: u64,
-    requested_at: Option<Us>,
+    requested_at: Option<Micros>,
     is_invalid: bool,
 }
 
@@ -61,13 +61,13 @@
     }
 
     fn start_rollout(&mut self, is_invalid: bool) {
-        let number = self.history.specs.len();
-        self.history.specs.push(SpecSeen {
+        let number = self.history.rollouts.len();
+        self.history.rollouts.push(RolloutRecord {
             version: None,
             ceiling: self.workload.settings.waiting_ceiling,
             model: format!("only-{number}"),
             refused: false,
-            asked: None,
+            requested_at: None,
             acknowledged: None,
         });
         let operator =
@@ -77,7 +77,7 @@
     }
 
     fn rollout_text(&self, rollout: usize) -> String {
-        let model = &self.history.specs[rollout].model;
+        let model = &self.history.rollouts[rollout].model;
         let pool = if self.workload.rollouts[rollout].is_invalid { "no such pool" } else { "main" };
         self.configuration_json(model, pool, &[]).to_string()
     }
@@ -135,7 +135,7 @@
             return;
         }
         let Some(control) = self.draw_node(NodeKind::Control) else { return };
-        let version = ConfigurationVersion(self.history.specs[rollout].version.unwrap_or(0));
+        let version = ConfigurationVersion(self.history.rollouts[rollout].version.unwrap_or(0));
         let step = self.workload.rollouts[rollout].step;
         let request = match step {
             Step::FindBase => OperatorRequest::Query(Query::ListConfigurations),
@@ -149,7 +149,7 @@
             }
             Step::RollOut => {
                 let time = self.time;
-                self.history.specs[rollout].asked.get_or_insert(time);
+                self.history.rollouts[rollout].requested_at.get_or_insert(time);
                 OperatorRequest::Command(Command::RollOut { version })
             }
             Step::Finished => return,
@@ -163,7 +163,7 @@
     }
 
     fn abandon_rollout(&mut self, rollout: usize) {
-        self.history.specs[rollout].refused = true;
+        self.history.rollouts[rollout].refused = true;
         self.workload.rollouts[rollout].step = Step::Finished;
     }
 
@@ -204,12 +204,12 @@
                 Step::Submit(newest)
             }
             Step::Submit(_) => {
-                self.history.specs[rollout].version = response["version"].as_u64();
+                self.history.rollouts[rollout].version = response["version"].as_u64();
                 Step::SignOff
             }
             Step::SignOff => Step::RollOut,
             Step::RollOut => {
-                self.history.specs[rollout].acknowledged = Some(time);
+                self.history.rollouts[rollout].acknowledged = Some(time);
                 Step::Finished
             }
             Step::Finished => Step::Finished,
@@ -230,11 +230,11 @@
         }
     }
 
-    pub(super) fn configuration_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
+    pub(super) fn configuration_read(&mut self, requested_at: Micros, outcome: &OperatorOutcome) {
         if let OperatorOutcome::Done(text) = outcome {
             let response: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
             if let Some(version) = response["version"].as_u64() {
-                self.history.spec_reads.push(SpecRead { asked, version });
+                self.history.configuration_reads.push(ConfigurationRead { requested_at, version });
             }
         }
     }
--- a/fleet-simulator/src/world/nodes/clocks.rs
+++ b/fleet-simulator/src/world/nodes/clocks.rs
@@ -1,7 +1,7 @@
 //! Clocks of processes, each with its own rate.
 
 use super::NodeIndex;
-use crate::history::Us;
+use crate::history::Micros;
 use crate::world::World;
 use topazyard_types::MonotonicMs;
 
@@ -11,10 +11,10 @@
         MonotonicMs(86_400_000 + ran / 1_000)
     }
 
-    fn clock_us(&self, node: NodeIndex) -> Us {
+    fn clock_us(&self, node: NodeIndex) -> Micros {
         let node = &self.nodes[node.0];
         let (at, shown) = node.clock_reference;
-        shown + ((self.time - at) as i64 * (1_000_000 + node.rate_ppm) / 1_000_000) as Us
+        shown + ((self.time - at) as i64 * (1_000_000 + node.rate_ppm) / 1_000_000) as Micros
     }
 
     /// Makes a process's clock run faster than real time from now on, by this many parts per
@@ -27,7 +27,7 @@
     }
 
     /// The time on a relay's clock this many microseconds from now.
-    pub(crate) fn relay_clock_after(&self, index: NodeIndex, ahead: Us) -> MonotonicMs {
+    pub(crate) fn relay_clock_after(&self, index: NodeIndex, ahead: Micros) -> MonotonicMs {
         MonotonicMs(self.node_clock(index).0 + ahead / 1_000)
     }
 
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -6,7 +6,7 @@
 mod steps;
 
 use super::{Caller, Disk, Event, InjectedBug, World};
-use crate::history::{Struck, StruckSeen, Us};
+use crate::history::{Impairment, ImpairmentKind, Micros};
 use topazyard_control::ControlMachine;
 use topazyard_edge_agent::AgentMachine;
 use topazyard_relay::RelayMachine;
@@ -70,12 +70,12 @@
     pub(crate) id: NodeId,
     /// Rises with each start and stop, so that events of an earlier run are ignored.
     pub(crate) generation: u64,
-    pub(crate) frozen_until: Option<Us>,
+    pub(crate) frozen_until: Option<Micros>,
     /// A simulated time and what the process's clock showed then. Since then the clock has run
     /// faster than real time by `rate_ppm` parts per million.
-    clock_reference: (Us, Us),
+    clock_reference: (Micros, Micros),
     rate_ppm: i64,
-    clock_stopped_us: Us,
+    clock_stopped_us: Micros,
     last_call: u64,
     calls: std::collections::BTreeMap<CallId, Caller>,
 }
@@ -239,7 +239,7 @@
     pub fn stop(&mut self, index: NodeIndex, loses_power: bool) {
         let extra_writes = self.draw(0..4) as usize;
         if self.nodes[index.0].is_running() {
-            self.record_impairment(index, Struck::Off);
+            self.record_impairment(index, ImpairmentKind::Off);
         }
         let node = &mut self.nodes[index.0];
         node.machine = NodeMachine::Stopped;
@@ -254,11 +254,11 @@
     }
 
     /// Freezes a process: its events wait until it wakes.
-    pub fn freeze(&mut self, index: NodeIndex, us: Us) {
+    pub fn freeze(&mut self, index: NodeIndex, us: Micros) {
         let until = self.time + us;
         self.nodes[index.0].frozen_until = Some(until);
-        self.record_impairment(index, Struck::Frozen);
-        if let Some(impairment) = self.history.struck.last_mut() {
+        self.record_impairment(index, ImpairmentKind::Frozen);
+        if let Some(impairment) = self.history.impairments.last_mut() {
             impairment.until = Some(until);
         }
         if self.injected_bug == Some(InjectedBug::StoppedClock) {
@@ -267,16 +267,16 @@
     }
 
     /// Records that a process's machine is impaired from now on.
-    pub(crate) fn record_impairment(&mut self, index: NodeIndex, by: Struck) {
+    pub(crate) fn record_impairment(&mut self, index: NodeIndex, kind: ImpairmentKind) {
         let node = &self.nodes[index.0];
         let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let (name, from) = (node.name.clone(), self.time);
-        self.history.struck.push(StruckSeen { name, by, has_disk, from, until: None });
+        self.history.impairments.push(Impairment { name, kind, has_disk, from, until: None });
     }
 
     /// Records that all impairments of this kind have ended.
-    pub(crate) fn end_impairments(&mut self, by: Struck) {
-        self.end_impairments_where(|impairment| impairment.by == by);
+    pub(crate) fn end_impairments(&mut self, kind: ImpairmentKind) {
+        self.end_impairments_where(|impairment| impairment.kind == kind);
     }
 
     /// Removes a machine for good: others hold its data, so its absence no longer counts as an
@@ -296,12 +296,13 @@
     /// Records that the outage of the machine with this name has ended.
     pub(crate) fn end_outage(&mut self, name: &str) {
         self.end_impairments_where(|impairment| {
-            impairment.by == Struck::Off && impairment.name == name
+            impairment.kind == ImpairmentKind::Off && impairment.name == name
         });
     }
 
-    fn end_impairments_where(&mut self, has_ended: impl Fn(&StruckSeen) -> bool) {
-        let open = self.history.struck.iter_mut().filter(|impairment| impairment.until.is_none());
+    fn end_impairments_where(&mut self, has_ended: impl Fn(&Impairment) -> bool) {
+        let open =
+            self.history.impairments.iter_mut().filter(|impairment| impairment.until.is_none());
         for impairment in open.filter(|impairment| has_ended(impairment)) {
             impairment.until = Some(self.time);
         }
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -3,7 +3,7 @@
 
 use super::engines::{EngineEvent, RunOwner};
 use super::{Caller, Event, InjectedBug, NodeIndex, World};
-use crate::history::{Piece, PromptEnd, Us};
+use crate::history::{Micros, Piece, PromptEnd};
 use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId, Target};
 use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine, State};
 use topazyard_relay::{RelayCall, RelayResponse};
@@ -25,7 +25,7 @@
     pub(crate) attempt: u32,
     pub(crate) run: Option<usize>,
     pieces_received: u32,
-    sent_at: Us,
+    sent_at: Micros,
     is_finished: bool,
 }
 
@@ -120,12 +120,13 @@
         self.record_client_end(prompt, self.time + delay, end);
     }
 
-    fn record_client_end(&mut self, prompt: usize, at: Us, end: PromptEnd) {
+    fn record_client_end(&mut self, prompt: usize, at: Micros, end: PromptEnd) {
         let seen = &mut self.history.prompts[prompt];
         if seen.end.is_none() {
             let gave_up = seen.sent + seen.wait + 1_500_000;
             // A client that waited well past its deadline has disconnected.
-            seen.end = Some(if at > gave_up { (gave_up, PromptEnd::Broken) } else { (at, end) });
+            seen.end =
+                Some(if at > gave_up { (gave_up, PromptEnd::ConnectionLost) } else { (at, end) });
         }
     }
 
@@ -140,8 +141,8 @@
             ran = Execution::NotRun;
         }
         let omits_retry_after = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
-        let says_when = error.code.retry_after_s().is_some() && !omits_retry_after;
-        let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
+        let has_retry_after = error.code.retry_after_s().is_some() && !omits_retry_after;
+        let end = PromptEnd::Refused { status: error.code.status(), ran, has_retry_after };
         self.finish_session(index, engine_outcome, end);
     }
 
@@ -213,7 +214,7 @@
         );
     }
 
-    fn delay_to_engine(&mut self, late_bug: InjectedBug) -> Us {
+    fn delay_to_engine(&mut self, late_bug: InjectedBug) -> Micros {
         let extra = if self.injected_bug == Some(late_bug) { 7_000_000 } else { 0 };
         extra + self.network_delay()
     }
@@ -263,7 +264,7 @@
             SessionEvent::ConnectionLost(event_attempt) if event_attempt == attempt => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
                 if sent && self.injected_bug == Some(InjectedBug::InterruptedLooksComplete) {
-                    self.finish_session(index, EngineOutcome::Failed, PromptEnd::Whole);
+                    self.finish_session(index, EngineOutcome::Failed, PromptEnd::Complete);
                 } else if sent {
                     self.handle_failure(index, Failure::ConnectionLost);
                 }
@@ -291,7 +292,7 @@
         self.history.prompts[prompt].pieces.push(piece);
         if piece.index + 1 == piece.of {
             self.sessions[index].state_machine.complete();
-            self.finish_session(index, EngineOutcome::Completed(took), PromptEnd::Whole);
+            self.finish_session(index, EngineOutcome::Completed(took), PromptEnd::Complete);
         }
     }
 
@@ -312,7 +313,7 @@
                 self.respond_with_error(index, EngineOutcome::Failed, &error)
             }
             FailureAction::CloseConnection => {
-                self.finish_session(index, EngineOutcome::Failed, PromptEnd::Broken)
+                self.finish_session(index, EngineOutcome::Failed, PromptEnd::ConnectionLost)
             }
         }
     }
@@ -328,7 +329,7 @@
                 if let Some(run) = run {
                     self.cancel_run(run);
                 }
-                self.record_client_end(prompt, self.time + 1_000, PromptEnd::Broken);
+                self.record_client_end(prompt, self.time + 1_000, PromptEnd::ConnectionLost);
             }
         }
         for index in 0..self.item_runs.len() {
--- a/fleet-simulator/tests/lines.rs
+++ b/fleet-simulator/tests/lines.rs
@@ -19,7 +19,7 @@
         report.violations,
     );
     // A run that served nothing would have no violations and prove nothing.
-    assert!(report.figures.whole > 300, "{} {}", deployment.name, scenario.name());
+    assert!(report.figures.complete > 300, "{} {}", deployment.name, scenario.name());
 }
 
 /// Runs a scenario from both seeds on the deployments that tolerate the loss of this many machines.
--- a/programs/topazyard-relay/tests/invariants.rs
+++ b/programs/topazyard-relay/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! Each invariant that the relay checks, seen violated.
 
-use topazyard_relay::front::ended::{Unanswered, check_all_answered};
+use topazyard_relay::front::outcomes::{UnansweredRequest, check_all_answered};
 use topazyard_relay::prompt::{RequestStateMachine, State};
 use topazyard_types::MonotonicMs;
 use topazyard_wire::invariants::{Invariant, violations};
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_request_without_a_response_at_the_end_is_a_violation() {
-    let unanswered = Unanswered::begin();
+    let unanswered = UnansweredRequest::start();
     check_all_answered();
     assert_eq!(violations(Invariant::AnsweredBeforeEnd), 1);
     drop(unanswered);
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -2,7 +2,7 @@
 //! words put in by hand.
 
 use topazyard_relay::drain::DrainTimes;
-use topazyard_relay::front::items::{Events, OutOfOrder};
+use topazyard_relay::front::items::{InvalidStream, ItemEvents};
 use topazyard_relay::machine::EngineOutcome;
 use topazyard_relay::machine::routed_items::RoutedRun;
 use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
@@ -522,12 +522,12 @@
     assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been taken");
 }
 
-fn events(pieces: &[&str], so_far: Progress) -> Result<Option<String>, OutOfOrder> {
-    let mut events = Events::after(so_far);
+fn events(pieces: &[&str], so_far: Progress) -> Result<Option<String>, InvalidStream> {
+    let mut events = ItemEvents::resume(so_far);
     for piece in pieces {
-        events.take(piece.as_bytes())?;
+        events.push(piece.as_bytes())?;
     }
-    Ok(events.whole())
+    Ok(events.into_text())
 }
 
 #[test]
@@ -537,10 +537,10 @@
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"], fresh()), whole("a\nb"));
     assert_eq!(events(&["id:0\r\nda", "ta:a\r\n\r", "\n"], fresh()), whole("a"));
     assert_eq!(events(&["some-version: 4\nid: 1\ndata: a\ndata: b\n\n"], fresh()), whole("a\nb"));
-    assert_eq!(events(&["id: 1\ndata: a\n\nid: 3\ndata: b\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 1\ndata: a\n\nid: 1\ndata: a\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 2\ndata: a\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["data: a\n\n"], fresh()), Err(OutOfOrder));
+    assert_eq!(events(&["id: 1\ndata: a\n\nid: 3\ndata: b\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["id: 1\ndata: a\n\nid: 1\ndata: a\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["id: 2\ndata: a\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["data: a\n\n"], fresh()), Err(InvalidStream));
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n"], fresh()), Ok(None));
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\nda"], fresh()), Ok(None));
     assert_eq!(events(&[], fresh()), Ok(None));
@@ -550,8 +550,8 @@
 fn a_resumed_text_joins_only_at_the_event_after_the_last() {
     let so_far = || Progress { last_event: Some(2), text: "a\nb".to_owned() };
     assert_eq!(events(&["id: 3\ndata: c\n\n"], so_far()), Ok(Some("a\nb\nc".to_owned())));
-    assert_eq!(events(&["id: 1\ndata: a\n\n"], so_far()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 4\ndata: d\n\n"], so_far()), Err(OutOfOrder));
+    assert_eq!(events(&["id: 1\ndata: a\n\n"], so_far()), Err(InvalidStream));
+    assert_eq!(events(&["id: 4\ndata: d\n\n"], so_far()), Err(InvalidStream));
 }
 
 // Else a relay keeps items from others, and asks for each in a loop, while there is no room.
