--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -95,22 +95,22 @@
     /// Whether every accepted batch was listed completely as often as required.
     pub(crate) fn batches_are_done(&self) -> bool {
         let all = self.history.batches.iter().zip(&self.workload.batches);
-        all.into_iter().all(|(seen, client)| {
-            seen.accepted.is_none() || client.complete_lists >= REQUIRED_COMPLETE_LISTS
+        all.into_iter().all(|(record, client)| {
+            record.accepted.is_none() || client.complete_lists >= REQUIRED_COMPLETE_LISTS
         })
     }
 
     fn next_request(&mut self, batch: usize) -> BatchRequest {
         let time = self.time;
-        let seen = &self.history.batches[batch];
+        let record = &self.history.batches[batch];
         let client = &mut self.workload.batches[batch];
-        if seen.accepted.is_none() {
+        if record.accepted.is_none() {
             return BatchRequest::Submit;
         }
         if let Some(item) = client.recall.take() {
             return BatchRequest::Recall(item);
         }
-        if seen.ended.is_none() && client.end_at.is_some_and(|at| time >= at) {
+        if record.ended.is_none() && client.end_at.is_some_and(|at| time >= at) {
             return BatchRequest::End;
         }
         client.polls += 1;
@@ -131,12 +131,12 @@
         }
         let Some(relay) = self.draw_relay() else { return };
         let batch_request = self.next_request(batch);
-        let seen = &self.history.batches[batch];
-        let id = seen.id;
+        let record = &self.history.batches[batch];
+        let id = record.id;
         let timeout = DurationMs(5_000);
         let request = match &batch_request {
             BatchRequest::Submit => {
-                let works = seen.first_work..seen.first_work + seen.items as usize;
+                let works = record.first_work..record.first_work + record.items as usize;
                 let items = self.history.works[works].iter().map(|work| Item {
                     model: work.model.as_str().into(),
                     body: work.body.clone(),
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -1,5 +1,5 @@
 //! Operators with numbered configurations, each applied in one step: they race, resend an order
-//! unchanged to any node until they get a definite answer, and read back what is in force.
+//! unchanged to any node until they get a definite response, and read back what is in force.
 
 mod contents;
 mod sending;
@@ -16,19 +16,19 @@
 #[derive(Debug, Clone, Copy)]
 pub enum OrderActivity {
     /// Start the next orders; repeats.
-    Begin,
+    StartNext,
     /// Send an order to a node.
     Send(usize),
     /// An attempt to send an order arrives at a node.
     Arrives(usize, usize, NodeIndex),
     /// An attempt to send an order timed out, or got a response.
-    Answered(usize, usize),
+    AttemptDone(usize, usize),
     /// Read back the configuration in force; repeats.
-    Read,
+    ReadBack,
     /// A read-back arrives at a node.
-    ReadArrives(usize, NodeIndex),
-    /// A read-back is answered.
-    ReadAnswered(usize),
+    ReadBackArrives(usize, NodeIndex),
+    /// A read-back got a response.
+    ReadBackDone(usize),
 }
 
 impl OrderActivity {
@@ -40,9 +40,9 @@
 /// The status of an order at its operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OrderStatus {
-    /// It is sent again until its answer is definite.
+    /// It is sent again until it gets a definite response.
     Open,
-    /// Its answer was definite.
+    /// It got a definite response.
     Closed,
 }
 
@@ -67,23 +67,23 @@
     pub fn first_order(&mut self) {
         let content = self.new_content(None);
         self.start_order(1, 0, content, 0);
-        self.schedule_after(0, OrderActivity::Begin.event());
-        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::Read.event());
+        self.schedule_after(0, OrderActivity::StartNext.event());
+        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::ReadBack.event());
     }
 
     pub(super) fn perform_order(&mut self, activity: OrderActivity) {
         match activity {
-            OrderActivity::Begin => self.start_next_orders(),
+            OrderActivity::StartNext => self.start_next_orders(),
             OrderActivity::Send(order) => self.send_order(order),
             OrderActivity::Arrives(order, attempt, node) => {
                 self.order_arrives(order, attempt, node)
             }
-            OrderActivity::Answered(order, attempt) => {
-                self.record_answer(order, attempt, OrderResponse::Unclear);
+            OrderActivity::AttemptDone(order, attempt) => {
+                self.record_response(order, attempt, OrderResponse::Unclear);
             }
-            OrderActivity::Read => self.read_back(),
-            OrderActivity::ReadArrives(read, node) => self.read_arrives(read, node),
-            OrderActivity::ReadAnswered(_) => {}
+            OrderActivity::ReadBack => self.read_back(),
+            OrderActivity::ReadBackArrives(read, node) => self.read_back_arrives(read, node),
+            OrderActivity::ReadBackDone(_) => {}
         }
     }
 
@@ -96,33 +96,33 @@
             return;
         }
         match activity {
-            OrderActivity::Answered(order, attempt) => {
+            OrderActivity::AttemptDone(order, attempt) => {
                 let requested_at = self.history.orders[order].attempts[attempt].requested_at;
                 if self.time < requested_at + RESPONSE_TIMEOUT_US {
-                    let answer = self.altered_answer(attempt, answer_of(&outcome));
-                    self.record_answer(order, attempt, answer);
+                    let response = self.altered_response(attempt, response_of(&outcome));
+                    self.record_response(order, attempt, response);
                 }
             }
-            OrderActivity::ReadAnswered(read) => self.read_back_response(read, outcome),
+            OrderActivity::ReadBackDone(read) => self.read_back_response(read, outcome),
             _ => {}
         }
     }
 
-    /// An answer as the injected bug would alter it.
-    fn altered_answer(&self, attempt: usize, answer: OrderResponse) -> OrderResponse {
+    /// A response as the injected bug would alter it.
+    fn altered_response(&self, attempt: usize, response: OrderResponse) -> OrderResponse {
         use OrderResponse::{Acknowledged, Refused};
-        match (self.injected_bug, answer) {
+        match (self.injected_bug, response) {
             (Some(InjectedBug::AcknowledgeAll), Refused) => Acknowledged,
             (Some(InjectedBug::RefuseResent), Acknowledged) if attempt > 0 => Refused,
             (Some(InjectedBug::RefuseApplied), Acknowledged) if attempt == 0 => Refused,
-            _ => answer,
+            _ => response,
         }
     }
 
     fn start_next_orders(&mut self) {
         let interval_us = self.workload.settings.order_interval_ms.max(1) * 1_000;
         let next = interval_us / 2 + self.draw(0..interval_us);
-        self.schedule_after(next, OrderActivity::Begin.event());
+        self.schedule_after(next, OrderActivity::StartNext.event());
         let open =
             self.workload.orders.statuses.iter().filter(|s| **s == OrderStatus::Open).count();
         let free_slots = self.workload.settings.max_open_orders.saturating_sub(open);
@@ -171,8 +171,10 @@
         let numbered = || self.history.orders.iter().filter(|order| order.number == number);
         let acknowledged = numbered().find(|o| o.first(OrderResponse::Acknowledged).is_some());
         let was_read = |source: &bytes::Bytes| {
-            let told = self.history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
-            told.into_iter().any(|(_, told)| *told == ReadBackOutcome::Given(source.clone()))
+            let outcomes = self.history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
+            outcomes
+                .into_iter()
+                .any(|(_, outcome)| *outcome == ReadBackOutcome::Given(source.clone()))
         };
         let known = acknowledged.or_else(|| numbered().find(|order| was_read(&order.source)));
         known.map(|order| order.source.clone())
@@ -224,8 +226,8 @@
         let acknowledged: Vec<usize> = (0..self.history.orders.len())
             .filter(|order| {
                 let is_closed = self.workload.orders.statuses[*order] == OrderStatus::Closed;
-                let seen = &self.history.orders[*order];
-                is_closed && seen.first(OrderResponse::Acknowledged).is_some()
+                let record = &self.history.orders[*order];
+                is_closed && record.first(OrderResponse::Acknowledged).is_some()
             })
             .collect();
         let Some(newest) = acknowledged.last().copied() else { return };
@@ -237,16 +239,16 @@
         self.schedule_after(0, OrderActivity::Send(order).event());
     }
 
-    fn record_answer(&mut self, order: usize, attempt: usize, answer: OrderResponse) {
+    fn record_response(&mut self, order: usize, attempt: usize, response: OrderResponse) {
         let time = self.time;
-        let seen = &mut self.history.orders[order];
-        let number = seen.number;
-        let known = &mut seen.attempts[attempt].response;
+        let record = &mut self.history.orders[order];
+        let number = record.number;
+        let known = &mut record.attempts[attempt].response;
         if known.is_some() {
             return;
         }
-        *known = Some((time, answer));
-        match answer {
+        *known = Some((time, response));
+        match response {
             OrderResponse::Unclear => self.schedule_resend(order),
             OrderResponse::Refused => self.workload.orders.statuses[order] = OrderStatus::Closed,
             OrderResponse::Acknowledged => {
@@ -262,21 +264,21 @@
     }
 
     fn read_back(&mut self) {
-        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::Read.event());
+        self.schedule_after(READ_BACK_INTERVAL_US, OrderActivity::ReadBack.event());
         let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
         let (name, requested_at) = (self.nodes[node.0].name.clone(), self.time);
         self.history.read_backs.push(ReadBackRecord { node: name, requested_at, outcome: None });
         let delay = self.network_delay();
-        self.schedule_after(delay, OrderActivity::ReadArrives(read, node).event());
+        self.schedule_after(delay, OrderActivity::ReadBackArrives(read, node).event());
     }
 
-    fn read_arrives(&mut self, read: usize, node: NodeIndex) {
-        if self.defer_if_frozen(node, || OrderActivity::ReadArrives(read, node).event()) {
+    fn read_back_arrives(&mut self, read: usize, node: NodeIndex) {
+        if self.defer_if_frozen(node, || OrderActivity::ReadBackArrives(read, node).event()) {
             return;
         }
         if self.nodes[node.0].is_running() {
-            let caller = Caller::Activity(Activity::Order(OrderActivity::ReadAnswered(read)));
+            let caller = Caller::Activity(Activity::Order(OrderActivity::ReadBackDone(read)));
             self.call_control(node, OperatorRequest::Query(Query::ReadSource), caller);
         }
     }
@@ -305,7 +307,7 @@
     }
 }
 
-fn answer_of(outcome: &OperatorOutcome) -> OrderResponse {
+fn response_of(outcome: &OperatorOutcome) -> OrderResponse {
     match outcome {
         OperatorOutcome::Done(_) => OrderResponse::Acknowledged,
         OperatorOutcome::Refused(error) => match error.code.status() {
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -29,7 +29,7 @@
         self.history.orders[order].attempts.push(sent);
         let delay = self.network_delay();
         self.schedule_after(delay, OrderActivity::Arrives(order, attempt, node).event());
-        self.schedule_after(ATTEMPT_TIMEOUT_US, OrderActivity::Answered(order, attempt).event());
+        self.schedule_after(ATTEMPT_TIMEOUT_US, OrderActivity::AttemptDone(order, attempt).event());
     }
 
     fn draw_listed_control(&mut self) -> Option<NodeIndex> {
@@ -50,16 +50,16 @@
             return;
         }
         if !self.nodes[node.0].is_running() {
-            self.record_answer(order, attempt, OrderResponse::Unclear);
+            self.record_response(order, attempt, OrderResponse::Unclear);
             return;
         }
         if self.injected_bug == Some(InjectedBug::RefuseWithoutCause) && attempt == 0 && order > 0 {
-            self.record_answer(order, attempt, OrderResponse::Refused);
+            self.record_response(order, attempt, OrderResponse::Refused);
             return;
         }
-        let seen = &self.history.orders[order];
-        let command = order_command(seen);
-        let caller = Caller::Activity(Activity::Order(OrderActivity::Answered(order, attempt)));
+        let record = &self.history.orders[order];
+        let command = order_command(record);
+        let caller = Caller::Activity(Activity::Order(OrderActivity::AttemptDone(order, attempt)));
         self.call_control(node, OperatorRequest::Command(command), caller);
     }
 
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -39,8 +39,8 @@
     /// Sends a new engine list, with `listed_ready` as ready and all other engines as leaving.
     pub fn list_engines(&mut self) {
         let ready = self.workload.listed_ready.clone();
-        let seen = EngineListRecord { sent: self.time, acknowledged: None, ready };
-        self.history.engine_lists.push(seen);
+        let record = EngineListRecord { sent: self.time, acknowledged: None, ready };
+        self.history.engine_lists.push(record);
         self.schedule_after(0, Event::Activity(Activity::PutEngines));
     }
 
--- a/fleet-simulator/src/workload/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -40,7 +40,7 @@
         let relay = self.draw_relay();
         let wait = [1_500_000, 3_000_000, 8_000_000][self.draw(0..3) as usize];
         let name = relay.map_or("none".to_owned(), |relay| self.nodes[relay.0].name.clone());
-        let seen = PromptRecord {
+        let record = PromptRecord {
             work,
             model,
             repeatable,
@@ -50,7 +50,7 @@
             pieces: Vec::new(),
             end: None,
         };
-        self.history.prompts.push(seen);
+        self.history.prompts.push(record);
         let prompt = self.history.prompts.len() - 1;
         if let Some(relay) = relay {
             let delay = self.network_delay();
@@ -70,8 +70,8 @@
         if self.defer_if_frozen(relay, || crate::world::Event::Activity(arrival)) {
             return;
         }
-        let seen = &self.history.prompts[prompt];
-        if seen.sent + seen.wait + 1_500_000 < self.time {
+        let record = &self.history.prompts[prompt];
+        if record.sent + record.wait + 1_500_000 < self.time {
             // The client disconnected while its relay was frozen.
             self.history.prompts[prompt].end = Some((self.time, PromptEnd::ConnectionLost));
             return;
--- a/fleet-simulator/src/world/nodes/in_force.rs
+++ b/fleet-simulator/src/world/nodes/in_force.rs
@@ -13,7 +13,7 @@
         let NodeMachine::Relay(machine) = &node.machine else { return };
         let Some(snapshot) = machine.in_force(now) else { return };
         let Some((version, configuration)) = &snapshot.configuration else { return };
-        let seen = InForceRecord {
+        let record = InForceRecord {
             relay: node.name.clone(),
             generation: node.generation,
             number: version.0,
@@ -22,23 +22,23 @@
             until: time,
         };
         let before = self.last_in_force.get(&index).map(|at| self.history.in_force[*at].clone());
-        let before = before.filter(|before| before.generation == seen.generation);
+        let before = before.filter(|before| before.generation == record.generation);
         let is_same = |before: &InForceRecord| {
-            (before.number, before.fingerprint) == (seen.number, seen.fingerprint)
+            (before.number, before.fingerprint) == (record.number, record.fingerprint)
         };
         match before {
             Some(before) if is_same(&before) => self.extend_in_force(index),
             Some(before) if self.injected_bug == Some(InjectedBug::RevertConfiguration) => {
-                self.push_in_force(index, seen);
+                self.push_in_force(index, record);
                 self.push_in_force(index, InForceRecord { from: time, until: time, ..before });
             }
-            _ => self.push_in_force(index, seen),
+            _ => self.push_in_force(index, record),
         }
     }
 
-    fn push_in_force(&mut self, index: NodeIndex, seen: InForceRecord) {
+    fn push_in_force(&mut self, index: NodeIndex, record: InForceRecord) {
         self.last_in_force.insert(index, self.history.in_force.len());
-        self.history.in_force.push(seen);
+        self.history.in_force.push(record);
     }
 
     /// Records at a relay's tick that the configuration last seen is still in force.
@@ -50,9 +50,9 @@
             return;
         }
         let Some(at) = self.last_in_force.get(&index) else { return };
-        let seen = &mut self.history.in_force[*at];
-        if seen.generation == node.generation {
-            seen.until = time;
+        let record = &mut self.history.in_force[*at];
+        if record.generation == node.generation {
+            record.until = time;
         }
     }
 }
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -72,9 +72,9 @@
 impl World {
     /// Starts to handle a prompt that arrived at a relay.
     pub(crate) fn start_session(&mut self, node: NodeIndex, prompt: usize, pieces: u32) {
-        let seen = &self.history.prompts[prompt];
-        let work = &self.history.works[seen.work];
-        let (wait, repeatable, model) = (seen.wait, seen.repeatable, seen.model.clone());
+        let record = &self.history.prompts[prompt];
+        let work = &self.history.works[record.work];
+        let (wait, repeatable, model) = (record.wait, record.repeatable, record.model.clone());
         let (body, cost) = (work.body.clone(), work.cost);
         let deadline = self.relay_clock_after(node, wait);
         let id = PromptId(self.sessions.len() as u64 + 1);
@@ -121,11 +121,11 @@
     }
 
     fn record_client_end(&mut self, prompt: usize, at: Micros, end: PromptEnd) {
-        let seen = &mut self.history.prompts[prompt];
-        if seen.end.is_none() {
-            let gave_up = seen.sent + seen.wait + 1_500_000;
+        let record = &mut self.history.prompts[prompt];
+        if record.end.is_none() {
+            let gave_up = record.sent + record.wait + 1_500_000;
             // A client that waited well past its deadline has disconnected.
-            seen.end =
+            record.end =
                 Some(if at > gave_up { (gave_up, PromptEnd::ConnectionLost) } else { (at, end) });
         }
     }
