--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -12,7 +12,7 @@
 
 /// The process a fault applies to, resolved when the fault happens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Whom {
+pub enum FaultTarget {
     /// The process with this name.
     Named(String),
     /// The control primary at that time.
@@ -33,21 +33,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
     /// A process is killed.
-    Kill(Whom),
+    Kill(FaultTarget),
     /// A machine loses power and all unsynced writes.
-    LosePower(Whom),
+    LosePower(FaultTarget),
     /// A machine loses its disk and power.
-    LoseDisk(Whom),
+    LoseDisk(FaultTarget),
     /// A stopped process starts again.
-    Start(Whom),
+    Start(FaultTarget),
     /// All stopped processes start again, except replaced ones.
     StartAll,
     /// A process freezes for this many milliseconds.
-    Freeze(Whom, u64),
+    Freeze(FaultTarget, u64),
     /// A process is cut off from all others, in one or both directions.
-    CutOff(Whom, Direction),
+    CutOff(FaultTarget, Direction),
     /// A process is cut off from control nodes only.
-    CutOffFromCore(Whom, Direction),
+    CutOffFromCore(FaultTarget, Direction),
     /// Control nodes and storage nodes can't reach each other.
     SplitCoreFromStorage,
     /// A zone is cut off from all others.
@@ -63,11 +63,11 @@
     /// Of ten thousand frames, this many are lost.
     Lossy(u64),
     /// Each sync of a disk takes this many milliseconds longer.
-    SlowDisk(Whom, u64),
+    SlowDisk(FaultTarget, u64),
     /// All disks have their usual speed again.
     FastDisks,
     /// A disk is full.
-    FullDisk(Whom),
+    FullDisk(FaultTarget),
     /// All processes whose disk is full are killed.
     KillFull,
     /// All disks have free space again.
@@ -83,16 +83,16 @@
     /// This many batches are submitted at once.
     Batches(u64),
     /// A machine is replaced by an empty one at a new address.
-    Replace(Whom),
+    Replace(FaultTarget),
     /// An empty machine is started at a new address to take the place of a machine, which keeps
     /// running.
-    Succeed(Whom),
+    Succeed(FaultTarget),
     /// A control node is requested to leave.
-    Leave(Whom),
+    Leave(FaultTarget),
     /// A machine that was replaced is removed.
-    Remove(Whom),
+    Remove(FaultTarget),
     /// An operator requests the retirement of a storage node and removes it once that is completed.
-    Retire(Whom),
+    Retire(FaultTarget),
     /// Of a hundred responses to operators, this many are lost.
     LoseAnswers(u64),
     /// Operators submit numbered configurations at this interval in milliseconds.
@@ -100,9 +100,9 @@
     /// A new storage node is added.
     AddStorage,
     /// A relay is requested to drain.
-    Drain(Whom),
+    Drain(FaultTarget),
     /// An operator requests a storage node to be emptied.
-    Empty(Whom),
+    Empty(FaultTarget),
     /// New configurations have this many extra model routes.
     MoreLanes(u64),
     /// New configurations have this ceiling on waiting batch work.
@@ -128,43 +128,43 @@
 }
 
 impl World {
-    fn resolve(&self, whom: &Whom) -> Option<NodeIndex> {
-        match whom {
-            Whom::Named(name) => self.node_named(name),
-            Whom::ControlPrimary => self.control_primary(),
-            Whom::OtherControl => {
+    fn resolve(&self, target: &FaultTarget) -> Option<NodeIndex> {
+        match target {
+            FaultTarget::Named(name) => self.node_named(name),
+            FaultTarget::ControlPrimary => self.control_primary(),
+            FaultTarget::OtherControl => {
                 let primary = self.control_primary();
                 (0..self.nodes.len()).map(NodeIndex).find(|index| {
                     let node = &self.nodes[index.0];
                     node.kind == NodeKind::Control && node.is_running() && Some(*index) != primary
                 })
             }
-            Whom::ControlBackup => self.control_backup(),
-            Whom::ControlSpare => self.control_spare(),
-            Whom::ShardPrimary(shard) => self.shard_primary(ShardId(*shard)),
-            Whom::ShardHolder(shard) => self.other_replica(ShardId(*shard)),
+            FaultTarget::ControlBackup => self.control_backup(),
+            FaultTarget::ControlSpare => self.control_spare(),
+            FaultTarget::ShardPrimary(shard) => self.shard_primary(ShardId(*shard)),
+            FaultTarget::ShardHolder(shard) => self.other_replica(ShardId(*shard)),
         }
     }
 
     /// Applies a fault and records it in the history.
     pub(crate) fn apply_fault(&mut self, fault: Fault) {
         let target = match &fault {
-            Fault::Kill(whom)
-            | Fault::LosePower(whom)
-            | Fault::LoseDisk(whom)
-            | Fault::Freeze(whom, _)
-            | Fault::CutOff(whom, _)
-            | Fault::CutOffFromCore(whom, _)
-            | Fault::Succeed(whom)
-            | Fault::Leave(whom)
-            | Fault::Remove(whom)
-            | Fault::Retire(whom)
-            | Fault::SlowDisk(whom, _)
-            | Fault::FullDisk(whom)
-            | Fault::Drain(whom)
-            | Fault::Empty(whom)
-            | Fault::Start(whom)
-            | Fault::Replace(whom) => self.resolve(whom),
+            Fault::Kill(target)
+            | Fault::LosePower(target)
+            | Fault::LoseDisk(target)
+            | Fault::Freeze(target, _)
+            | Fault::CutOff(target, _)
+            | Fault::CutOffFromCore(target, _)
+            | Fault::Succeed(target)
+            | Fault::Leave(target)
+            | Fault::Remove(target)
+            | Fault::Retire(target)
+            | Fault::SlowDisk(target, _)
+            | Fault::FullDisk(target)
+            | Fault::Drain(target)
+            | Fault::Empty(target)
+            | Fault::Start(target)
+            | Fault::Replace(target) => self.resolve(target),
             _ => None,
         };
         let name = target.map_or(String::new(), |index| self.nodes[index.0].name.clone());
--- a/fleet-simulator/src/plan/chaos.rs
+++ b/fleet-simulator/src/plan/chaos.rs
@@ -10,12 +10,12 @@
         for _ in 0..8 {
             if self.may_lose_two() && self.rng.random_range(0..2) == 0 {
                 let kind = self.rng.random_range(0..4);
-                for whom in self.worst_pair() {
+                for target in self.worst_pair() {
                     let fault = match kind {
-                        0 => Fault::Kill(whom),
-                        1 => Fault::LosePower(whom),
-                        2 => Fault::Freeze(whom, 4_000),
-                        _ => Fault::LoseDisk(whom),
+                        0 => Fault::Kill(target),
+                        1 => Fault::LosePower(target),
+                        2 => Fault::Freeze(target, 4_000),
+                        _ => Fault::LoseDisk(target),
                     };
                     self.add(0, fault);
                 }
@@ -27,8 +27,8 @@
             let fault = match self.rng.random_range(0..9) {
                 0 | 1 => Fault::Kill(self.any_process()),
                 2 => {
-                    let whom = self.any_process();
-                    Fault::Freeze(whom, self.rng.random_range(500..7_000))
+                    let target = self.any_process();
+                    Fault::Freeze(target, self.rng.random_range(500..7_000))
                 }
                 3 => Fault::LosePower(self.machine_with_disk()),
                 4 => Fault::CutOff(self.any_process(), Direction::Both),
--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -2,7 +2,7 @@
 //! or are absent for long.
 
 use super::{PlanBuilder, all_of_kind, named};
-use crate::faults::{Direction, Fault, Whom};
+use crate::faults::{Direction, Fault, FaultTarget};
 use rand::Rng as _;
 
 /// How long a machine that is back still counts as lost.
@@ -14,11 +14,11 @@
 
 impl PlanBuilder<'_> {
     /// Draws different control nodes, as many as may be lost at once.
-    fn core_members(&mut self) -> Vec<Whom> {
+    fn core_members(&mut self) -> Vec<FaultTarget> {
         let mut roles = vec![
-            Whom::ControlPrimary,
-            Whom::ControlBackup,
-            Whom::ControlSpare,
+            FaultTarget::ControlPrimary,
+            FaultTarget::ControlBackup,
+            FaultTarget::ControlSpare,
             named("control", self.rng.random_range(1..=3)),
         ];
         let count = usize::from(self.deployment.lost_machines);
@@ -38,10 +38,10 @@
         for _ in 0..3 {
             let direction = self.direction();
             let only_core = self.rng.random_range(0..2) == 0;
-            for whom in self.core_members() {
+            for target in self.core_members() {
                 let fault = match only_core {
-                    true => Fault::CutOffFromCore(whom, direction),
-                    false => Fault::CutOff(whom, direction),
+                    true => Fault::CutOffFromCore(target, direction),
+                    false => Fault::CutOff(target, direction),
                 };
                 self.add(0, fault);
             }
@@ -61,11 +61,11 @@
             self.add(4_000, Fault::Untidy(0));
             self.add(4_000, Fault::LoseAnswers(20));
             let strike_after_ms = self.rng.random_range(500..6_000);
-            for whom in self.core_members() {
+            for target in self.core_members() {
                 let fault = match self.rng.random_range(0..3) {
-                    0 => Fault::Freeze(whom, 1_500),
-                    1 => Fault::LosePower(whom),
-                    _ => Fault::Kill(whom),
+                    0 => Fault::Freeze(target, 1_500),
+                    1 => Fault::LosePower(target),
+                    _ => Fault::Kill(target),
                 };
                 self.add(strike_after_ms, fault);
             }
@@ -96,12 +96,12 @@
                 self.planned_replacement();
                 continue;
             }
-            for whom in members {
+            for target in members {
                 let fault = match kind {
-                    0 => Fault::LoseDisk(whom),
-                    1 => Fault::Replace(whom),
-                    2 => Fault::LosePower(whom),
-                    _ => Fault::Kill(whom),
+                    0 => Fault::LoseDisk(target),
+                    1 => Fault::Replace(target),
+                    2 => Fault::LosePower(target),
+                    _ => Fault::Kill(target),
                 };
                 self.add(0, fault);
             }
@@ -113,7 +113,7 @@
     fn planned_replacement(&mut self) {
         let number = self.rng.random_range(1..=self.count_controls());
         let name = named("control", number);
-        let old = Whom::Named(format!("control-{number} (replaced)"));
+        let old = FaultTarget::Named(format!("control-{number} (replaced)"));
         self.add(0, Fault::Succeed(name));
         self.at_ms += CATCH_UP_MS + self.rng.random_range(0..40);
         self.add(0, Fault::Leave(old.clone()));
@@ -122,14 +122,14 @@
     }
 
     /// Draws the processes whose loss has the greatest impact, as many as may be lost at once.
-    fn worst_members(&mut self) -> Vec<Whom> {
+    fn worst_members(&mut self) -> Vec<FaultTarget> {
         let shard = self.rng.random_range(0..5);
         let all = [
-            vec![Whom::ControlPrimary, Whom::ControlBackup],
-            vec![Whom::ControlBackup, Whom::ControlSpare],
-            vec![Whom::ControlSpare, Whom::ControlPrimary],
-            vec![Whom::ShardPrimary(shard), Whom::ControlPrimary],
-            vec![Whom::ShardHolder(shard), Whom::ShardPrimary(shard)],
+            vec![FaultTarget::ControlPrimary, FaultTarget::ControlBackup],
+            vec![FaultTarget::ControlBackup, FaultTarget::ControlSpare],
+            vec![FaultTarget::ControlSpare, FaultTarget::ControlPrimary],
+            vec![FaultTarget::ShardPrimary(shard), FaultTarget::ControlPrimary],
+            vec![FaultTarget::ShardHolder(shard), FaultTarget::ShardPrimary(shard)],
         ];
         let mut members = all[self.rng.random_range(0..all.len())].clone();
         members.truncate(usize::from(self.deployment.lost_machines));
@@ -142,12 +142,12 @@
             let members = self.core_members();
             let edge = [named("agent", 1), named("relay", 2)];
             let kind = self.rng.random_range(0..4);
-            for whom in members.into_iter().chain(edge) {
+            for target in members.into_iter().chain(edge) {
                 let fault = match kind {
-                    0 => Fault::Kill(whom),
-                    1 => Fault::LosePower(whom),
-                    2 => Fault::Freeze(whom, ABSENT_MS),
-                    _ => Fault::CutOff(whom, Direction::Both),
+                    0 => Fault::Kill(target),
+                    1 => Fault::LosePower(target),
+                    2 => Fault::Freeze(target, ABSENT_MS),
+                    _ => Fault::CutOff(target, Direction::Both),
                 };
                 self.add(0, fault);
             }
@@ -158,9 +158,9 @@
             self.at_ms += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
             // One primary after another is killed, so that the node that was absent must take over.
             for _ in 0..2 {
-                self.add(0, Fault::Kill(Whom::ControlPrimary));
+                self.add(0, Fault::Kill(FaultTarget::ControlPrimary));
                 if self.may_lose_two() {
-                    self.add(0, Fault::Kill(Whom::ControlBackup));
+                    self.add(0, Fault::Kill(FaultTarget::ControlBackup));
                 }
                 self.add(1_500, Fault::StartAll);
                 self.at_ms += 1_500 + CATCH_UP_MS;
@@ -184,8 +184,8 @@
                     let direction =
                         [Direction::Outward, Direction::Inward][self.rng.random_range(0..2)];
                     let ms = self.rng.random_range(500..8_000);
-                    for whom in self.core_members() {
-                        self.add(0, Fault::CutOff(whom, direction));
+                    for target in self.core_members() {
+                        self.add(0, Fault::CutOff(target, direction));
                     }
                     self.add(ms, Fault::Mend);
                     self.at_ms += ms;
@@ -198,10 +198,10 @@
     }
 
     fn core_without_power(&mut self) {
-        for whom in all_of_kind("control", self.count_controls()) {
+        for target in all_of_kind("control", self.count_controls()) {
             let start_ms = self.rng.random_range(200..1_400);
-            self.add(0, Fault::LosePower(whom.clone()));
-            self.add(start_ms, Fault::Start(whom));
+            self.add(0, Fault::LosePower(target.clone()));
+            self.add(start_ms, Fault::Start(target));
         }
         self.at_ms += 1_400;
     }
@@ -211,8 +211,8 @@
             .chain(all_of_kind("storage", self.count_storages()))
             .chain(all_of_kind("agent", self.count_relays()))
             .chain(all_of_kind("relay", self.count_relays()));
-        for whom in all {
-            self.add(0, Fault::LosePower(whom));
+        for target in all {
+            self.add(0, Fault::LosePower(target));
         }
         self.add(1_400, Fault::StartAll);
         self.at_ms += 1_400 + CATCH_UP_MS;
@@ -221,9 +221,9 @@
     /// The primary is killed while the nodes that may take over have a slow or stalled disk.
     fn takeover_on_slow_disks(&mut self) {
         let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
-        self.add(0, Fault::SlowDisk(Whom::ControlBackup, ms));
-        self.add(0, Fault::SlowDisk(Whom::ControlSpare, ms / 2));
-        self.add(300, Fault::Kill(Whom::ControlPrimary));
+        self.add(0, Fault::SlowDisk(FaultTarget::ControlBackup, ms));
+        self.add(0, Fault::SlowDisk(FaultTarget::ControlSpare, ms / 2));
+        self.add(300, Fault::Kill(FaultTarget::ControlPrimary));
         self.add(3_000, Fault::FastDisks);
         self.add(3_500, Fault::StartAll);
         self.at_ms += 3_500;
--- a/fleet-simulator/src/plan/load.rs
+++ b/fleet-simulator/src/plan/load.rs
@@ -1,7 +1,7 @@
 //! Load spikes, batches, engine faults, drained nodes and losses of the counter.
 
 use super::{PlanBuilder, named};
-use crate::faults::{Fault, Whom};
+use crate::faults::{Fault, FaultTarget};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
@@ -17,13 +17,13 @@
     pub(super) fn ceiling(&mut self) {
         for n in 0..3 {
             self.add(0, Fault::Batches(30));
-            let whom = match n {
-                0 => Whom::ShardPrimary(self.rng.random_range(1..5)),
-                1 => Whom::ControlPrimary,
-                _ => Whom::ShardPrimary(0),
+            let target = match n {
+                0 => FaultTarget::ShardPrimary(self.rng.random_range(1..5)),
+                1 => FaultTarget::ControlPrimary,
+                _ => FaultTarget::ShardPrimary(0),
             };
             let after = self.rng.random_range(100..1_500);
-            self.add(after, Fault::Kill(whom));
+            self.add(after, Fault::Kill(target));
             self.add(2_000, Fault::Batches(10));
             self.add(6_000, Fault::StartAll);
             self.at_ms += 9_000;
@@ -31,7 +31,7 @@
         // All replicas of the counter at once, and with them a shard's primary.
         self.add(0, Fault::Batches(20));
         let shard = self.rng.random_range(1..5);
-        self.add(300, Fault::Kill(Whom::ShardPrimary(shard)));
+        self.add(300, Fault::Kill(FaultTarget::ShardPrimary(shard)));
         for n in 1..=self.count_storages() {
             self.add(500, Fault::Kill(named("storage", n)));
         }
@@ -49,7 +49,7 @@
         self.add(0, Fault::Ceiling(20_000));
         self.add(0, Fault::Batches(20));
         self.add(9_000, Fault::Batches(20));
-        self.add(9_200, Fault::Kill(Whom::ShardPrimary(0)));
+        self.add(9_200, Fault::Kill(FaultTarget::ShardPrimary(0)));
         self.add(11_000, Fault::StartAll);
     }
 
@@ -85,13 +85,13 @@
             self.at_ms += 10_000;
         }
         self.add(0, Fault::AddStorage);
-        self.add(3_000, Fault::Empty(Whom::ShardPrimary(0)));
+        self.add(3_000, Fault::Empty(FaultTarget::ShardPrimary(0)));
         self.add(15_000, Fault::Empty(named("storage", 1)));
         self.add(27_000, Fault::Kill(named("storage", 1)));
     }
 
     pub(super) fn counter(&mut self) {
-        self.add(0, Fault::Kill(Whom::ShardPrimary(0)));
+        self.add(0, Fault::Kill(FaultTarget::ShardPrimary(0)));
         self.at_ms += 8_000;
         self.add(0, Fault::StartAll);
         self.at_ms += 8_000;
--- a/fleet-simulator/src/plan/losses.rs
+++ b/fleet-simulator/src/plan/losses.rs
@@ -1,7 +1,7 @@
 //! Processes and machines that fail and come back.
 
 use super::{PlanBuilder, all_of_kind, named};
-use crate::faults::{Fault, Whom};
+use crate::faults::{Fault, FaultTarget};
 use crate::world::EngineHealth;
 use rand::Rng as _;
 
@@ -9,12 +9,12 @@
     pub(super) fn kills(&mut self) {
         for _ in 0..4 {
             if self.may_lose_two() {
-                for whom in self.worst_pair() {
-                    self.add(0, Fault::Kill(whom));
+                for target in self.worst_pair() {
+                    self.add(0, Fault::Kill(target));
                 }
             } else {
-                let whom = self.any_process();
-                self.add(0, Fault::Kill(whom));
+                let target = self.any_process();
+                self.add(0, Fault::Kill(target));
             }
             if self.rng.random_range(0..2) == 0 {
                 self.add(200, Fault::Kill(named("relay", 1)));
@@ -29,12 +29,12 @@
         for _ in 0..5 {
             let ms = self.rng.random_range(500..9_000);
             if self.may_lose_two() {
-                for whom in self.worst_pair() {
-                    self.add(0, Fault::Freeze(whom, ms));
+                for target in self.worst_pair() {
+                    self.add(0, Fault::Freeze(target, ms));
                 }
             } else {
-                let whom = self.any_process();
-                self.add(0, Fault::Freeze(whom, ms));
+                let target = self.any_process();
+                self.add(0, Fault::Freeze(target, ms));
             }
             self.at_ms += ms.max(4_000) + self.rng.random_range(0..4_000);
         }
@@ -54,8 +54,9 @@
             } else {
                 vec![self.machine_with_disk()]
             };
-            for whom in targets {
-                let fault = if n % 2 == 0 { Fault::LoseDisk(whom) } else { Fault::LosePower(whom) };
+            for target in targets {
+                let fault =
+                    if n % 2 == 0 { Fault::LoseDisk(target) } else { Fault::LosePower(target) };
                 self.add(0, fault);
             }
             self.at_ms += self.rng.random_range(500..6_000);
@@ -69,8 +70,8 @@
             .chain(all_of_kind("storage", self.count_storages()))
             .chain(all_of_kind("agent", self.count_relays()))
             .chain(all_of_kind("relay", self.count_relays()));
-        for whom in all {
-            self.add(0, Fault::LosePower(whom));
+        for target in all {
+            self.add(0, Fault::LosePower(target));
         }
         let after = self.rng.random_range(500..3_000);
         self.add(after, Fault::StartAll);
@@ -79,8 +80,8 @@
     pub(super) fn slow_disks(&mut self) {
         for _ in 0..3 {
             let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
-            let whom = self.machine_with_disk();
-            self.add(0, Fault::SlowDisk(whom, ms));
+            let target = self.machine_with_disk();
+            self.add(0, Fault::SlowDisk(target, ms));
             self.at_ms += self.rng.random_range(4_000..9_000);
             self.add(0, Fault::FastDisks);
             self.at_ms += 5_000;
@@ -97,8 +98,8 @@
                 vec![self.machine_with_disk()]
             };
             let ms = if n == 3 { 15_000 } else { self.rng.random_range(1_000..4_000) };
-            for whom in targets {
-                self.add(0, Fault::FullDisk(whom));
+            for target in targets {
+                self.add(0, Fault::FullDisk(target));
             }
             if self.rng.random_range(0..2) == 0 {
                 self.add(300, Fault::KillFull);
@@ -136,10 +137,10 @@
     pub(super) fn controls(&mut self) {
         for _ in 0..3 {
             let all = all_of_kind("control", self.count_controls());
-            for whom in all {
-                self.add(0, Fault::Kill(whom.clone()));
+            for target in all {
+                self.add(0, Fault::Kill(target.clone()));
                 let after = self.rng.random_range(50..1_000);
-                self.add(after, Fault::Start(whom));
+                self.add(after, Fault::Start(target));
             }
             self.at_ms += 12_000;
         }
@@ -151,11 +152,11 @@
                 .chain(all_of_kind("storage", self.count_storages()))
                 .chain(all_of_kind("agent", self.count_relays()))
                 .chain(all_of_kind("relay", self.count_relays()));
-            for whom in all {
+            for target in all {
                 if self.rng.random_range(0..10) < 6 {
-                    self.add(0, Fault::Kill(whom.clone()));
+                    self.add(0, Fault::Kill(target.clone()));
                     let after = self.rng.random_range(100..3_000);
-                    self.add(after, Fault::Start(whom));
+                    self.add(after, Fault::Start(target));
                 }
             }
             self.at_ms += 16_000;
@@ -168,13 +169,13 @@
     pub(super) fn wipes(&mut self) {
         for round in 0..5 {
             let ms = [0, 20, 300, 1_500][self.rng.random_range(0..4)];
-            let whom = Whom::ShardPrimary(self.rng.random_range(1..5));
+            let target = FaultTarget::ShardPrimary(self.rng.random_range(1..5));
             let begin_ms = self.rng.random_range(1_000..3_000);
             self.add(begin_ms, Fault::Batches(8));
             let slow_from_ms = begin_ms + self.rng.random_range(0..400);
-            self.add(slow_from_ms, Fault::SlowDisk(whom.clone(), ms));
+            self.add(slow_from_ms, Fault::SlowDisk(target.clone(), ms));
             if round % 2 == 1 {
-                self.add(begin_ms + 200, Fault::Kill(whom));
+                self.add(begin_ms + 200, Fault::Kill(target));
             }
             let (responses, down_ms) =
                 (self.rng.random_range(1..40), self.rng.random_range(800..3_000));
@@ -192,8 +193,8 @@
             self.add(0, Fault::Halves(seed));
             self.add(200, Fault::Batches(2));
             if self.rng.random_range(0..3) == 0 {
-                let whom = self.machine_with_disk();
-                self.add(1_000, Fault::LosePower(whom));
+                let target = self.machine_with_disk();
+                self.add(1_000, Fault::LosePower(target));
             }
             let ms = self.rng.random_range(1_000..9_000);
             self.add(ms, Fault::Mend);
--- a/fleet-simulator/src/plan/mod.rs
+++ b/fleet-simulator/src/plan/mod.rs
@@ -7,7 +7,7 @@
 mod machines;
 mod network;
 
-use crate::faults::{Fault, Whom};
+use crate::faults::{Fault, FaultTarget};
 use crate::{Deployment, Scenario};
 use rand::{Rng as _, SeedableRng as _};
 
@@ -70,12 +70,12 @@
     builder.finish()
 }
 
-fn named(kind: &str, number: u64) -> Whom {
-    Whom::Named(format!("{kind}-{number}"))
+fn named(kind: &str, number: u64) -> FaultTarget {
+    FaultTarget::Named(format!("{kind}-{number}"))
 }
 
 /// All processes of a kind.
-fn all_of_kind(kind: &'static str, count: u64) -> impl Iterator<Item = Whom> {
+fn all_of_kind(kind: &'static str, count: u64) -> impl Iterator<Item = FaultTarget> {
     (1..=count).map(move |number| named(kind, number))
 }
 
@@ -111,13 +111,13 @@
     }
 
     /// Draws any process.
-    fn any_process(&mut self) -> Whom {
+    fn any_process(&mut self) -> FaultTarget {
         let (storages, relays) = (self.count_storages(), self.count_relays());
         match self.rng.random_range(0..8) {
-            0 => Whom::ControlPrimary,
-            1 => Whom::OtherControl,
-            2 => Whom::ShardPrimary(0),
-            3 => Whom::ShardPrimary(self.rng.random_range(1..5)),
+            0 => FaultTarget::ControlPrimary,
+            1 => FaultTarget::OtherControl,
+            2 => FaultTarget::ShardPrimary(0),
+            3 => FaultTarget::ShardPrimary(self.rng.random_range(1..5)),
             4 => named("storage", self.rng.random_range(1..=storages)),
             5 => named("agent", self.rng.random_range(1..=relays)),
             _ => named("relay", self.rng.random_range(1..=relays)),
@@ -125,26 +125,26 @@
     }
 
     /// Draws a machine with a disk.
-    fn machine_with_disk(&mut self) -> Whom {
+    fn machine_with_disk(&mut self) -> FaultTarget {
         match self.rng.random_range(0..5) {
-            0 => Whom::ControlPrimary,
-            1 => Whom::OtherControl,
-            2 => Whom::ShardPrimary(0),
-            _ => Whom::ShardPrimary(self.rng.random_range(1..5)),
+            0 => FaultTarget::ControlPrimary,
+            1 => FaultTarget::OtherControl,
+            2 => FaultTarget::ShardPrimary(0),
+            _ => FaultTarget::ShardPrimary(self.rng.random_range(1..5)),
         }
     }
 
     /// Draws two machines with a disk to fail at the same instant, for deployments that tolerate
     /// two losses: pairs whose loss has the greatest impact.
-    fn worst_pair(&mut self) -> [Whom; 2] {
+    fn worst_pair(&mut self) -> [FaultTarget; 2] {
         let shard = self.rng.random_range(0..5);
         match self.rng.random_range(0..6) {
-            0 => [Whom::ControlPrimary, Whom::OtherControl],
-            1 => [Whom::ShardPrimary(shard), Whom::ShardHolder(shard)],
-            2 => [Whom::ShardHolder(shard), Whom::ShardHolder(shard)],
-            3 => [Whom::ControlPrimary, Whom::ShardPrimary(shard)],
-            4 => [Whom::OtherControl, Whom::ShardPrimary(0)],
-            _ => [Whom::ShardPrimary(0), Whom::ShardPrimary(shard)],
+            0 => [FaultTarget::ControlPrimary, FaultTarget::OtherControl],
+            1 => [FaultTarget::ShardPrimary(shard), FaultTarget::ShardHolder(shard)],
+            2 => [FaultTarget::ShardHolder(shard), FaultTarget::ShardHolder(shard)],
+            3 => [FaultTarget::ControlPrimary, FaultTarget::ShardPrimary(shard)],
+            4 => [FaultTarget::OtherControl, FaultTarget::ShardPrimary(0)],
+            _ => [FaultTarget::ShardPrimary(0), FaultTarget::ShardPrimary(shard)],
         }
     }
 }
--- a/fleet-simulator/src/plan/network.rs
+++ b/fleet-simulator/src/plan/network.rs
@@ -19,8 +19,8 @@
             for _ in 0..flap_count {
                 match &pair {
                     Some(both) => {
-                        for whom in both {
-                            self.add(0, Fault::CutOff(whom.clone(), direction));
+                        for target in both {
+                            self.add(0, Fault::CutOff(target.clone(), direction));
                         }
                     }
                     None => self.add(0, fault.clone()),
@@ -43,8 +43,8 @@
             self.at_ms += 4_000;
             // Delayed frames sent before still arrive while other nodes take over.
             self.add(0, Fault::Untidy(0));
-            let whom = self.any_process();
-            self.add(0, Fault::Kill(whom));
+            let target = self.any_process();
+            self.add(0, Fault::Kill(target));
             self.at_ms += self.rng.random_range(1_000..4_000);
             self.add(0, Fault::StartAll);
             self.at_ms += 6_000;
--- a/fleet-simulator/src/world/nodes/inspection.rs
+++ b/fleet-simulator/src/world/nodes/inspection.rs
@@ -7,7 +7,8 @@
 impl World {
     /// The control node that serves as the primary.
     pub fn control_primary(&self) -> Option<NodeIndex> {
-        let serves = |node: &Node| matches!(&node.machine, NodeMachine::Control(machine) if machine.is_serving());
+        let serves =
+            |node: &Node| matches!(&node.machine, NodeMachine::Control(m) if m.is_serving());
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
@@ -37,7 +38,8 @@
 
     /// The storage node that serves a shard.
     pub fn shard_primary(&self, shard: topazyard_types::ShardId) -> Option<NodeIndex> {
-        let serves = |node: &Node| matches!(&node.machine, NodeMachine::Storage(machine) if machine.is_serving(shard));
+        let serves =
+            |node: &Node| matches!(&node.machine, NodeMachine::Storage(m) if m.is_serving(shard));
         self.nodes.iter().position(serves).map(NodeIndex)
     }
 
