--- a/fleet-measure/src/simulated.rs
+++ b/fleet-measure/src/simulated.rs
@@ -37,7 +37,7 @@
                 "| {} | {} | {:.1} % | {:.0} | {:.0} | {:.0} | {:.0} |",
                 deployment.name,
                 scenario.name(),
-                of(&all, |f| 100.0 * f.whole as f64 / f.prompts as f64),
+                of(&all, |f| 100.0 * f.complete as f64 / f.prompts as f64),
                 of(&all, |f| f.p50_ms as f64),
                 of(&all, |f| f.p99_ms as f64),
                 of(&all, below),
@@ -67,7 +67,7 @@
             println!(
                 "| {} | {name} | {:.1} % | {:.0} | {:.0} |",
                 deployment.name,
-                of(&all, |f| 100.0 * f.whole as f64 / f.prompts as f64),
+                of(&all, |f| 100.0 * f.complete as f64 / f.prompts as f64),
                 of(&all, |f| f.p99_ms as f64),
                 of(&all, |f| f.items_done_ms as f64),
             );
--- a/fleet-simulator/src/check/batches.rs
+++ b/fleet-simulator/src/check/batches.rs
@@ -2,20 +2,22 @@
 
 use super::specs::IN_FORCE_US;
 use super::{Bounds, Figures, Line, Violation, crossed};
-use crate::history::{BatchSeen, History, ListedReturn, ReadTold, SpecSeen, StruckSeen, Us};
+use crate::history::{
+    BatchReadOutcome, BatchRecord, History, Impairment, ListedResult, Micros, RolloutRecord,
+};
 
 /// How long after its acceptance a batch may not be readable yet.
-const READABLE_US: Us = 1_000_000;
+const READABLE_US: Micros = 1_000_000;
 /// Within which time a read must then be answered.
-const READ_WITHIN_US: Us = 1_000_000;
+const READ_WITHIN_US: Micros = 1_000_000;
 /// How long after a machine with a disk is back its copies may still be on one machine only.
-const MENDED_US: Us = 5_000_000;
+const MENDED_US: Micros = 5_000_000;
 /// After how long several machines that are out count as gone.
-const FOR_LONG_US: Us = 30_000_000;
+const FOR_LONG_US: Micros = 30_000_000;
 /// How long after several machines were out a read may still fail.
-const AFTER_SEVERAL_US: Us = 12_000_000;
+const AFTER_SEVERAL_US: Micros = 12_000_000;
 /// How long after its end an item may still start.
-const ENDED_US: Us = 3_000_000;
+const ENDED_US: Micros = 3_000_000;
 
 pub(super) fn check(
     history: &History,
@@ -59,26 +61,28 @@
 /// that was asked was struck itself or more than one machine with a disk was out.
 fn check_reads(
     at: usize,
-    batch: &BatchSeen,
+    batch: &BatchRecord,
     history: &History,
     bounds: &Bounds,
     violations: &mut Vec<Violation>,
     figures: &mut Figures,
 ) {
     let Some(accepted) = batch.accepted else { return };
-    for read in batch.reads.iter().filter(|read| read.asked >= accepted + READABLE_US) {
+    for read in batch.reads.iter().filter(|read| read.requested_at >= accepted + READABLE_US) {
         figures.reads += 1;
-        if let Some((_, ReadTold::Unknown)) = read.told {
+        if let Some((_, BatchReadOutcome::Unknown)) = read.outcome {
             let text = format!("batch {at} was accepted and is not known");
             crossed(violations, Line::BatchList, text);
         }
-        let until = read.asked + READ_WITHIN_US;
-        let given = matches!(read.told, Some((told, ReadTold::Given)) if told <= until);
-        let excused = history.was_struck(&read.relay, read.asked, until);
-        if !given && !excused && !too_many_are_out(history, bounds.lost_machines, read.asked, until)
+        let until = read.requested_at + READ_WITHIN_US;
+        let given = matches!(read.outcome, Some((told, BatchReadOutcome::Given)) if told <= until);
+        let excused = history.was_impaired(&read.relay, read.requested_at, until);
+        if !given
+            && !excused
+            && !too_many_are_out(history, bounds.lost_machines, read.requested_at, until)
         {
             figures.reads_failed += 1;
-            let (asked, relay) = (read.asked / 1_000, &read.relay);
+            let (asked, relay) = (read.requested_at / 1_000, &read.relay);
             let text =
                 format!("batch {at} asked of {relay} at {asked} ms could not be read: {read:?}");
             crossed(violations, Line::BatchList, text);
@@ -88,11 +92,11 @@
 
 /// Whether more machines with a disk were out at some time, or had just been, than may be, so that
 /// all copies of something may have been out of reach then.
-fn too_many_are_out(history: &History, lost_machines: u16, from: Us, until: Us) -> bool {
-    let out: Vec<_> = history.struck.iter().filter(|struck| struck.has_disk).collect();
+fn too_many_are_out(history: &History, lost_machines: u16, from: Micros, until: Micros) -> bool {
+    let out: Vec<_> = history.impairments.iter().filter(|impairment| impairment.has_disk).collect();
     are_out_together(&out, &mut Vec::new(), usize::from(lost_machines) + 1, &|together| {
-        let began = together.iter().map(|struck| struck.from).max().unwrap_or(0);
-        let mended = together.iter().map(|struck| struck.lasts_to() + MENDED_US).min();
+        let began = together.iter().map(|impairment| impairment.from).max().unwrap_or(0);
+        let mended = together.iter().map(|impairment| impairment.ends_at() + MENDED_US).min();
         let mended = mended.unwrap_or(0);
         // What stays out for long is gone: the others must do without it.
         let over = if mended > began + FOR_LONG_US { began } else { mended };
@@ -102,18 +106,18 @@
 
 /// Whether so many machines, each another one, were out together in a way that counts.
 fn are_out_together<'a>(
-    out: &[&'a StruckSeen],
-    together: &mut Vec<&'a StruckSeen>,
+    out: &[&'a Impairment],
+    together: &mut Vec<&'a Impairment>,
     many: usize,
-    counts: &impl Fn(&[&StruckSeen]) -> bool,
+    counts: &impl Fn(&[&Impairment]) -> bool,
 ) -> bool {
     if together.len() == many {
         return counts(together);
     }
     out.iter().enumerate().any(|(at, one)| {
-        let overlaps = |other: &&StruckSeen| {
+        let overlaps = |other: &&Impairment| {
             let began = one.from.max(other.from);
-            let mended = one.lasts_to().min(other.lasts_to()) + MENDED_US;
+            let mended = one.ends_at().min(other.ends_at()) + MENDED_US;
             one.name != other.name && began < mended
         };
         if !together.iter().all(overlaps) {
@@ -126,8 +130,8 @@
     })
 }
 
-fn check_lists(at: usize, batch: &BatchSeen, history: &History, violations: &mut Vec<Violation>) {
-    let mut longest: &[ListedReturn] = &[];
+fn check_lists(at: usize, batch: &BatchRecord, history: &History, violations: &mut Vec<Violation>) {
+    let mut longest: &[ListedResult] = &[];
     for (_, list) in &batch.lists {
         let common = longest.len().min(list.len());
         if longest[..common] != list[..common] || list.len() < longest.len() {
@@ -170,11 +174,12 @@
     for (at, waiting) in &history.waiting {
         // Any spec that may be in force: the last one acknowledged long enough ago, and all that
         // were asked for since.
-        let known = |spec: &&SpecSeen| spec.acknowledged.is_some_and(|a| a + IN_FORCE_US < *at);
-        let surely = history.specs.iter().filter(known).max_by_key(|spec| spec.version);
+        let known =
+            |spec: &&RolloutRecord| spec.acknowledged.is_some_and(|a| a + IN_FORCE_US < *at);
+        let surely = history.rollouts.iter().filter(known).max_by_key(|spec| spec.version);
         let Some(surely) = surely else { continue };
-        let may_be = history.specs.iter().filter(|spec| {
-            spec.version > surely.version && spec.asked.is_some_and(|asked| asked <= *at)
+        let may_be = history.rollouts.iter().filter(|spec| {
+            spec.version > surely.version && spec.requested_at.is_some_and(|asked| asked <= *at)
         });
         let ceiling = may_be.map(|spec| spec.ceiling).fold(surely.ceiling, u64::max);
         if *waiting > ceiling * 11 / 10 && *waiting > before {
@@ -182,6 +187,6 @@
             crossed(violations, Line::Ceiling, text);
         }
         before = *waiting;
-        figures.most_waiting = figures.most_waiting.max((*waiting, ceiling));
+        figures.max_waiting = figures.max_waiting.max((*waiting, ceiling));
     }
 }
--- a/fleet-simulator/src/check/configurations.rs
+++ b/fleet-simulator/src/check/configurations.rs
@@ -3,13 +3,15 @@
 
 use super::specs::IN_FORCE_US;
 use super::{Figures, Line, Violation, crossed};
-use crate::history::{History, InForceSeen, OrderAnswer, OrderSeen, ReadBack, ReadBackSeen, Us};
+use crate::history::{
+    History, InForceRecord, Micros, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord,
+};
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>, figures: &mut Figures) {
     if history.orders.is_empty() {
         return;
     }
-    let taken: Vec<Option<Us>> =
+    let taken: Vec<Option<Micros>> =
         history.orders.iter().map(|order| first_taken(history, order)).collect();
     check_races(history, &taken, violations);
     for (at, order) in history.orders.iter().enumerate() {
@@ -25,21 +27,21 @@
 }
 
 /// When it first showed that an order was taken: acknowledged, read back or in force.
-fn first_taken(history: &History, order: &OrderSeen) -> Option<Us> {
-    let read = history.read_backs.iter().filter_map(|read| match &read.told {
-        Some((at, ReadBack::Given(source))) if *source == order.source => Some(*at),
+fn first_taken(history: &History, order: &OrderRecord) -> Option<Micros> {
+    let read = history.read_backs.iter().filter_map(|read| match &read.outcome {
+        Some((at, ReadBackOutcome::Given(source))) if *source == order.source => Some(*at),
         _ => None,
     });
     let in_force = history.in_force.iter().filter(|seen| is_of(seen, order)).map(|seen| seen.from);
-    order.first(OrderAnswer::Acknowledged).into_iter().chain(read).chain(in_force).min()
+    order.first(OrderResponse::Acknowledged).into_iter().chain(read).chain(in_force).min()
 }
 
-fn is_of(seen: &InForceSeen, order: &OrderSeen) -> bool {
+fn is_of(seen: &InForceRecord, order: &OrderRecord) -> bool {
     seen.number == order.number && order.fingerprint == Some(seen.fingerprint)
 }
 
 /// Of all that share a number or a base one is taken at the most.
-fn check_races(history: &History, taken: &[Option<Us>], violations: &mut Vec<Violation>) {
+fn check_races(history: &History, taken: &[Option<Micros>], violations: &mut Vec<Violation>) {
     let mut of_number = std::collections::BTreeMap::new();
     let mut on_base = std::collections::BTreeMap::new();
     for (at, order) in history.orders.iter().enumerate().filter(|(at, _)| taken[*at].is_some()) {
@@ -59,11 +61,11 @@
 fn check_refusals(
     history: &History,
     at: usize,
-    taken: &[Option<Us>],
+    taken: &[Option<Micros>],
     violations: &mut Vec<Violation>,
 ) {
     let order = &history.orders[at];
-    let Some(refused) = order.first(OrderAnswer::Refused) else { return };
+    let Some(refused) = order.first(OrderResponse::Refused) else { return };
     let name = format!("order {at}, number {} on {},", order.number, order.base);
     match taken[at] {
         Some(taken) if taken <= refused => {
@@ -86,11 +88,11 @@
 
 /// Whether an order may have been refused by then: it is invalid, its base was not surely taken, or
 /// another may have been taken on that base or a later one.
-fn has_cause(history: &History, at: usize, taken: &[Option<Us>], refused: Us) -> bool {
+fn has_cause(history: &History, at: usize, taken: &[Option<Micros>], refused: Micros) -> bool {
     let order = &history.orders[at];
     let base_is_taken = order.base == 0
         || history.orders.iter().any(|other| {
-            let acknowledged = other.first(OrderAnswer::Acknowledged);
+            let acknowledged = other.first(OrderResponse::Acknowledged);
             other.number == order.base && acknowledged.is_some_and(|at| at <= order.sent())
         });
     let overtaken = history.orders.iter().enumerate().any(|(number, other)| {
@@ -98,7 +100,7 @@
             && other.is_valid()
             && other.base >= order.base
             && other.sent() < refused
-            && (taken[number].is_some() || other.first(OrderAnswer::Refused).is_none())
+            && (taken[number].is_some() || other.first(OrderResponse::Refused).is_none())
     });
     !order.is_valid() || !base_is_taken || overtaken
 }
@@ -107,7 +109,7 @@
 fn check_answered(history: &History, at: usize, violations: &mut Vec<Violation>) {
     let order = &history.orders[at];
     let is_clear = order.attempts.iter().any(|attempt| {
-        matches!(attempt.answer, Some((_, OrderAnswer::Acknowledged | OrderAnswer::Refused)))
+        matches!(attempt.response, Some((_, OrderResponse::Acknowledged | OrderResponse::Refused)))
     });
     if !is_clear && !order.attempts.is_empty() {
         let times = order.attempts.len();
@@ -117,29 +119,29 @@
 }
 
 fn check_read_backs(history: &History, violations: &mut Vec<Violation>) {
-    let acknowledged: Vec<(Us, u64)> = history
+    let acknowledged: Vec<(Micros, u64)> = history
         .orders
         .iter()
-        .filter_map(|order| Some((order.first(OrderAnswer::Acknowledged)?, order.number)))
+        .filter_map(|order| Some((order.first(OrderResponse::Acknowledged)?, order.number)))
         .collect();
-    let mut read: Vec<(Us, u64)> = Vec::new();
+    let mut read: Vec<(Micros, u64)> = Vec::new();
     for seen in &history.read_backs {
-        let newest_before = |known: &[(Us, u64)]| {
-            let before = known.iter().filter(|(at, _)| *at < seen.asked);
+        let newest_before = |known: &[(Micros, u64)]| {
+            let before = known.iter().filter(|(at, _)| *at < seen.requested_at);
             before.map(|(_, number)| *number).max().unwrap_or(0)
         };
         let promised = newest_before(&acknowledged).max(newest_before(&read));
         match number_read(history, seen) {
             Some(Some(number)) => {
-                read.extend(seen.told.as_ref().map(|(at, _)| (*at, number)));
+                read.extend(seen.outcome.as_ref().map(|(at, _)| (*at, number)));
                 if number < promised {
-                    let (asked, node) = (seen.asked / 1_000, &seen.node);
+                    let (asked, node) = (seen.requested_at / 1_000, &seen.node);
                     let text = format!("{node} read {number} at {asked} ms after {promised}");
                     crossed(violations, Line::SpecWrong, text);
                 }
             }
             Some(None) if promised > 0 => {
-                let (asked, node) = (seen.asked / 1_000, &seen.node);
+                let (asked, node) = (seen.requested_at / 1_000, &seen.node);
                 let text = format!("{node} read nothing known at {asked} ms after {promised}");
                 crossed(violations, Line::SpecWrong, text);
             }
@@ -149,14 +151,14 @@
 }
 
 /// The number of what was read back, if the answer was clear and if it is any order's.
-fn number_read(history: &History, seen: &ReadBackSeen) -> Option<Option<u64>> {
-    match &seen.told {
-        Some((_, ReadBack::Given(source))) => {
+fn number_read(history: &History, seen: &ReadBackRecord) -> Option<Option<u64>> {
+    match &seen.outcome {
+        Some((_, ReadBackOutcome::Given(source))) => {
             let order = history.orders.iter().find(|order| order.source == *source);
             Some(order.map(|order| order.number))
         }
-        Some((_, ReadBack::Missing)) => Some(None),
-        Some((_, ReadBack::Unclear)) | None => None,
+        Some((_, ReadBackOutcome::Missing)) => Some(None),
+        Some((_, ReadBackOutcome::Unclear)) | None => None,
     }
 }
 
@@ -169,14 +171,14 @@
             let text = format!("{relay} had a mixture under {number} from {} ms", ms.0);
             crossed(violations, Line::FeedMixed, text);
         }
-        let before = newest.entry((relay, seen.life)).or_insert(number);
+        let before = newest.entry((relay, seen.generation)).or_insert(number);
         if number < *before {
             let text = format!("{relay} went back from {before} to {number} at {} ms", ms.0);
             crossed(violations, Line::FeedBack, text);
         }
         *before = number.max(*before);
         let overtaken = history.orders.iter().filter(|order| order.number > number);
-        let since = overtaken.filter_map(|order| order.first(OrderAnswer::Acknowledged)).min();
+        let since = overtaken.filter_map(|order| order.first(OrderResponse::Acknowledged)).min();
         if since.is_some_and(|since| since + IN_FORCE_US < seen.until) {
             let text = format!("{relay} had {number} at {} ms, long after a later one", ms.1);
             crossed(violations, Line::SpecLate, text);
@@ -186,10 +188,10 @@
 
 fn count(history: &History, figures: &mut Figures) {
     let answered = |answer| history.orders.iter().filter(|o| o.first(answer).is_some()).count();
-    figures.orders = (answered(OrderAnswer::Acknowledged), answered(OrderAnswer::Refused));
+    figures.orders = (answered(OrderResponse::Acknowledged), answered(OrderResponse::Refused));
     let sendings = history.orders.iter().map(|order| order.attempts.len());
-    figures.most_sendings = sendings.max().unwrap_or(0);
-    let told = history.read_backs.iter().filter_map(|read| read.told.as_ref());
-    let given = told.filter(|(_, read)| *read != ReadBack::Unclear).count();
+    figures.max_sendings = sendings.max().unwrap_or(0);
+    let told = history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
+    let given = told.filter(|(_, read)| *read != ReadBackOutcome::Unclear).count();
     figures.read_backs = (given, history.read_backs.len() - given);
 }
--- a/fleet-simulator/src/check/engines.rs
+++ b/fleet-simulator/src/check/engines.rs
@@ -1,13 +1,13 @@
 //! Engines: nothing altered, nothing unmapped, nothing after leaving, never too much at once.
 
 use super::{Bounds, Figures, Line, Violation, crossed};
-use crate::history::{History, Struck, Us};
+use crate::history::{History, ImpairmentKind, Micros};
 
 /// How long after a list was acknowledged an engine that it doesn't list may still get work.
-const LEAVING_US: Us = 3_000_000;
+const LEAVING_US: Micros = 3_000_000;
 
 /// How long work that a relay sent may run on after it is well again.
-const RUNS_ON_US: Us = 10_000_000;
+const RUNS_ON_US: Micros = 10_000_000;
 
 pub(super) fn check(
     history: &History,
@@ -40,11 +40,11 @@
             }
         }
     }
-    let mut changes: Vec<(Us, i64)> = Vec::new();
+    let mut changes: Vec<(Micros, i64)> = Vec::new();
     for run in &history.runs {
         let cost = run.cost.min(bounds.limit_tokens) as i64;
         changes.push((run.began, cost));
-        changes.push((run.ended.unwrap_or(Us::MAX), -cost));
+        changes.push((run.ended.unwrap_or(Micros::MAX), -cost));
     }
     changes.sort_unstable();
     let mut now = 0;
@@ -52,23 +52,24 @@
     for (at, change) in changes {
         now += change;
         let tokens = now.max(0) as u64;
-        figures.most_tokens = figures.most_tokens.max(tokens);
+        figures.max_tokens = figures.max_tokens.max(tokens);
         if !is_excused(history, at) {
             most_unexcused = most_unexcused.max(tokens);
         }
     }
     let limit = bounds.limit_tokens;
-    if most_unexcused > limit || figures.most_tokens > limit * 3 / 2 {
-        let text = format!("{most_unexcused} to {} tokens, limit {limit}", figures.most_tokens);
+    if most_unexcused > limit || figures.max_tokens > limit * 3 / 2 {
+        let text = format!("{most_unexcused} to {} tokens, limit {limit}", figures.max_tokens);
         crossed(violations, Line::Budget, text);
     }
 }
 
 /// A relay that froze or was cut off lost its lease, not its running work. Until that has ended up
 /// to half more than the limit may be in flight.
-fn is_excused(history: &History, at: Us) -> bool {
-    history.struck.iter().any(|struck| {
-        let may_run = matches!(struck.by, Struck::Frozen | Struck::Cut) && !struck.has_disk;
-        may_run && (struck.from..struck.lasts_to() + RUNS_ON_US).contains(&at)
+fn is_excused(history: &History, at: Micros) -> bool {
+    history.impairments.iter().any(|impairment| {
+        let may_run = matches!(impairment.kind, ImpairmentKind::Frozen | ImpairmentKind::Cut)
+            && !impairment.has_disk;
+        may_run && (impairment.from..impairment.ends_at() + RUNS_ON_US).contains(&at)
     })
 }
--- a/fleet-simulator/src/check/mod.rs
+++ b/fleet-simulator/src/check/mod.rs
@@ -9,7 +9,7 @@
 mod service;
 mod specs;
 
-use crate::history::{History, Us};
+use crate::history::{History, Micros};
 
 /// A line of what must never happen, as the brief orders them, and what the design adds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -73,9 +73,9 @@
     /// The budget of in-flight tokens.
     pub limit_tokens: u64,
     /// From when to when service is measured before any fault.
-    pub before: (Us, Us),
+    pub before: (Micros, Micros),
     /// When the last fault was closed, if there was one.
-    pub closed: Option<Us>,
+    pub closed: Option<Micros>,
     /// Machines with a disk that may be out at the same time while reads still succeed.
     pub lost_machines: u16,
     /// Whether machines went only after they were drained or emptied, so that nothing breaks.
@@ -88,11 +88,13 @@
     /// Prompts sent.
     pub prompts: usize,
     /// Whole returns.
-    pub whole: usize,
+    #[serde(rename = "whole")]
+    pub complete: usize,
     /// Prompts refused.
     pub refused: usize,
     /// Connections that broke.
-    pub broken: usize,
+    #[serde(rename = "broken")]
+    pub connections_lost: usize,
     /// Items handed in with accepted batches.
     pub items: usize,
     /// Median time of whole returns.
@@ -113,11 +115,13 @@
     /// Numbered configurations that were acknowledged, and that were refused.
     pub orders: (usize, usize),
     /// The most sendings of an order.
-    pub most_sendings: usize,
+    #[serde(rename = "most_sendings")]
+    pub max_sendings: usize,
     /// Read-backs that were given, and that gave nothing clear.
     pub read_backs: (usize, usize),
     /// The most tokens in flight at engines.
-    pub most_tokens: u64,
+    #[serde(rename = "most_tokens")]
+    pub max_tokens: u64,
     /// When the last item that ran had ended.
     pub items_done_ms: u64,
     /// Reads of batches asked more than a second after they were accepted.
@@ -125,7 +129,8 @@
     /// Reads of these that failed though no more machines with a disk were out than may be.
     pub reads_failed: usize,
     /// The most waiting batch work, and the ceiling then in force.
-    pub most_waiting: (u64, u64),
+    #[serde(rename = "most_waiting")]
+    pub max_waiting: (u64, u64),
 }
 
 /// Judges a history.
--- a/fleet-simulator/src/check/prompts.rs
+++ b/fleet-simulator/src/check/prompts.rs
@@ -1,7 +1,7 @@
 //! Prompts: at most once, whole, their own, and answered at once when given up.
 
 use super::{Line, Violation, crossed};
-use crate::history::{History, PromptEnd, PromptSeen};
+use crate::history::{History, PromptEnd, PromptRecord};
 use topazyard_wire::api::Execution;
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>) {
@@ -18,18 +18,18 @@
     for (at, prompt) in history.prompts.iter().enumerate() {
         check_pieces(at, prompt, violations);
         let Some((ended, end)) = &prompt.end else { continue };
-        if let PromptEnd::Refused { status, ran, says_when } = end {
+        if let PromptEnd::Refused { status, ran, has_retry_after } = end {
             if *ran == Execution::NotRun && runs_of.contains_key(&prompt.work) {
                 let text = format!("prompt {at} was said not to have run and ran");
                 crossed(violations, Line::RanTwiceOrRefused, text);
             }
-            if matches!(status, 429 | 502..=504) && !says_when || *status == 413 {
+            if matches!(status, 429 | 502..=504) && !has_retry_after || *status == 413 {
                 let text = format!("prompt {at} got {status} without when to come back");
                 crossed(violations, Line::Answer, text);
             }
             let took_ms = (ended - prompt.sent) / 1_000;
             let longest_ms = (prompt.wait / 1_000).min(2_000) + 400;
-            let struck = || history.was_struck(&prompt.relay, prompt.sent, *ended);
+            let struck = || history.was_impaired(&prompt.relay, prompt.sent, *ended);
             if *status == 429 && took_ms > longest_ms && !struck() {
                 let text = format!("prompt {at} got its 429 after {took_ms} ms");
                 crossed(violations, Line::Answer, text);
@@ -38,7 +38,7 @@
     }
 }
 
-fn check_pieces(at: usize, prompt: &PromptSeen, violations: &mut Vec<Violation>) {
+fn check_pieces(at: usize, prompt: &PromptRecord, violations: &mut Vec<Violation>) {
     let is_stream = prompt.pieces.first().is_some_and(|piece| piece.of > 1);
     let run = prompt.pieces.first().map(|piece| piece.run);
     for (index, piece) in prompt.pieces.iter().enumerate() {
@@ -51,7 +51,7 @@
             crossed(violations, Line::StreamBroken, text);
         }
     }
-    if let Some((_, PromptEnd::Whole)) = &prompt.end {
+    if let Some((_, PromptEnd::Complete)) = &prompt.end {
         let all = prompt.pieces.first().map_or(1, |piece| piece.of as usize);
         if prompt.pieces.len() != all {
             let line = if is_stream { Line::StreamBroken } else { Line::WrongReturn };
--- a/fleet-simulator/src/check/service.rs
+++ b/fleet-simulator/src/check/service.rs
@@ -1,12 +1,12 @@
 //! Service: back after a closing fault, and nothing held when nothing runs.
 
 use super::{Bounds, Figures, Line, Violation, crossed};
-use crate::history::{History, PromptEnd, Us};
+use crate::history::{History, Micros, PromptEnd};
 
 /// How long after a closing fault service must be back.
-const BACK_US: Us = 12_000_000;
+const BACK_US: Micros = 12_000_000;
 /// Over which time service is measured after that.
-const MEASURED_US: Us = 5_000_000;
+const MEASURED_US: Micros = 5_000_000;
 
 pub(super) fn check(
     history: &History,
@@ -18,16 +18,16 @@
     figures.prompts = history.prompts.len();
     for prompt in &history.prompts {
         match &prompt.end {
-            Some((ended, PromptEnd::Whole)) => {
-                figures.whole += 1;
+            Some((ended, PromptEnd::Complete)) => {
+                figures.complete += 1;
                 took_ms.push((ended - prompt.sent) / 1_000);
             }
             Some((_, PromptEnd::Refused { .. })) => figures.refused += 1,
-            Some((_, PromptEnd::Broken)) | None => figures.broken += 1,
+            Some((_, PromptEnd::ConnectionLost)) | None => figures.connections_lost += 1,
         }
     }
-    if bounds.drained && figures.broken > 0 {
-        let text = format!("{} connections broke", figures.broken);
+    if bounds.drained && figures.connections_lost > 0 {
+        let text = format!("{} connections broke", figures.connections_lost);
         crossed(violations, Line::Drained, text);
     }
     took_ms.sort_unstable();
@@ -65,7 +65,7 @@
 }
 
 /// For how many milliseconds at a stretch service was below a rate.
-fn longest_below(history: &History, watched: std::ops::Range<Us>, rate: f64) -> u64 {
+fn longest_below(history: &History, watched: std::ops::Range<Micros>, rate: f64) -> u64 {
     let mut longest_ms = 0;
     let mut below_since = None;
     for at in watched.step_by(250_000) {
@@ -79,9 +79,9 @@
     longest_ms
 }
 
-fn whole_per_s(history: &History, from: Us, to: Us) -> f64 {
+fn whole_per_s(history: &History, from: Micros, to: Micros) -> f64 {
     let whole = history.prompts.iter().filter(
-        |prompt| matches!(&prompt.end, Some((at, PromptEnd::Whole)) if (from..to).contains(at)),
+        |prompt| matches!(&prompt.end, Some((at, PromptEnd::Complete)) if (from..to).contains(at)),
     );
     whole.count() as f64 / ((to - from) as f64 / 1e6)
 }
--- a/fleet-simulator/src/faults/mod.rs
+++ b/fleet-simulator/src/faults/mod.rs
@@ -1,6 +1,6 @@
 //! Faults, as they are caused.
 
-use crate::history::{FaultSeen, Struck};
+use crate::history::{FaultRecord, ImpairmentKind};
 use crate::workload::Activity;
 use crate::world::{
     Caller, EngineHealth, Event, InjectedBug, NodeIndex, NodeKind, REPLACED, World,
@@ -167,7 +167,7 @@
         };
         let name = struck.map_or(String::new(), |index| self.nodes[index.0].name.clone());
         let text = format!("{fault:?} {name}");
-        self.history.faults.push(FaultSeen { text, at: self.time });
+        self.history.faults.push(FaultRecord { text, at: self.time });
         match fault {
             Fault::Kill(_) => self.strike(struck, false),
             Fault::LosePower(_) => self.strike(struck, true),
@@ -215,7 +215,7 @@
             }
             Fault::CutZone(zone) => {
                 let inside = self.of_zone(zone);
-                inside.iter().for_each(|index| self.strike_for(*index, Struck::Cut));
+                inside.iter().for_each(|index| self.strike_for(*index, ImpairmentKind::Cut));
                 let inside: std::collections::BTreeSet<_> =
                     inside.into_iter().map(|index| self.nodes[index.0].address).collect();
                 self.cut_where(|from, to| inside.contains(&from) != inside.contains(&to));
@@ -234,23 +234,23 @@
             }
             Fault::Mend => {
                 self.network.mend();
-                self.mend(Struck::Cut);
+                self.mend(ImpairmentKind::Cut);
             }
             Fault::Lossy(share) => self.network.loss_per_10000 = share,
             Fault::SlowDisk(_, ms) => {
                 if let Some(index) = struck {
                     self.nodes[index.0].disk.slow_us = ms * 1_000;
-                    self.strike_for(index, Struck::SlowDisk);
+                    self.strike_for(index, ImpairmentKind::SlowDisk);
                 }
             }
             Fault::FastDisks => {
                 self.nodes.iter_mut().for_each(|node| node.disk.slow_us = 0);
-                self.mend(Struck::SlowDisk);
+                self.mend(ImpairmentKind::SlowDisk);
             }
             Fault::FullDisk(_) => {
                 if let Some(index) = struck {
                     self.nodes[index.0].disk.is_full = true;
-                    self.strike_for(index, Struck::FullDisk);
+                    self.strike_for(index, ImpairmentKind::FullDisk);
                 }
             }
             Fault::KillFull => {
@@ -262,7 +262,7 @@
             }
             Fault::Room => {
                 (0..self.nodes.len()).for_each(|at| self.make_room(NodeIndex(at)));
-                self.mend(Struck::FullDisk);
+                self.mend(ImpairmentKind::FullDisk);
             }
             Fault::Engine(at, health) => self.set_engine_health(usize::from(at), health),
             Fault::EngineLeaves(at) => {
@@ -354,7 +354,7 @@
         let names: Vec<&str> =
             wiped.iter().map(|index| self.nodes[index.0].name.as_str()).collect();
         let text = format!("all lose their power, and their disks {}", names.join(" "));
-        self.history.faults.push(FaultSeen { text, at: self.time });
+        self.history.faults.push(FaultRecord { text, at: self.time });
         for index in (0..self.nodes.len()).map(NodeIndex) {
             if self.nodes[index.0].is_running() {
                 self.stop(index, true);
@@ -372,7 +372,7 @@
         for kind in [NodeKind::Control, NodeKind::Storage] {
             let mut all: Vec<NodeIndex> = (0..self.nodes.len()).map(NodeIndex).collect();
             all.retain(|at| self.nodes[at.0].kind == kind && !self.nodes[at.0].is_replaced());
-            all.iter().for_each(|index| self.strike_for(*index, Struck::Cut));
+            all.iter().for_each(|index| self.strike_for(*index, ImpairmentKind::Cut));
             all.shuffle(&mut rng);
             let inside = &all[..all.len() / 2];
             half.extend(inside.iter().map(|index| self.nodes[index.0].address));
@@ -428,7 +428,7 @@
         is_other: impl Fn(std::net::SocketAddr) -> bool,
     ) {
         let address = self.nodes[index.0].address;
-        self.strike_for(index, Struck::Cut);
+        self.strike_for(index, ImpairmentKind::Cut);
         self.cut_where(|from, to| {
             let (outward, inward) =
                 (from == address && is_other(to), to == address && is_other(from));
--- a/fleet-simulator/src/history/configurations.rs
+++ b/fleet-simulator/src/history/configurations.rs
@@ -1,11 +1,11 @@
 //! Numbered configurations, as operators sent and read them and as relays had them in force.
 
-use super::Us;
+use super::Micros;
 use topazyard_types::Digest;
 
 /// What an operator learned of one sending of its order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It was acknowledged.
     Acknowledged,
     /// It was refused.
@@ -20,14 +20,14 @@
     /// The node that was asked.
     pub node: String,
     /// When it was sent.
-    pub asked: Us,
+    pub requested_at: Micros,
     /// What came of it, and when.
-    pub answer: Option<(Us, OrderAnswer)>,
+    pub response: Option<(Micros, OrderResponse)>,
 }
 
 /// A numbered configuration that an operator ordered.
 #[derive(Debug, Clone)]
-pub struct OrderSeen {
+pub struct OrderRecord {
     /// Its number.
     pub number: u64,
     /// The number that it builds on.
@@ -42,27 +42,27 @@
     pub attempts: Vec<OrderAttempt>,
 }
 
-impl OrderSeen {
+impl OrderRecord {
     /// Whether it is valid if nothing else came between.
     pub fn is_valid(&self) -> bool {
         self.fingerprint.is_some() && self.number > self.base
     }
 
     /// When it was first sent.
-    pub fn sent(&self) -> Us {
-        self.attempts.first().map_or(Us::MAX, |attempt| attempt.asked)
+    pub fn sent(&self) -> Micros {
+        self.attempts.first().map_or(Micros::MAX, |attempt| attempt.requested_at)
     }
 
     /// When it was first answered so.
-    pub fn first(&self, wanted: OrderAnswer) -> Option<Us> {
-        let answers = self.attempts.iter().filter_map(|attempt| attempt.answer);
-        answers.filter(|(_, answer)| *answer == wanted).map(|(at, _)| at).min()
+    pub fn first(&self, wanted: OrderResponse) -> Option<Micros> {
+        let responses = self.attempts.iter().filter_map(|attempt| attempt.response);
+        responses.filter(|(_, response)| *response == wanted).map(|(at, _)| at).min()
     }
 }
 
 /// What a read-back gave.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReadBack {
+pub enum ReadBackOutcome {
     /// This source.
     Given(bytes::Bytes),
     /// That there is none.
@@ -73,28 +73,28 @@
 
 /// A read-back of the configuration in force.
 #[derive(Debug, Clone)]
-pub struct ReadBackSeen {
+pub struct ReadBackRecord {
     /// The node that was asked.
     pub node: String,
     /// When it was asked.
-    pub asked: Us,
+    pub requested_at: Micros,
     /// What came of it, and when.
-    pub told: Option<(Us, ReadBack)>,
+    pub outcome: Option<(Micros, ReadBackOutcome)>,
 }
 
 /// A configuration that a relay had in force for a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InForceSeen {
+pub struct InForceRecord {
     /// The relay.
     pub relay: String,
     /// The relay's life: it rises with each start.
-    pub life: u64,
+    pub generation: u64,
     /// The number that it gave.
     pub number: u64,
     /// The content that it had.
     pub fingerprint: Digest,
     /// From when it was seen.
-    pub from: Us,
+    pub from: Micros,
     /// When it was last seen.
-    pub until: Us,
+    pub until: Micros,
 }
--- a/fleet-simulator/src/history/mod.rs
+++ b/fleet-simulator/src/history/mod.rs
@@ -5,19 +5,19 @@
 use topazyard_wire::api::Execution;
 
 pub use configurations::{
-    InForceSeen, OrderAnswer, OrderAttempt, OrderSeen, ReadBack, ReadBackSeen,
+    InForceRecord, OrderAttempt, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord,
 };
 
 /// A moment of simulated time.
-pub type Us = u64;
+pub type Micros = u64;
 
 /// How a prompt ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PromptEnd {
     /// A return that looked whole.
-    Whole,
+    Complete,
     /// The connection broke.
-    Broken,
+    ConnectionLost,
     /// An error.
     Refused {
         /// Its status.
@@ -25,7 +25,7 @@
         /// Whether it says that the work may have run.
         ran: Execution,
         /// Whether it says when to come back.
-        says_when: bool,
+        has_retry_after: bool,
     },
 }
 
@@ -44,7 +44,7 @@
 
 /// A prompt as its client saw it.
 #[derive(Debug, Clone)]
-pub struct PromptSeen {
+pub struct PromptRecord {
     /// Which work it is, in the engines' logs too.
     pub work: usize,
     /// The model asked for.
@@ -52,15 +52,15 @@
     /// Whether it may be repeated.
     pub repeatable: bool,
     /// When it was sent.
-    pub sent: Us,
+    pub sent: Micros,
     /// How long the client waits.
-    pub wait: Us,
+    pub wait: Micros,
     /// The relay it was sent to.
     pub relay: String,
     /// The pieces that came.
     pub pieces: Vec<Piece>,
     /// How it ended, and when.
-    pub end: Option<(Us, PromptEnd)>,
+    pub end: Option<(Micros, PromptEnd)>,
 }
 
 /// A run as an engine logged it.
@@ -71,9 +71,9 @@
     /// The engine.
     pub engine: String,
     /// When it began.
-    pub began: Us,
+    pub began: Micros,
     /// When it ended, if it did.
-    pub ended: Option<Us>,
+    pub ended: Option<Micros>,
     /// The cost that admission should have held for it.
     pub cost: u64,
 }
@@ -95,7 +95,7 @@
 
 /// A return as a batch's list showed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListedReturn {
+pub struct ListedResult {
     /// Its position.
     pub position: u32,
     /// Its item.
@@ -108,18 +108,18 @@
 
 /// A read of a batch as its client saw it.
 #[derive(Debug, Clone)]
-pub struct ReadSeen {
+pub struct BatchRead {
     /// When it was asked.
-    pub asked: Us,
+    pub requested_at: Micros,
     /// The relay that was asked.
     pub relay: String,
     /// What came back, and when.
-    pub told: Option<(Us, ReadTold)>,
+    pub outcome: Option<(Micros, BatchReadOutcome)>,
 }
 
 /// What a read of a batch gave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadTold {
+pub enum BatchReadOutcome {
     /// How it stands, or a page of its list.
     Given,
     /// That there is no such batch.
@@ -130,7 +130,7 @@
 
 /// What a machine is struck by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Struck {
+pub enum ImpairmentKind {
     /// It is off.
     Off,
     /// It is frozen.
@@ -145,29 +145,29 @@
 
 /// A time during which a machine was struck: off, frozen, cut off, or with a slow or full disk.
 #[derive(Debug, Clone)]
-pub struct StruckSeen {
+pub struct Impairment {
     /// The process on it.
     pub name: String,
     /// By what.
-    pub by: Struck,
+    pub kind: ImpairmentKind,
     /// Whether it keeps something on a disk.
     pub has_disk: bool,
     /// From when.
-    pub from: Us,
+    pub from: Micros,
     /// Until when; none if it was never mended.
-    pub until: Option<Us>,
+    pub until: Option<Micros>,
 }
 
-impl StruckSeen {
+impl Impairment {
     /// When it was well again, or for ever.
-    pub fn lasts_to(&self) -> Us {
-        self.until.unwrap_or(Us::MAX / 2)
+    pub fn ends_at(&self) -> Micros {
+        self.until.unwrap_or(Micros::MAX / 2)
     }
 }
 
 /// A batch as its client saw it.
 #[derive(Debug, Clone)]
-pub struct BatchSeen {
+pub struct BatchRecord {
     /// Its id.
     pub id: topazyard_types::BatchId,
     /// The first of its items in the list of works; the others follow.
@@ -177,22 +177,22 @@
     /// The cost of all items.
     pub cost: u64,
     /// When it was first sent.
-    pub sent: Us,
+    pub sent: Micros,
     /// When it was accepted.
-    pub accepted: Option<Us>,
+    pub accepted: Option<Micros>,
     /// Reads after it was accepted, of how it stands and of its list.
-    pub reads: Vec<ReadSeen>,
+    pub reads: Vec<BatchRead>,
     /// Every list read from the first position: when answered, and what it showed.
-    pub lists: Vec<(Us, Vec<ListedReturn>)>,
+    pub lists: Vec<(Micros, Vec<ListedResult>)>,
     /// When its end was asked and acknowledged.
-    pub ended: Option<Us>,
+    pub ended: Option<Micros>,
     /// Items asked back, with the moment of the answer and whether it said that they never run.
-    pub recalls: Vec<(Us, u32, bool)>,
+    pub recalls: Vec<(Micros, u32, bool)>,
 }
 
 /// A spec version as operators saw it.
 #[derive(Debug, Clone)]
-pub struct SpecSeen {
+pub struct RolloutRecord {
     /// Its version, once submitted.
     pub version: Option<u64>,
     /// Its ceiling on waiting batch work.
@@ -202,38 +202,38 @@
     /// Whether some step was refused, so that it never may take effect.
     pub refused: bool,
     /// When its roll-out was first asked for.
-    pub asked: Option<Us>,
+    pub requested_at: Option<Micros>,
     /// When its roll-out was acknowledged.
-    pub acknowledged: Option<Us>,
+    pub acknowledged: Option<Micros>,
 }
 
 /// A read of the spec in force.
 #[derive(Debug, Clone)]
-pub struct SpecRead {
+pub struct ConfigurationRead {
     /// When it was asked.
-    pub asked: Us,
+    pub requested_at: Micros,
     /// The version it gave.
     pub version: u64,
 }
 
 /// A list of engines that control acknowledged.
 #[derive(Debug, Clone)]
-pub struct EngineListSeen {
+pub struct EngineListRecord {
     /// When the platform first sent it.
-    pub sent: Us,
+    pub sent: Micros,
     /// When it was acknowledged.
-    pub acknowledged: Option<Us>,
+    pub acknowledged: Option<Micros>,
     /// Engines that may be given work.
     pub ready: std::collections::BTreeSet<String>,
 }
 
 /// A fault, and when it was closed.
 #[derive(Debug, Clone)]
-pub struct FaultSeen {
+pub struct FaultRecord {
     /// What was done.
     pub text: String,
     /// When.
-    pub at: Us,
+    pub at: Micros,
 }
 
 /// Everything seen from outside.
@@ -242,37 +242,38 @@
     /// All work handed in.
     pub works: Vec<Work>,
     /// Prompts.
-    pub prompts: Vec<PromptSeen>,
+    pub prompts: Vec<PromptRecord>,
     /// Engine runs.
     pub runs: Vec<EngineRun>,
     /// Batches.
-    pub batches: Vec<BatchSeen>,
+    pub batches: Vec<BatchRecord>,
     /// Specs.
-    pub specs: Vec<SpecSeen>,
+    pub rollouts: Vec<RolloutRecord>,
     /// Reads of the spec in force.
-    pub spec_reads: Vec<SpecRead>,
+    pub configuration_reads: Vec<ConfigurationRead>,
     /// Numbered configurations that were ordered.
-    pub orders: Vec<OrderSeen>,
+    pub orders: Vec<OrderRecord>,
     /// Read-backs of the numbered configuration in force.
-    pub read_backs: Vec<ReadBackSeen>,
+    pub read_backs: Vec<ReadBackRecord>,
     /// What each relay had in force, in the order in which it was seen.
-    pub in_force: Vec<InForceSeen>,
+    pub in_force: Vec<InForceRecord>,
     /// Engine lists.
-    pub engine_lists: Vec<EngineListSeen>,
+    pub engine_lists: Vec<EngineListRecord>,
     /// Faults, for the trace.
-    pub faults: Vec<FaultSeen>,
+    pub faults: Vec<FaultRecord>,
     /// Machines that were struck, and for how long.
-    pub struck: Vec<StruckSeen>,
+    pub impairments: Vec<Impairment>,
     /// Waiting batch work as the copies have it, now and then.
-    pub waiting: Vec<(Us, u64)>,
+    pub waiting: Vec<(Micros, u64)>,
     /// Holds at the counter at the very end, when nothing runs any more.
     pub holds_at_rest: Option<usize>,
 }
 
 impl History {
     /// Whether a process's machine was struck at some time between two moments.
-    pub fn was_struck(&self, name: &str, from: Us, to: Us) -> bool {
-        let overlaps = |struck: &StruckSeen| struck.from <= to && struck.lasts_to() >= from;
-        self.struck.iter().any(|struck| struck.name == name && overlaps(struck))
+    pub fn was_impaired(&self, name: &str, from: Micros, to: Micros) -> bool {
+        let overlaps =
+            |impairment: &Impairment| impairment.from <= to && impairment.ends_at() >= from;
+        self.impairments.iter().any(|impairment| impairment.name == name && overlaps(impairment))
     }
 }
--- a/fleet-simulator/src/workload/batches.rs
+++ b/fleet-simulator/src/workload/batches.rs
@@ -1,7 +1,7 @@
 //! Clients with batches: they hand in, read, list, ask items back and end.
 
 use super::Activity;
-use crate::history::{BatchSeen, ListedReturn, ReadSeen, ReadTold, Us};
+use crate::history::{BatchRead, BatchReadOutcome, BatchRecord, ListedResult, Micros};
 use crate::world::{Caller, Event, InjectedBug, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_types::{BatchId, DurationMs, ItemNumber, Tokens};
@@ -26,11 +26,11 @@
 #[derive(Debug)]
 pub(super) struct BatchClient {
     serial: u64,
-    asked: Option<Us>,
+    asked: Option<Micros>,
     /// The list being read, page by page.
-    page: Vec<ListedReturn>,
+    page: Vec<ListedResult>,
     lists_whole: u32,
-    ends_at: Option<Us>,
+    lasts_to: Option<Micros>,
     recalls: Option<u32>,
     turn: u64,
 }
@@ -38,7 +38,7 @@
 /// After how many whole lists with all returns a client is content.
 const CONTENT: u32 = 3;
 /// For how long after its acceptance a batch is read at the least.
-const READS_FOR_US: Us = 10_000_000;
+const READS_FOR_US: Micros = 10_000_000;
 
 impl World {
     pub(super) fn next_batch(&mut self) {
@@ -62,7 +62,7 @@
         }
         // The older word stays: the id follows from the key, and a seed's history from the id.
         let key = format!("parcel {batch} of {}", self.time);
-        self.history.batches.push(BatchSeen {
+        self.history.batches.push(BatchRecord {
             id: BatchId::from_key(&key),
             first_work,
             items: habits.items_per_batch as u32,
@@ -75,7 +75,7 @@
             recalls: Vec::new(),
         });
         let ends = self.draw(0..6) == 0;
-        let ends_at = ends.then(|| self.time + 1_000_000 + 500_000 * (first_work as u64 % 7));
+        let lasts_to = ends.then(|| self.time + 1_000_000 + 500_000 * (first_work as u64 % 7));
         let recalls =
             (self.draw(0..5) == 0).then(|| self.draw(0..habits.items_per_batch.max(1)) as u32);
         self.workload.batches.push(BatchClient {
@@ -83,7 +83,7 @@
             asked: None,
             page: Vec::new(),
             lists_whole: 0,
-            ends_at,
+            lasts_to,
             recalls,
             turn: 0,
         });
@@ -107,7 +107,7 @@
         if let Some(item) = client.recalls.take() {
             return Asked::Recall(item);
         }
-        if seen.ended.is_none() && client.ends_at.is_some_and(|at| time >= at) {
+        if seen.ended.is_none() && client.lasts_to.is_some_and(|at| time >= at) {
             return Asked::End;
         }
         client.turn += 1;
@@ -155,7 +155,7 @@
         let time = self.time;
         if matches!(asked, Asked::Read | Asked::List) {
             let relay = self.nodes[relay.0].name.clone();
-            let read = ReadSeen { asked: time, relay, told: None };
+            let read = BatchRead { requested_at: time, relay, outcome: None };
             self.history.batches[batch].reads.push(read);
         }
         let client = &mut self.workload.batches[batch];
@@ -179,14 +179,14 @@
         let time = self.time;
         if matches!(asked, Asked::Read | Asked::List) {
             let told = match &value {
-                RelayResponse::Batch(BatchResponse::Unknown) => ReadTold::Unknown,
+                RelayResponse::Batch(BatchResponse::Unknown) => BatchReadOutcome::Unknown,
                 RelayResponse::Batch(BatchResponse::Status(_) | BatchResponse::ItemResults(_)) => {
-                    ReadTold::Given
+                    BatchReadOutcome::Given
                 }
-                _ => ReadTold::Refused,
+                _ => BatchReadOutcome::Refused,
             };
             if let Some(read) = self.history.batches[batch].reads.last_mut() {
-                read.told = Some((time, told));
+                read.outcome = Some((time, told));
             }
         }
         let RelayResponse::Batch(value) = value else { return };
@@ -231,7 +231,7 @@
                 ItemEnd::Abandoned => ("abandoned".to_owned(), None),
             };
             let item = item_return.item.0 + u32::from(changes);
-            client.page.push(ListedReturn { position: item_return.position, item, text, body });
+            client.page.push(ListedResult { position: item_return.position, item, text, body });
         }
         if returns.is_empty() {
             let list = std::mem::take(&mut client.page);
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -52,7 +52,7 @@
     /// Read the spec in force, and so on.
     ReadSpec,
     /// The spec in force was asked for.
-    SpecAsked(crate::history::Us),
+    SpecAsked(crate::history::Micros),
 }
 
 /// How much people do.
--- a/fleet-simulator/src/workload/orders.rs
+++ b/fleet-simulator/src/workload/orders.rs
@@ -5,7 +5,7 @@
 mod sending;
 
 use super::Activity;
-use crate::history::{OrderAnswer, OrderSeen, ReadBack, ReadBackSeen, Us};
+use crate::history::{Micros, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord};
 use crate::world::{Caller, Event, InjectedBug, NodeIndex, NodeKind, World};
 use contents::Fault;
 pub(crate) use contents::fingerprint;
@@ -55,10 +55,10 @@
 }
 
 /// How often what is in force is read back.
-const READ_EVERY_US: Us = 250_000;
+const READ_EVERY_US: Micros = 250_000;
 /// After how long an answer comes no more: the node's own front answers by then that it knows
 /// nothing.
-const ANSWER_WITHIN_US: Us = 900_000;
+const ANSWER_WITHIN_US: Micros = 900_000;
 /// How far orders of the past reach that are sent again.
 const SENT_AGAIN_OF: u64 = 3;
 
@@ -79,7 +79,7 @@
                 self.order_arrives(order, attempt, node)
             }
             OrderActivity::Answered(order, attempt) => {
-                self.order_answered(order, attempt, OrderAnswer::Unclear);
+                self.order_answered(order, attempt, OrderResponse::Unclear);
             }
             OrderActivity::Read => self.read_back(),
             OrderActivity::ReadArrives(read, node) => self.read_arrives(read, node),
@@ -97,8 +97,8 @@
         }
         match doing {
             OrderActivity::Answered(order, attempt) => {
-                let asked = self.history.orders[order].attempts[attempt].asked;
-                if self.time < asked + ANSWER_WITHIN_US {
+                let requested_at = self.history.orders[order].attempts[attempt].requested_at;
+                if self.time < requested_at + ANSWER_WITHIN_US {
                     let answer = self.spoiled(attempt, answer_of(&outcome));
                     self.order_answered(order, attempt, answer);
                 }
@@ -109,8 +109,8 @@
     }
 
     /// An answer as the planted bug would have it.
-    fn spoiled(&self, attempt: usize, answer: OrderAnswer) -> OrderAnswer {
-        use OrderAnswer::{Acknowledged, Refused};
+    fn spoiled(&self, attempt: usize, answer: OrderResponse) -> OrderResponse {
+        use OrderResponse::{Acknowledged, Refused};
         match (self.injected_bug, answer) {
             (Some(InjectedBug::AcknowledgeAll), Refused) => Acknowledged,
             (Some(InjectedBug::RefuseResent), Acknowledged) if attempt > 0 => Refused,
@@ -168,10 +168,10 @@
     /// What was acknowledged or read back under a number.
     fn known_source(&self, number: u64) -> Option<bytes::Bytes> {
         let numbered = || self.history.orders.iter().filter(|order| order.number == number);
-        let acknowledged = numbered().find(|o| o.first(OrderAnswer::Acknowledged).is_some());
+        let acknowledged = numbered().find(|o| o.first(OrderResponse::Acknowledged).is_some());
         let was_read = |source: &bytes::Bytes| {
-            let told = self.history.read_backs.iter().filter_map(|read| read.told.as_ref());
-            told.into_iter().any(|(_, told)| *told == ReadBack::Given(source.clone()))
+            let told = self.history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
+            told.into_iter().any(|(_, told)| *told == ReadBackOutcome::Given(source.clone()))
         };
         let known = acknowledged.or_else(|| numbered().find(|order| was_read(&order.source)));
         known.map(|order| order.source.clone())
@@ -199,14 +199,14 @@
         self.begin_order(number, base, content, 0);
     }
 
-    fn order_numbered(&mut self, number: u64, base: u64, after: Us) {
+    fn order_numbered(&mut self, number: u64, base: u64, after: Micros) {
         let content = self.new_content(None);
         self.begin_order(number, base, content, after);
     }
 
-    fn begin_order(&mut self, number: u64, base: u64, content: contents::Content, after: Us) {
+    fn begin_order(&mut self, number: u64, base: u64, content: contents::Content, after: Micros) {
         let order = self.history.orders.len();
-        self.history.orders.push(OrderSeen {
+        self.history.orders.push(OrderRecord {
             number,
             base,
             source: content.source,
@@ -224,7 +224,7 @@
             .filter(|order| {
                 let is_closed = self.workload.orders.standings[*order] == Standing::Closed;
                 let seen = &self.history.orders[*order];
-                is_closed && seen.first(OrderAnswer::Acknowledged).is_some()
+                is_closed && seen.first(OrderResponse::Acknowledged).is_some()
             })
             .collect();
         let Some(newest) = acknowledged.last().copied() else { return };
@@ -236,19 +236,19 @@
         self.after(0, OrderActivity::Send(order).event());
     }
 
-    fn order_answered(&mut self, order: usize, attempt: usize, answer: OrderAnswer) {
+    fn order_answered(&mut self, order: usize, attempt: usize, answer: OrderResponse) {
         let time = self.time;
         let seen = &mut self.history.orders[order];
         let number = seen.number;
-        let known = &mut seen.attempts[attempt].answer;
+        let known = &mut seen.attempts[attempt].response;
         if known.is_some() {
             return;
         }
         *known = Some((time, answer));
         match answer {
-            OrderAnswer::Unclear => self.send_later(order),
-            OrderAnswer::Refused => self.workload.orders.standings[order] = Standing::Closed,
-            OrderAnswer::Acknowledged => {
+            OrderResponse::Unclear => self.send_later(order),
+            OrderResponse::Refused => self.workload.orders.standings[order] = Standing::Closed,
+            OrderResponse::Acknowledged => {
                 self.workload.orders.standings[order] = Standing::Closed;
                 self.saw_newest(number);
             }
@@ -264,8 +264,8 @@
         self.after(READ_EVERY_US, OrderActivity::Read.event());
         let Some(node) = self.draw_node(NodeKind::Control) else { return };
         let read = self.history.read_backs.len();
-        let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
-        self.history.read_backs.push(ReadBackSeen { node: name, asked, told: None });
+        let (name, requested_at) = (self.nodes[node.0].name.clone(), self.time);
+        self.history.read_backs.push(ReadBackRecord { node: name, requested_at, outcome: None });
         let way = self.way();
         self.after(way, OrderActivity::ReadArrives(read, node).event());
     }
@@ -284,31 +284,33 @@
     fn read_told(&mut self, read: usize, outcome: OperatorOutcome) {
         let time = self.time;
         let read_back = match outcome {
-            OperatorOutcome::Done(source) => ReadBack::Given(source.into()),
-            OperatorOutcome::Refused(error) if error.code == Code::NotFound => ReadBack::Missing,
-            OperatorOutcome::Refused(_) => ReadBack::Unclear,
+            OperatorOutcome::Done(source) => ReadBackOutcome::Given(source.into()),
+            OperatorOutcome::Refused(error) if error.code == Code::NotFound => {
+                ReadBackOutcome::Missing
+            }
+            OperatorOutcome::Refused(_) => ReadBackOutcome::Unclear,
         };
         let read_back = match (self.injected_bug, read_back) {
-            (Some(InjectedBug::ReadFirstConfiguration), ReadBack::Given(_)) => {
-                ReadBack::Given(self.history.orders[0].source.clone())
+            (Some(InjectedBug::ReadFirstConfiguration), ReadBackOutcome::Given(_)) => {
+                ReadBackOutcome::Given(self.history.orders[0].source.clone())
             }
             (_, read_back) => read_back,
         };
-        if let ReadBack::Given(source) = &read_back {
+        if let ReadBackOutcome::Given(source) = &read_back {
             let found = self.history.orders.iter().find(|order| order.source == *source);
             let number = found.map_or(0, |order| order.number);
             self.saw_newest(number);
         }
-        self.history.read_backs[read].told = Some((time, read_back));
+        self.history.read_backs[read].outcome = Some((time, read_back));
     }
 }
 
-fn answer_of(outcome: &OperatorOutcome) -> OrderAnswer {
+fn answer_of(outcome: &OperatorOutcome) -> OrderResponse {
     match outcome {
-        OperatorOutcome::Done(_) => OrderAnswer::Acknowledged,
+        OperatorOutcome::Done(_) => OrderResponse::Acknowledged,
         OperatorOutcome::Refused(error) => match error.code.status() {
-            408 | 429 | 500.. => OrderAnswer::Unclear,
-            _ => OrderAnswer::Refused,
+            408 | 429 | 500.. => OrderResponse::Unclear,
+            _ => OrderResponse::Refused,
         },
     }
 }
--- a/fleet-simulator/src/workload/orders/sending.rs
+++ b/fleet-simulator/src/workload/orders/sending.rs
@@ -2,18 +2,18 @@
 //! second of silence, with a pause that grows.
 
 use super::{OrderActivity, Standing};
-use crate::history::{OrderAnswer, OrderAttempt, OrderSeen, Us};
+use crate::history::{Micros, OrderAttempt, OrderRecord, OrderResponse};
 use crate::workload::Activity;
 use crate::world::{Caller, InjectedBug, NodeIndex, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::message::operate::{Command, OperatorRequest, SourcePatch};
 
 /// After how long without an answer an operator goes on to another node.
-const SILENCE_US: Us = 1_000_000;
+const SILENCE_US: Micros = 1_000_000;
 /// The pause before an order is sent again; it doubles with each sending.
-const PAUSE_US: Us = 50_000;
+const PAUSE_US: Micros = 50_000;
 /// The longest pause.
-const LONGEST_PAUSE_US: Us = 800_000;
+const LONGEST_PAUSE_US: Micros = 800_000;
 
 impl World {
     /// Sends an order to any control node on the list: ones that just went still stand there.
@@ -23,8 +23,8 @@
         }
         let Some(node) = self.draw_listed_control() else { return };
         let attempt = self.history.orders[order].attempts.len();
-        let (name, asked) = (self.nodes[node.0].name.clone(), self.time);
-        let sent = OrderAttempt { node: name, asked, answer: None };
+        let (name, requested_at) = (self.nodes[node.0].name.clone(), self.time);
+        let sent = OrderAttempt { node: name, requested_at, response: None };
         self.history.orders[order].attempts.push(sent);
         let way = self.way();
         self.after(way, OrderActivity::Arrives(order, attempt, node).event());
@@ -49,11 +49,11 @@
             return;
         }
         if !self.nodes[node.0].is_running() {
-            self.order_answered(order, attempt, OrderAnswer::Unclear);
+            self.order_answered(order, attempt, OrderResponse::Unclear);
             return;
         }
         if self.injected_bug == Some(InjectedBug::RefuseWithoutCause) && attempt == 0 && order > 0 {
-            self.order_answered(order, attempt, OrderAnswer::Refused);
+            self.order_answered(order, attempt, OrderResponse::Refused);
             return;
         }
         let seen = &self.history.orders[order];
@@ -75,7 +75,7 @@
 const MOST_SOURCE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// What an order asks of control.
-fn command_of(order: &OrderSeen) -> Command {
+fn command_of(order: &OrderRecord) -> Command {
     let (base, version) = (ConfigurationVersion(order.base), ConfigurationVersion(order.number));
     match &order.patch {
         None => Command::ApplyConfiguration {
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -1,7 +1,7 @@
 //! The platform: which engines there are, and which relays are ready.
 
 use super::Activity;
-use crate::history::EngineListSeen;
+use crate::history::EngineListRecord;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
@@ -35,7 +35,7 @@
     /// Lists the engines anew, with these ready and all others leaving.
     pub fn list_engines(&mut self) {
         let ready = self.workload.listed_ready.clone();
-        let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
+        let seen = EngineListRecord { sent: self.time, acknowledged: None, ready };
         self.history.engine_lists.push(seen);
         self.after(0, Event::Activity(Activity::PutEngines));
     }
--- a/fleet-simulator/src/workload/prompts.rs
+++ b/fleet-simulator/src/workload/prompts.rs
@@ -1,7 +1,7 @@
 //! Clients with prompts.
 
 use super::Activity;
-use crate::history::{PromptEnd, PromptSeen};
+use crate::history::{PromptEnd, PromptRecord};
 use crate::world::{NodeIndex, World};
 
 impl World {
@@ -20,11 +20,11 @@
     /// Which model a client asks for: mostly the usual one, sometimes one that only some spec
     /// maps, sometimes one that none does.
     fn draw_model(&mut self) -> String {
-        let specs = self.history.specs.len() as u64;
+        let specs = self.history.rollouts.len() as u64;
         match self.draw(0..100) {
             0..=7 if specs > 0 => {
                 let back = self.draw(0..3).min(specs - 1);
-                self.history.specs[(specs - 1 - back) as usize].model.clone()
+                self.history.rollouts[(specs - 1 - back) as usize].model.clone()
             }
             8..=9 => "unmapped".to_owned(),
             _ => "m".to_owned(),
@@ -40,7 +40,7 @@
         let relay = self.draw_relay();
         let wait = [1_500_000, 3_000_000, 8_000_000][self.draw(0..3) as usize];
         let name = relay.map_or("none".to_owned(), |relay| self.nodes[relay.0].name.clone());
-        let seen = PromptSeen {
+        let seen = PromptRecord {
             work,
             model,
             repeatable,
@@ -57,13 +57,13 @@
             let arrives = Activity::PromptArrives(prompt, relay);
             self.after(way, crate::world::Event::Activity(arrives));
         } else {
-            self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
+            self.history.prompts[prompt].end = Some((self.time, PromptEnd::ConnectionLost));
         }
     }
 
     pub(super) fn prompt_arrives(&mut self, prompt: usize, relay: NodeIndex) {
         if !self.nodes[relay.0].is_running() {
-            self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
+            self.history.prompts[prompt].end = Some((self.time, PromptEnd::ConnectionLost));
             return;
         }
         let again = Activity::PromptArrives(prompt, relay);
@@ -73,7 +73,7 @@
         let seen = &self.history.prompts[prompt];
         if seen.sent + seen.wait + 1_500_000 < self.time {
             // The client hung up while its relay was frozen.
-            self.history.prompts[prompt].end = Some((self.time, PromptEnd::Broken));
+            self.history.prompts[prompt].end = Some((self.time, PromptEnd::ConnectionLost));
             return;
         }
         let pieces = if self.draw(0..4) == 0 { 8 } else { 1 };
--- a/fleet-simulator/src/workload/retirement.rs
+++ b/fleet-simulator/src/workload/retirement.rs
@@ -1,12 +1,12 @@
 //! Operators who have a storage node retired, and take it away once that is done.
 
 use super::Activity;
-use crate::history::Us;
+use crate::history::Micros;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest, Query};
 
 /// How often it is asked for and after.
-const ASK_EVERY_US: Us = 500_000;
+const ASK_EVERY_US: Micros = 500_000;
 
 impl World {
     /// Asks for it, again and again until it is acknowledged.
--- a/fleet-simulator/src/workload/rollouts.rs
+++ b/fleet-simulator/src/workload/rollouts.rs
@@ -2,7 +2,7 @@
 //! ones, and read back what is in force.
 
 use super::Activity;
-use crate::history::{SpecRead, SpecSeen, Us};
+use crate::history::{ConfigurationRead, Micros, RolloutRecord};
 use crate::world::{Caller, Event, NodeKind, World};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Execution;
@@ -28,7 +28,7 @@
 pub(super) struct SpecOperator {
     step: Step,
     serial: u64,
-    asked: Option<Us>,
+    requested_at: Option<Micros>,
     is_broken: bool,
 }
 
@@ -60,22 +60,22 @@
     }
 
     fn begin_spec(&mut self, is_broken: bool) {
-        let number = self.history.specs.len();
-        self.history.specs.push(SpecSeen {
+        let number = self.history.rollouts.len();
+        self.history.rollouts.push(RolloutRecord {
             version: None,
             ceiling: self.workload.settings.waiting_ceiling,
             model: format!("only-{number}"),
             refused: false,
-            asked: None,
+            requested_at: None,
             acknowledged: None,
         });
-        let operator = SpecOperator { step: Step::Look, serial: 0, asked: None, is_broken };
+        let operator = SpecOperator { step: Step::Look, serial: 0, requested_at: None, is_broken };
         self.workload.specs.push(operator);
         self.after(0, Event::Activity(Activity::Spec(number)));
     }
 
     fn bundle(&self, spec: usize) -> String {
-        let model = &self.history.specs[spec].model;
+        let model = &self.history.rollouts[spec].model;
         let pool = if self.workload.specs[spec].is_broken { "no such pool" } else { "main" };
         self.bundle_of(model, pool, &[]).to_string()
     }
@@ -122,16 +122,16 @@
         }
         self.after(300_000, Event::Activity(Activity::Spec(spec)));
         let operator = &self.workload.specs[spec];
-        if operator.asked.is_some_and(|asked| self.time - asked < 6_000_000) {
+        if operator.requested_at.is_some_and(|requested_at| self.time - requested_at < 6_000_000) {
             return;
         }
-        if operator.asked.is_some() && matches!(operator.step, Step::Submit(_)) {
+        if operator.requested_at.is_some() && matches!(operator.step, Step::Submit(_)) {
             // Nobody knows what became of it; it is never signed, so it must never take effect.
             self.give_spec_up(spec);
             return;
         }
         let Some(control) = self.draw_node(NodeKind::Control) else { return };
-        let version = ConfigurationVersion(self.history.specs[spec].version.unwrap_or(0));
+        let version = ConfigurationVersion(self.history.rollouts[spec].version.unwrap_or(0));
         let step = self.workload.specs[spec].step;
         let request = match step {
             Step::Look => OperatorRequest::Query(Query::ListConfigurations),
@@ -145,7 +145,7 @@
             }
             Step::RollOut => {
                 let time = self.time;
-                self.history.specs[spec].asked.get_or_insert(time);
+                self.history.rollouts[spec].requested_at.get_or_insert(time);
                 OperatorRequest::Command(Command::RollOut { version })
             }
             Step::Over => return,
@@ -153,13 +153,13 @@
         let time = self.time;
         let operator = &mut self.workload.specs[spec];
         operator.serial += 1;
-        operator.asked = Some(time);
+        operator.requested_at = Some(time);
         let doing = Activity::SpecCall(spec, operator.serial, step);
         self.call_control(control, request, Caller::Activity(doing));
     }
 
     fn give_spec_up(&mut self, spec: usize) {
-        self.history.specs[spec].refused = true;
+        self.history.rollouts[spec].refused = true;
         self.workload.specs[spec].step = Step::Over;
     }
 
@@ -174,7 +174,7 @@
         if operator.serial != serial || operator.step != step {
             return;
         }
-        operator.asked = None;
+        operator.requested_at = None;
         let text = match outcome {
             OperatorOutcome::Done(text) => text,
             OperatorOutcome::Refused(error) => {
@@ -198,12 +198,12 @@
                 Step::Submit(newest)
             }
             Step::Submit(_) => {
-                self.history.specs[spec].version = shown["version"].as_u64();
+                self.history.rollouts[spec].version = shown["version"].as_u64();
                 Step::Sign
             }
             Step::Sign => Step::RollOut,
             Step::RollOut => {
-                self.history.specs[spec].acknowledged = Some(time);
+                self.history.rollouts[spec].acknowledged = Some(time);
                 Step::Over
             }
             Step::Over => Step::Over,
@@ -224,11 +224,11 @@
         }
     }
 
-    pub(super) fn spec_read(&mut self, asked: Us, outcome: &OperatorOutcome) {
+    pub(super) fn spec_read(&mut self, requested_at: Micros, outcome: &OperatorOutcome) {
         if let OperatorOutcome::Done(text) = outcome {
             let shown: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
             if let Some(version) = shown["version"].as_u64() {
-                self.history.spec_reads.push(SpecRead { asked, version });
+                self.history.configuration_reads.push(ConfigurationRead { requested_at, version });
             }
         }
     }
--- a/fleet-simulator/src/world/mod.rs
+++ b/fleet-simulator/src/world/mod.rs
@@ -6,7 +6,7 @@
 mod nodes;
 mod sessions;
 
-use crate::history::{History, Us};
+use crate::history::{History, Micros};
 use rand::{Rng as _, SeedableRng as _};
 
 pub use disk::Disk;
@@ -62,9 +62,9 @@
 /// The world.
 pub struct World {
     /// The present moment.
-    pub time: Us,
+    pub time: Micros,
     pub(crate) rng: rand::rngs::StdRng,
-    events: std::collections::BTreeMap<(Us, u64), Event>,
+    events: std::collections::BTreeMap<(Micros, u64), Event>,
     last_event: u64,
     /// The network.
     pub network: Network,
@@ -188,17 +188,17 @@
         self.rng.random_range(range)
     }
 
-    pub(crate) fn at(&mut self, time: Us, event: Event) {
+    pub(crate) fn at(&mut self, time: Micros, event: Event) {
         self.last_event += 1;
         self.events.insert((time.max(self.time), self.last_event), event);
     }
 
-    pub(crate) fn after(&mut self, us: Us, event: Event) {
+    pub(crate) fn after(&mut self, us: Micros, event: Event) {
         self.at(self.time + us, event);
     }
 
     /// Lets everything happen up to a moment.
-    pub fn run_until(&mut self, until: Us) {
+    pub fn run_until(&mut self, until: Micros) {
         while let Some(entry) = self.events.first_entry() {
             let (time, _) = *entry.key();
             if time > until {
--- a/fleet-simulator/src/world/nodes/clocks.rs
+++ b/fleet-simulator/src/world/nodes/clocks.rs
@@ -1,7 +1,7 @@
 //! Clocks of processes: each runs at its own rate.
 
 use super::NodeIndex;
-use crate::history::Us;
+use crate::history::Micros;
 use crate::world::World;
 use topazyard_types::MonotonicMs;
 
@@ -11,10 +11,10 @@
         MonotonicMs(86_400_000 + ran / 1_000)
     }
 
-    fn clock_us(&self, node: NodeIndex) -> Us {
+    fn clock_us(&self, node: NodeIndex) -> Micros {
         let node = &self.nodes[node.0];
         let (at, shown) = node.clock_at;
-        shown + ((self.time - at) as i64 * (1_000_000 + node.rate_ppm) / 1_000_000) as Us
+        shown + ((self.time - at) as i64 * (1_000_000 + node.rate_ppm) / 1_000_000) as Micros
     }
 
     /// From now on its clock runs so much faster than right, in millionths.
@@ -26,7 +26,7 @@
     }
 
     /// A relay's moment so many microseconds ahead, on its own clock.
-    pub(crate) fn relay_moment(&self, index: NodeIndex, ahead: Us) -> MonotonicMs {
+    pub(crate) fn relay_moment(&self, index: NodeIndex, ahead: Micros) -> MonotonicMs {
         MonotonicMs(self.node_clock(index).0 + ahead / 1_000)
     }
 
--- a/fleet-simulator/src/world/nodes/mod.rs
+++ b/fleet-simulator/src/world/nodes/mod.rs
@@ -6,7 +6,7 @@
 mod steps;
 
 use super::{Caller, Disk, Event, InjectedBug, World};
-use crate::history::{Struck, StruckSeen, Us};
+use crate::history::{Impairment, ImpairmentKind, Micros};
 use topazyard_control::ControlMachine;
 use topazyard_edge_agent::AgentMachine;
 use topazyard_relay::RelayMachine;
@@ -70,12 +70,12 @@
     pub(crate) id: NodeId,
     /// Rises with each start.
     pub(crate) life: u64,
-    pub(crate) frozen_until: Option<Us>,
+    pub(crate) frozen_until: Option<Micros>,
     /// What its clock showed at some moment, and how much faster than right it runs since, in
     /// millionths.
-    clock_at: (Us, Us),
+    clock_at: (Micros, Micros),
     rate_ppm: i64,
-    stood_still: Us,
+    stood_still: Micros,
     last_call: u64,
     calls: std::collections::BTreeMap<CallId, Caller>,
 }
@@ -238,7 +238,7 @@
     pub fn stop(&mut self, index: NodeIndex, power: bool) {
         let more = self.draw(0..4) as usize;
         if self.nodes[index.0].is_running() {
-            self.strike_for(index, Struck::Off);
+            self.strike_for(index, ImpairmentKind::Off);
         }
         let node = &mut self.nodes[index.0];
         node.body = Body::Off;
@@ -253,11 +253,11 @@
     }
 
     /// Freezes a process: nothing of it happens until it wakes.
-    pub fn freeze(&mut self, index: NodeIndex, us: Us) {
+    pub fn freeze(&mut self, index: NodeIndex, us: Micros) {
         let until = self.time + us;
         self.nodes[index.0].frozen_until = Some(until);
-        self.strike_for(index, Struck::Frozen);
-        if let Some(struck) = self.history.struck.last_mut() {
+        self.strike_for(index, ImpairmentKind::Frozen);
+        if let Some(struck) = self.history.impairments.last_mut() {
             struck.until = Some(until);
         }
         if self.injected_bug == Some(InjectedBug::StoppedClock) {
@@ -266,16 +266,16 @@
     }
 
     /// Notes that a process's machine is struck from now on.
-    pub(crate) fn strike_for(&mut self, index: NodeIndex, by: Struck) {
+    pub(crate) fn strike_for(&mut self, index: NodeIndex, kind: ImpairmentKind) {
         let node = &self.nodes[index.0];
         let has_disk = matches!(node.kind, NodeKind::Control | NodeKind::Storage);
         let (name, from) = (node.name.clone(), self.time);
-        self.history.struck.push(StruckSeen { name, by, has_disk, from, until: None });
+        self.history.impairments.push(Impairment { name, kind, has_disk, from, until: None });
     }
 
     /// Notes that all that were struck so are well again.
-    pub(crate) fn mend(&mut self, by: Struck) {
-        self.mend_where(|struck| struck.by == by);
+    pub(crate) fn mend(&mut self, kind: ImpairmentKind) {
+        self.mend_where(|struck| struck.kind == kind);
     }
 
     /// Takes a machine away that is not missed, as others have what it had.
@@ -293,11 +293,11 @@
 
     /// Notes that the machine of that name is no longer missed.
     pub(crate) fn mend_off(&mut self, name: &str) {
-        self.mend_where(|struck| struck.by == Struck::Off && struck.name == name);
+        self.mend_where(|struck| struck.kind == ImpairmentKind::Off && struck.name == name);
     }
 
-    fn mend_where(&mut self, is_mended: impl Fn(&StruckSeen) -> bool) {
-        let open = self.history.struck.iter_mut().filter(|struck| struck.until.is_none());
+    fn mend_where(&mut self, is_mended: impl Fn(&Impairment) -> bool) {
+        let open = self.history.impairments.iter_mut().filter(|struck| struck.until.is_none());
         for struck in open.filter(|struck| is_mended(struck)) {
             struck.until = Some(self.time);
         }
--- a/fleet-simulator/src/world/sessions.rs
+++ b/fleet-simulator/src/world/sessions.rs
@@ -3,7 +3,7 @@
 
 use super::engines::{EngineEvent, RunFor};
 use super::{Caller, Event, InjectedBug, NodeIndex, World};
-use crate::history::{Piece, PromptEnd, Us};
+use crate::history::{Micros, Piece, PromptEnd};
 use topazyard_relay::machine::{EngineOutcome, Prompt, PromptId, Target};
 use topazyard_relay::prompt::{Failure, FailureAction, RequestStateMachine, State};
 use topazyard_relay::{RelayCall, RelayResponse};
@@ -25,7 +25,7 @@
     pub(crate) tries: u32,
     pub(crate) run: Option<usize>,
     got: u32,
-    sent_at: Us,
+    sent_at: Micros,
     is_over: bool,
 }
 
@@ -120,12 +120,13 @@
         self.client_sees(prompt, self.time + way, end);
     }
 
-    fn client_sees(&mut self, prompt: usize, at: Us, end: PromptEnd) {
+    fn client_sees(&mut self, prompt: usize, at: Micros, end: PromptEnd) {
         let seen = &mut self.history.prompts[prompt];
         if seen.end.is_none() {
             let gave_up = seen.sent + seen.wait + 1_500_000;
             // A client that waited far beyond its time has hung up.
-            seen.end = Some(if at > gave_up { (gave_up, PromptEnd::Broken) } else { (at, end) });
+            seen.end =
+                Some(if at > gave_up { (gave_up, PromptEnd::ConnectionLost) } else { (at, end) });
         }
     }
 
@@ -135,8 +136,8 @@
             ran = Execution::NotRun;
         }
         let mute = self.injected_bug == Some(InjectedBug::OmitRetryAfter);
-        let says_when = error.code.retry_after_s().is_some() && !mute;
-        let end = PromptEnd::Refused { status: error.code.status(), ran, says_when };
+        let has_retry_after = error.code.retry_after_s().is_some() && !mute;
+        let end = PromptEnd::Refused { status: error.code.status(), ran, has_retry_after };
         self.end_session(at, engine_outcome, end);
     }
 
@@ -195,7 +196,7 @@
         self.after(timeout.0 * 1_000, Event::Session(at, SessionEvent::HeadLate(tries)));
     }
 
-    fn way_to_engine(&mut self, late: InjectedBug) -> Us {
+    fn way_to_engine(&mut self, late: InjectedBug) -> Micros {
         let late = if self.injected_bug == Some(late) { 7_000_000 } else { 0 };
         late + self.way()
     }
@@ -242,7 +243,7 @@
             SessionEvent::Broken(at_try) if at_try == tries => {
                 let sent = matches!(state, State::Dispatched | State::Relaying);
                 if sent && self.injected_bug == Some(InjectedBug::InterruptedLooksComplete) {
-                    self.end_session(at, EngineOutcome::Failed, PromptEnd::Whole);
+                    self.end_session(at, EngineOutcome::Failed, PromptEnd::Complete);
                 } else if sent {
                     self.failed(at, Failure::ConnectionLost);
                 }
@@ -268,7 +269,7 @@
         self.history.prompts[prompt].pieces.push(piece);
         if piece.index + 1 == piece.of {
             self.sessions[at].state_machine.complete();
-            self.end_session(at, EngineOutcome::Completed(took), PromptEnd::Whole);
+            self.end_session(at, EngineOutcome::Completed(took), PromptEnd::Complete);
         }
     }
 
@@ -287,7 +288,7 @@
             }
             FailureAction::Respond(error) => self.answer_error(at, EngineOutcome::Failed, &error),
             FailureAction::CloseConnection => {
-                self.end_session(at, EngineOutcome::Failed, PromptEnd::Broken)
+                self.end_session(at, EngineOutcome::Failed, PromptEnd::ConnectionLost)
             }
         }
     }
@@ -302,7 +303,7 @@
                 if let Some(run) = run {
                     self.close_run(run);
                 }
-                self.client_sees(prompt, self.time + 1_000, PromptEnd::Broken);
+                self.client_sees(prompt, self.time + 1_000, PromptEnd::ConnectionLost);
             }
         }
         for at in 0..self.item_runs.len() {
--- a/fleet-simulator/tests/lines.rs
+++ b/fleet-simulator/tests/lines.rs
@@ -19,7 +19,7 @@
         report.violations,
     );
     // A run in which nothing was served would hold every line and prove nothing.
-    assert!(report.figures.whole > 300, "{} {}", deployment.name, scenario.name());
+    assert!(report.figures.complete > 300, "{} {}", deployment.name, scenario.name());
 }
 
 /// Both seeds of a scenario at the deployments that bear the loss of so many machines.
