--- a/fleet-simulator/src/check/engines.rs
+++ b/fleet-simulator/src/check/engines.rs
@@ -1,13 +1,13 @@
 //! Engines: nothing altered, nothing unmapped, nothing after leaving, never too much at once.
 
-use super::{Bounds, Figures, Line, Violation, crossed};
+use super::{Bounds, Figures, Line, Violation, add_violation};
 use crate::history::{History, ImpairmentKind, Micros};
 
 /// How long after a list was acknowledged an engine that it doesn't list may still get work.
-const LEAVING_US: Micros = 3_000_000;
+const REMOVAL_DELAY_US: Micros = 3_000_000;
 
 /// How long work that a relay sent may run on after it is well again.
-const RUNS_ON_US: Micros = 10_000_000;
+const RUN_DRAIN_US: Micros = 10_000_000;
 
 pub(super) fn check(
     history: &History,
@@ -18,25 +18,24 @@
     for (at, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else {
             let text = format!("run {at} at {} is of a body that nobody sent", run.engine);
-            crossed(violations, Line::Altered, text);
+            add_violation(violations, Line::Altered, text);
             continue;
         };
         if history.works[work].model == "unmapped" {
             let text = format!("run {at} is of work {work}, whose model no spec ever mapped");
-            crossed(violations, Line::Unmapped, text);
+            add_violation(violations, Line::Unmapped, text);
         }
         // The last list that certainly was taken long enough before, unless a later one that
         // may have been taken lists the engine again.
-        let due = history
-            .engine_lists
-            .iter()
-            .rposition(|list| list.acknowledged.is_some_and(|at| at + LEAVING_US < run.began));
+        let due = history.engine_lists.iter().rposition(|list| {
+            list.acknowledged.is_some_and(|at| at + REMOVAL_DELAY_US < run.began)
+        });
         if let Some(due) = due {
             let later = &history.engine_lists[due..];
-            let maybe = later.iter().filter(|list| list.sent < run.began);
-            if maybe.clone().all(|list| !list.ready.contains(&run.engine)) {
+            let candidates = later.iter().filter(|list| list.sent < run.began);
+            if candidates.clone().all(|list| !list.ready.contains(&run.engine)) {
                 let text = format!("run {at} began at {} long after it was listed", run.engine);
-                crossed(violations, Line::EngineLeaving, text);
+                add_violation(violations, Line::EngineLeaving, text);
             }
         }
     }
@@ -47,20 +46,20 @@
         changes.push((run.ended.unwrap_or(Micros::MAX), -cost));
     }
     changes.sort_unstable();
-    let mut now = 0;
-    let mut most_unexcused = 0;
+    let mut in_flight = 0;
+    let mut max_unexcused = 0;
     for (at, change) in changes {
-        now += change;
-        let tokens = now.max(0) as u64;
+        in_flight += change;
+        let tokens = in_flight.max(0) as u64;
         figures.max_tokens = figures.max_tokens.max(tokens);
         if !is_excused(history, at) {
-            most_unexcused = most_unexcused.max(tokens);
+            max_unexcused = max_unexcused.max(tokens);
         }
     }
     let limit = bounds.limit_tokens;
-    if most_unexcused > limit || figures.max_tokens > limit * 3 / 2 {
-        let text = format!("{most_unexcused} to {} tokens, limit {limit}", figures.max_tokens);
-        crossed(violations, Line::Budget, text);
+    if max_unexcused > limit || figures.max_tokens > limit * 3 / 2 {
+        let text = format!("{max_unexcused} to {} tokens, limit {limit}", figures.max_tokens);
+        add_violation(violations, Line::Budget, text);
     }
 }
 
@@ -70,6 +69,6 @@
     history.impairments.iter().any(|impairment| {
         let may_run = matches!(impairment.kind, ImpairmentKind::Frozen | ImpairmentKind::Cut)
             && !impairment.has_disk;
-        may_run && (impairment.from..impairment.ends_at() + RUNS_ON_US).contains(&at)
+        may_run && (impairment.from..impairment.ends_at() + RUN_DRAIN_US).contains(&at)
     })
 }
--- a/fleet-simulator/src/check/mod.rs
+++ b/fleet-simulator/src/check/mod.rs
@@ -2,12 +2,12 @@
 //! never happen.
 
 mod batches;
-mod configurations;
 mod engines;
 pub mod invariants;
+mod orders;
 mod prompts;
+mod rollouts;
 mod service;
-mod specs;
 
 use crate::history::{History, Micros};
 
@@ -139,13 +139,13 @@
     let mut figures = Figures::default();
     prompts::check(history, &mut violations);
     engines::check(history, bounds, &mut violations, &mut figures);
-    specs::check(history, &mut violations);
-    configurations::check(history, &mut violations, &mut figures);
+    rollouts::check(history, &mut violations);
+    orders::check(history, &mut violations, &mut figures);
     batches::check(history, bounds, &mut violations, &mut figures);
     service::check(history, bounds, &mut violations, &mut figures);
     (violations, figures)
 }
 
-pub(crate) fn crossed(violations: &mut Vec<Violation>, line: Line, text: String) {
+pub(crate) fn add_violation(violations: &mut Vec<Violation>, line: Line, text: String) {
     violations.push(Violation { line, text });
 }
--- a/fleet-simulator/src/check/configurations.rs
+++ b/fleet-simulator/src/check/orders.rs
@@ -1,8 +1,8 @@
 //! Numbered configurations: one under each number and on each base, none refused that was taken,
 //! none in force that was refused, and what is read back or in force no older than acknowledged.
 
-use super::specs::IN_FORCE_US;
-use super::{Figures, Line, Violation, crossed};
+use super::rollouts::IN_FORCE_DELAY_US;
+use super::{Figures, Line, Violation, add_violation};
 use crate::history::{
     History, InForceRecord, Micros, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord,
 };
@@ -11,47 +11,48 @@
     if history.orders.is_empty() {
         return;
     }
-    let taken: Vec<Option<Micros>> =
-        history.orders.iter().map(|order| first_taken(history, order)).collect();
-    check_races(history, &taken, violations);
+    let applied: Vec<Option<Micros>> =
+        history.orders.iter().map(|order| first_applied(history, order)).collect();
+    check_races(history, &applied, violations);
     for (at, order) in history.orders.iter().enumerate() {
-        check_refusals(history, at, &taken, violations);
-        if !order.is_valid() && taken[at].is_some() {
-            crossed(violations, Line::SpecWrong, format!("invalid order {at} was taken"));
+        check_refusals(history, at, &applied, violations);
+        if !order.is_valid() && applied[at].is_some() {
+            add_violation(violations, Line::SpecWrong, format!("invalid order {at} was taken"));
         }
-        check_answered(history, at, violations);
+        check_outcome_known(history, at, violations);
     }
     check_read_backs(history, violations);
     check_in_force(history, violations);
-    count(history, figures);
+    record_figures(history, figures);
 }
 
 /// When it first showed that an order was taken: acknowledged, read back or in force.
-fn first_taken(history: &History, order: &OrderRecord) -> Option<Micros> {
+fn first_applied(history: &History, order: &OrderRecord) -> Option<Micros> {
     let read = history.read_backs.iter().filter_map(|read| match &read.outcome {
         Some((at, ReadBackOutcome::Given(source))) if *source == order.source => Some(*at),
         _ => None,
     });
-    let in_force = history.in_force.iter().filter(|seen| is_of(seen, order)).map(|seen| seen.from);
+    let in_force =
+        history.in_force.iter().filter(|seen| is_same(seen, order)).map(|seen| seen.from);
     order.first(OrderResponse::Acknowledged).into_iter().chain(read).chain(in_force).min()
 }
 
-fn is_of(seen: &InForceRecord, order: &OrderRecord) -> bool {
+fn is_same(seen: &InForceRecord, order: &OrderRecord) -> bool {
     seen.number == order.number && order.fingerprint == Some(seen.fingerprint)
 }
 
 /// Of all that share a number or a base one is taken at the most.
-fn check_races(history: &History, taken: &[Option<Micros>], violations: &mut Vec<Violation>) {
-    let mut of_number = std::collections::BTreeMap::new();
-    let mut on_base = std::collections::BTreeMap::new();
-    for (at, order) in history.orders.iter().enumerate().filter(|(at, _)| taken[*at].is_some()) {
-        if let Some(other) = of_number.insert(order.number, at) {
+fn check_races(history: &History, applied: &[Option<Micros>], violations: &mut Vec<Violation>) {
+    let mut by_number = std::collections::BTreeMap::new();
+    let mut by_base = std::collections::BTreeMap::new();
+    for (at, order) in history.orders.iter().enumerate().filter(|(at, _)| applied[*at].is_some()) {
+        if let Some(other) = by_number.insert(order.number, at) {
             let text = format!("orders {other} and {at} were both taken as {}", order.number);
-            crossed(violations, Line::OrderRace, text);
+            add_violation(violations, Line::OrderRace, text);
         }
-        if let Some(other) = on_base.insert(order.base, at) {
+        if let Some(other) = by_base.insert(order.base, at) {
             let text = format!("orders {other} and {at} were both taken on {}", order.base);
-            crossed(violations, Line::OrderRace, text);
+            add_violation(violations, Line::OrderRace, text);
         }
     }
 }
@@ -61,26 +62,26 @@
 fn check_refusals(
     history: &History,
     at: usize,
-    taken: &[Option<Micros>],
+    applied: &[Option<Micros>],
     violations: &mut Vec<Violation>,
 ) {
     let order = &history.orders[at];
     let Some(refused) = order.first(OrderResponse::Refused) else { return };
     let name = format!("order {at}, number {} on {},", order.number, order.base);
-    match taken[at] {
-        Some(taken) if taken <= refused => {
-            let ms = (taken / 1_000, refused / 1_000);
+    match applied[at] {
+        Some(applied) if applied <= refused => {
+            let ms = (applied / 1_000, refused / 1_000);
             let text = format!("{name} taken by {} ms was refused at {} ms", ms.0, ms.1);
-            crossed(violations, Line::OrderRefused, text);
+            add_violation(violations, Line::OrderRefused, text);
         }
-        Some(taken) => {
-            let ms = (refused / 1_000, taken / 1_000);
+        Some(applied) => {
+            let ms = (refused / 1_000, applied / 1_000);
             let text = format!("{name} refused at {} ms was in force at {} ms", ms.0, ms.1);
-            crossed(violations, Line::SpecWrong, text);
+            add_violation(violations, Line::SpecWrong, text);
         }
-        None if !has_cause(history, at, taken, refused) => {
+        None if !is_justified(history, at, applied, refused) => {
             let text = format!("{name} was refused at {} ms without a cause", refused / 1_000);
-            crossed(violations, Line::OrderRefused, text);
+            add_violation(violations, Line::OrderRefused, text);
         }
         None => {}
     }
@@ -88,9 +89,9 @@
 
 /// Whether an order may have been refused by then: it is invalid, its base was not surely taken, or
 /// another may have been taken on that base or a later one.
-fn has_cause(history: &History, at: usize, taken: &[Option<Micros>], refused: Micros) -> bool {
+fn is_justified(history: &History, at: usize, applied: &[Option<Micros>], refused: Micros) -> bool {
     let order = &history.orders[at];
-    let base_is_taken = order.base == 0
+    let base_is_applied = order.base == 0
         || history.orders.iter().any(|other| {
             let acknowledged = other.first(OrderResponse::Acknowledged);
             other.number == order.base && acknowledged.is_some_and(|at| at <= order.sent())
@@ -100,13 +101,13 @@
             && other.is_valid()
             && other.base >= order.base
             && other.sent() < refused
-            && (taken[number].is_some() || other.first(OrderResponse::Refused).is_none())
+            && (applied[number].is_some() || other.first(OrderResponse::Refused).is_none())
     });
-    !order.is_valid() || !base_is_taken || overtaken
+    !order.is_valid() || !base_is_applied || overtaken
 }
 
 /// Whoever asks long enough is told what became of an order.
-fn check_answered(history: &History, at: usize, violations: &mut Vec<Violation>) {
+fn check_outcome_known(history: &History, at: usize, violations: &mut Vec<Violation>) {
     let order = &history.orders[at];
     let is_clear = order.attempts.iter().any(|attempt| {
         matches!(attempt.response, Some((_, OrderResponse::Acknowledged | OrderResponse::Refused)))
@@ -114,7 +115,7 @@
     if !is_clear && !order.attempts.is_empty() {
         let times = order.attempts.len();
         let text = format!("order {at} had no clear answer in {times} sendings");
-        crossed(violations, Line::Recovery, text);
+        add_violation(violations, Line::Recovery, text);
     }
 }
 
@@ -137,13 +138,13 @@
                 if number < promised {
                     let (asked, node) = (seen.requested_at / 1_000, &seen.node);
                     let text = format!("{node} read {number} at {asked} ms after {promised}");
-                    crossed(violations, Line::SpecWrong, text);
+                    add_violation(violations, Line::SpecWrong, text);
                 }
             }
             Some(None) if promised > 0 => {
                 let (asked, node) = (seen.requested_at / 1_000, &seen.node);
                 let text = format!("{node} read nothing known at {asked} ms after {promised}");
-                crossed(violations, Line::SpecWrong, text);
+                add_violation(violations, Line::SpecWrong, text);
             }
             Some(None) | None => {}
         }
@@ -167,31 +168,32 @@
     for seen in &history.in_force {
         let (relay, number) = (&seen.relay, seen.number);
         let ms = (seen.from / 1_000, seen.until / 1_000);
-        if !history.orders.iter().any(|order| is_of(seen, order)) {
+        if !history.orders.iter().any(|order| is_same(seen, order)) {
             let text = format!("{relay} had a mixture under {number} from {} ms", ms.0);
-            crossed(violations, Line::FeedMixed, text);
+            add_violation(violations, Line::FeedMixed, text);
         }
         let before = newest.entry((relay, seen.generation)).or_insert(number);
         if number < *before {
             let text = format!("{relay} went back from {before} to {number} at {} ms", ms.0);
-            crossed(violations, Line::FeedBack, text);
+            add_violation(violations, Line::FeedBack, text);
         }
         *before = number.max(*before);
         let overtaken = history.orders.iter().filter(|order| order.number > number);
         let since = overtaken.filter_map(|order| order.first(OrderResponse::Acknowledged)).min();
-        if since.is_some_and(|since| since + IN_FORCE_US < seen.until) {
+        if since.is_some_and(|since| since + IN_FORCE_DELAY_US < seen.until) {
             let text = format!("{relay} had {number} at {} ms, long after a later one", ms.1);
-            crossed(violations, Line::SpecLate, text);
+            add_violation(violations, Line::SpecLate, text);
         }
     }
 }
 
-fn count(history: &History, figures: &mut Figures) {
-    let answered = |answer| history.orders.iter().filter(|o| o.first(answer).is_some()).count();
-    figures.orders = (answered(OrderResponse::Acknowledged), answered(OrderResponse::Refused));
+fn record_figures(history: &History, figures: &mut Figures) {
+    let responded =
+        |response| history.orders.iter().filter(|o| o.first(response).is_some()).count();
+    figures.orders = (responded(OrderResponse::Acknowledged), responded(OrderResponse::Refused));
     let sendings = history.orders.iter().map(|order| order.attempts.len());
     figures.max_sendings = sendings.max().unwrap_or(0);
-    let told = history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
-    let given = told.filter(|(_, read)| *read != ReadBackOutcome::Unclear).count();
-    figures.read_backs = (given, history.read_backs.len() - given);
+    let outcomes = history.read_backs.iter().filter_map(|read| read.outcome.as_ref());
+    let clear = outcomes.filter(|(_, read)| *read != ReadBackOutcome::Unclear).count();
+    figures.read_backs = (clear, history.read_backs.len() - clear);
 }
--- a/fleet-simulator/src/check/prompts.rs
+++ b/fleet-simulator/src/check/prompts.rs
@@ -1,38 +1,39 @@
 //! Prompts: at most once, whole, their own, and answered at once when given up.
 
-use super::{Line, Violation, crossed};
+use super::{Line, Violation, add_violation};
 use crate::history::{History, PromptEnd, PromptRecord};
 use topazyard_wire::api::Execution;
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>) {
-    let mut runs_of: std::collections::BTreeMap<usize, usize> = std::collections::BTreeMap::new();
+    let mut run_counts: std::collections::BTreeMap<usize, usize> =
+        std::collections::BTreeMap::new();
     for work in history.runs.iter().filter_map(|run| run.work) {
-        *runs_of.entry(work).or_default() += 1;
+        *run_counts.entry(work).or_default() += 1;
     }
-    for (work, runs) in &runs_of {
+    for (work, runs) in &run_counts {
         if *runs > 1 && !history.works[*work].repeatable {
             let text = format!("work {work} may not be repeated and ran {runs} times");
-            crossed(violations, Line::RanTwiceOrRefused, text);
+            add_violation(violations, Line::RanTwiceOrRefused, text);
         }
     }
     for (at, prompt) in history.prompts.iter().enumerate() {
         check_pieces(at, prompt, violations);
         let Some((ended, end)) = &prompt.end else { continue };
         if let PromptEnd::Refused { status, ran, has_retry_after } = end {
-            if *ran == Execution::NotRun && runs_of.contains_key(&prompt.work) {
+            if *ran == Execution::NotRun && run_counts.contains_key(&prompt.work) {
                 let text = format!("prompt {at} was said not to have run and ran");
-                crossed(violations, Line::RanTwiceOrRefused, text);
+                add_violation(violations, Line::RanTwiceOrRefused, text);
             }
             if matches!(status, 429 | 502..=504) && !has_retry_after || *status == 413 {
                 let text = format!("prompt {at} got {status} without when to come back");
-                crossed(violations, Line::Answer, text);
+                add_violation(violations, Line::Answer, text);
             }
             let took_ms = (ended - prompt.sent) / 1_000;
-            let longest_ms = (prompt.wait / 1_000).min(2_000) + 400;
-            let struck = || history.was_impaired(&prompt.relay, prompt.sent, *ended);
-            if *status == 429 && took_ms > longest_ms && !struck() {
+            let max_ms = (prompt.wait / 1_000).min(2_000) + 400;
+            let was_impaired = || history.was_impaired(&prompt.relay, prompt.sent, *ended);
+            if *status == 429 && took_ms > max_ms && !was_impaired() {
                 let text = format!("prompt {at} got its 429 after {took_ms} ms");
-                crossed(violations, Line::Answer, text);
+                add_violation(violations, Line::Answer, text);
             }
         }
     }
@@ -44,19 +45,27 @@
     for (index, piece) in prompt.pieces.iter().enumerate() {
         if piece.work != prompt.work {
             let text = format!("prompt {at} got a piece of work {}", piece.work);
-            crossed(violations, Line::WrongReturn, text);
+            add_violation(violations, Line::WrongReturn, text);
         }
         if piece.index as usize != index || Some(piece.run) != run {
             let text = format!("prompt {at} got piece {} of run {}", piece.index, piece.run);
-            crossed(violations, Line::StreamBroken, text);
+            add_violation(violations, Line::StreamBroken, text);
         }
     }
     if let Some((_, PromptEnd::Complete)) = &prompt.end {
         let all = prompt.pieces.first().map_or(1, |piece| piece.of as usize);
         if prompt.pieces.len() != all {
             let line = if is_stream { Line::StreamBroken } else { Line::WrongReturn };
-            crossed(violations, line, format!("prompt {at} looked whole with pieces missing"));
-            crossed(violations, Line::WrongReturn, format!("prompt {at} looked whole when cut"));
+            add_violation(
+                violations,
+                line,
+                format!("prompt {at} looked whole with pieces missing"),
+            );
+            add_violation(
+                violations,
+                Line::WrongReturn,
+                format!("prompt {at} looked whole when cut"),
+            );
         }
     }
 }
--- a/fleet-simulator/src/history/mod.rs
+++ b/fleet-simulator/src/history/mod.rs
@@ -1,10 +1,10 @@
 //! What was seen from outside. Moments are microseconds of simulated time.
 
-mod configurations;
+mod orders;
 
 use topazyard_wire::api::Execution;
 
-pub use configurations::{
+pub use orders::{
     InForceRecord, OrderAttempt, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord,
 };
 
--- a/fleet-simulator/src/model/action.rs
+++ b/fleet-simulator/src/model/action.rs
@@ -23,7 +23,7 @@
 
 /// A message under way, named so that the name still fits when a run is shortened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Letter {
+pub struct MessageRef {
     /// Who sent it.
     pub from: Party,
     /// Who is to take it.
@@ -34,7 +34,7 @@
     pub nth: usize,
 }
 
-impl std::fmt::Display for Letter {
+impl std::fmt::Display for MessageRef {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} {}->{}", self.label, self.from, self.to)?;
         if self.nth > 0 { write!(f, " #{}", self.nth) } else { Ok(()) }
@@ -51,13 +51,13 @@
     /// So many milliseconds pass, and one node alone ticks.
     TickAlone(u64, usize),
     /// A message arrives, before older ones.
-    Deliver(Letter),
+    Deliver(MessageRef),
     /// A message is lost.
-    Lose(Letter),
+    Lose(MessageRef),
     /// A message arrives later a second time.
-    Double(Letter),
+    Double(MessageRef),
     /// A message stays under way until it is released.
-    Hold(Letter),
+    Hold(MessageRef),
     /// The message held for longest arrives.
     Release,
     /// A process is killed; so many of its writes that were not synced are kept.
@@ -151,10 +151,10 @@
             Self::Next => write!(f, "next"),
             Self::Tick(ms) => write!(f, "{ms} ms pass"),
             Self::TickAlone(ms, node) => write!(f, "{ms} ms pass, only n{node} ticks"),
-            Self::Deliver(letter) => write!(f, "early: {letter}"),
-            Self::Lose(letter) => write!(f, "lost: {letter}"),
-            Self::Double(letter) => write!(f, "doubled: {letter}"),
-            Self::Hold(letter) => write!(f, "held: {letter}"),
+            Self::Deliver(message) => write!(f, "early: {message}"),
+            Self::Lose(message) => write!(f, "lost: {message}"),
+            Self::Double(message) => write!(f, "doubled: {message}"),
+            Self::Hold(message) => write!(f, "held: {message}"),
             Self::Release => write!(f, "released"),
             Self::Kill { node, kept } => write!(f, "n{node} killed, {kept} unsynced writes kept"),
             Self::PowerLoss { kept } => write!(f, "all lose power, unsynced writes kept {kept:?}"),
--- a/fleet-simulator/src/model/fingerprint.rs
+++ b/fleet-simulator/src/model/fingerprint.rs
@@ -5,27 +5,27 @@
 use topazyard_types::MonotonicMs;
 
 /// Moments that are longer ago than every timeout are all alike.
-const LONG_AGO_MS: u64 = 10_000;
-const MOMENT: &str = "MonotonicMs";
+const MAX_AGE_MS: u64 = 10_000;
+const INSTANT_TYPE: &str = "MonotonicMs";
 
 /// Takes the text of a state and hashes it.
 struct HashedText {
     hasher: std::collections::hash_map::DefaultHasher,
     now: MonotonicMs,
-    in_moment: bool,
+    in_instant: bool,
 }
 
 impl std::fmt::Write for HashedText {
     fn write_str(&mut self, text: &str) -> std::fmt::Result {
-        if text == MOMENT {
-            self.in_moment = true;
-        } else if self.in_moment
+        if text == INSTANT_TYPE {
+            self.in_instant = true;
+        } else if self.in_instant
             && let Ok(at) = text.parse::<u64>()
         {
-            self.in_moment = false;
+            self.in_instant = false;
             // What never was is told apart from what was long ago.
-            let ago = if at == 0 { u64::MAX } else { self.now.0.saturating_sub(at) };
-            self.hasher.write_u64(ago.min(LONG_AGO_MS));
+            let age = if at == 0 { u64::MAX } else { self.now.0.saturating_sub(at) };
+            self.hasher.write_u64(age.min(MAX_AGE_MS));
             return Ok(());
         }
         self.hasher.write(text.as_bytes());
@@ -37,7 +37,7 @@
 pub fn hash_of(now: MonotonicMs, states: &[&dyn std::fmt::Debug]) -> u64 {
     use std::fmt::Write as _;
     let hasher = std::collections::hash_map::DefaultHasher::new();
-    let mut text = HashedText { hasher, now, in_moment: false };
+    let mut text = HashedText { hasher, now, in_instant: false };
     for state in states {
         // Taking text never fails.
         let _ = write!(text, "{state:?}|");
--- a/fleet-simulator/src/model/plant.rs
+++ b/fleet-simulator/src/model/injected_fault.rs
@@ -2,36 +2,36 @@
 
 /// A planted fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// A node that restarts has forgotten what it voted and learned as a witness.
     ForgetVotes,
     /// Votes are forgotten likewise, and a primary is told that its backups are in step with it.
-    ForgetVotesAndForgeSteps,
+    ForgetVotesAndForgeInSync,
     /// Writes are said to be synced when they are handed over.
-    SyncedEarly,
+    ReportSyncEarly,
     /// A process that is killed leaves half of a write on its disk.
     TornWrite,
     /// An acknowledged order is told to its operator as refused.
-    RefuseTaken,
+    ReportAppliedAsRefused,
     /// An order that is sent again is told to its operator as refused.
-    RefuseAgain,
+    RefuseResent,
     /// A refused order is told to its operator as taken.
-    TakeRefused,
+    ReportRefusedAsApplied,
     /// A reader is given the first view again in place of the newest.
-    OldNews,
+    StaleSnapshot,
     /// A read is answered with the first source ever read.
-    OldSource,
+    StaleRead,
     /// A primary that nobody hears is told that all its backups confirmed.
     ForgeConfirmations,
     /// Records that are proposed lose their backups on the way.
     DropBackups,
     /// More disks are lost at once than the fleet bears.
-    LoseMoreDisks,
+    ExceedDiskLosses,
 }
 
-impl Plant {
+impl InjectedFault {
     /// Whether nodes that restart have forgotten their votes.
     pub fn forgets_votes(self) -> bool {
-        matches!(self, Self::ForgetVotes | Self::ForgetVotesAndForgeSteps)
+        matches!(self, Self::ForgetVotes | Self::ForgetVotesAndForgeInSync)
     }
 }
--- a/fleet-simulator/src/model/judge.rs
+++ b/fleet-simulator/src/model/invariants.rs
@@ -58,29 +58,29 @@
 struct Acknowledged {
     order: usize,
     /// The newest epoch in which a node had served by then.
-    by: Epoch,
+    served_epoch: Epoch,
 }
 
 /// Remembers what was told, and compares.
 #[derive(Debug, Clone, Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     orders: Vec<Arc<Order>>,
     records: BTreeMap<Epoch, EpochRecord>,
     served: BTreeMap<Epoch, NodeId>,
     acknowledged: BTreeMap<ConfigurationVersion, Acknowledged>,
     refused: BTreeSet<usize>,
     /// Orders known to be in force at some time, by version and by base.
-    taken: BTreeMap<ConfigurationVersion, usize>,
-    taken_bases: BTreeMap<ConfigurationVersion, usize>,
-    watched: Option<Invariant>,
+    applied: BTreeMap<ConfigurationVersion, usize>,
+    applied_bases: BTreeMap<ConfigurationVersion, usize>,
+    only_invariant: Option<Invariant>,
     losses: usize,
     violation: Option<Violation>,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// Looks at one invariant alone, or at all, of a fleet that may lose so many disks.
-    pub fn watching(watched: Option<Invariant>, losses: u16) -> Self {
-        Self { watched, losses: usize::from(losses), ..Self::default() }
+    pub fn new(only_invariant: Option<Invariant>, losses: u16) -> Self {
+        Self { only_invariant, losses: usize::from(losses), ..Self::default() }
     }
 
     /// The first violation.
@@ -89,8 +89,8 @@
     }
 
     /// Notes a violation, if it is the first.
-    pub fn cross(&mut self, invariant: Invariant, text: String) {
-        if self.watched.is_none_or(|watched| watched == invariant) {
+    pub fn report(&mut self, invariant: Invariant, text: String) {
+        if self.only_invariant.is_none_or(|only_invariant| only_invariant == invariant) {
             self.violation.get_or_insert(Violation { invariant, text });
         }
     }
@@ -117,146 +117,163 @@
     }
 
     /// The newest epoch in which a node served.
-    fn newest_served(&self) -> Epoch {
+    fn newest_served_epoch(&self) -> Epoch {
         self.served.last_key_value().map(|(epoch, _)| *epoch).unwrap_or_default()
     }
 
     /// Looks at a node after a step of it, before which it was at a place, serving or not.
-    pub fn see_node(&mut self, id: NodeId, machine: &ControlMachine, before: (LogPosition, bool)) {
+    pub fn check_node(
+        &mut self,
+        id: NodeId,
+        machine: &ControlMachine,
+        before: (LogPosition, bool),
+    ) {
         let Some(record) = machine.record() else { return };
-        self.see_record(record);
+        self.check_record(record);
         if !machine.is_serving() {
             return;
         }
-        self.see_primary(id, record.epoch, machine);
+        self.check_primary(id, record.epoch, machine);
         let (position, served) = before;
         if !served {
-            self.see_beginning(machine, machine.copy().position().sequence != position.sequence);
+            self.record_committed_orders(
+                machine,
+                machine.copy().position().sequence != position.sequence,
+            );
         }
     }
 
     /// All that a primary begins with is committed from now on, but for what the same step added.
-    fn see_beginning(&mut self, machine: &ControlMachine, has_added: bool) {
+    fn record_committed_orders(&mut self, machine: &ControlMachine, step_added_rows: bool) {
         let copy = machine.copy();
-        let added: BTreeSet<&str> = copy.last_changed_keys().filter(|_| has_added).collect();
-        let taken = self.orders.iter().filter(|order| order.is_taken(copy.rows()));
-        let taken =
-            taken.filter(|order| !added.contains(configuration_key(order.version).as_str()));
-        let taken: Vec<usize> = taken.map(|order| order.number).collect();
-        taken.into_iter().for_each(|number| self.take(number));
+        let added: BTreeSet<&str> = copy.last_changed_keys().filter(|_| step_added_rows).collect();
+        let applied = self.orders.iter().filter(|order| order.is_applied(copy.rows()));
+        let applied =
+            applied.filter(|order| !added.contains(configuration_key(order.version).as_str()));
+        let applied: Vec<usize> = applied.map(|order| order.number).collect();
+        applied.into_iter().for_each(|number| self.record_applied(number));
     }
 
-    fn see_record(&mut self, record: &EpochRecord) {
+    fn check_record(&mut self, record: &EpochRecord) {
         if record.backups.len() < self.losses {
             let text = format!("epoch {} has {} backups", record.epoch, record.backups.len());
-            self.cross(Invariant::EnoughCopies, text);
+            self.report(Invariant::EnoughCopies, text);
         }
         match self.records.get(&record.epoch) {
             Some(known) if known != record => {
                 let text = format!("epoch {}: {known:?} and {record:?}", record.epoch);
-                self.cross(Invariant::OneRecord, text);
+                self.report(Invariant::OneRecord, text);
             }
             Some(_) => {}
             None => drop(self.records.insert(record.epoch, record.clone())),
         }
     }
 
-    fn see_primary(&mut self, id: NodeId, epoch: Epoch, machine: &ControlMachine) {
+    fn check_primary(&mut self, id: NodeId, epoch: Epoch, machine: &ControlMachine) {
         let first = *self.served.entry(epoch).or_insert(id);
         if first != id {
             let text = format!("{first} and {id} both served in epoch {epoch}");
-            self.cross(Invariant::OnePrimary, text);
+            self.report(Invariant::OnePrimary, text);
         }
         let rows = machine.copy().rows();
-        self.see_rows("the primary", rows);
-        let in_force = super::order::in_force(rows).unwrap_or_default();
+        self.check_rows("the primary", rows);
+        let in_force = super::order::version_in_force(rows).unwrap_or_default();
         let lost = self.acknowledged.iter().find(|(version, acknowledged)| {
-            let holds = self.orders[acknowledged.order].is_taken(rows);
-            acknowledged.by <= epoch && (!holds || in_force < **version)
+            let holds = self.orders[acknowledged.order].is_applied(rows);
+            acknowledged.served_epoch <= epoch && (!holds || in_force < **version)
         });
         if let Some((version, acknowledged)) = lost {
             let text = format!(
                 "order {} ({version}) was acknowledged by epoch {}; the primary of {epoch} has {in_force} in force",
-                acknowledged.order, acknowledged.by
+                acknowledged.order, acknowledged.served_epoch
             );
-            self.cross(Invariant::Kept, text);
+            self.report(Invariant::Kept, text);
         }
     }
 
     /// Checks that rows are those of one configuration.
-    fn see_rows(&mut self, whose: &str, rows: &BTreeMap<String, bytes::Bytes>) {
-        let Some(version) = super::order::in_force(rows) else { return };
+    fn check_rows(&mut self, holder: &str, rows: &BTreeMap<String, bytes::Bytes>) {
+        let Some(version) = super::order::version_in_force(rows) else { return };
         let mut candidates = self.orders.iter().filter(|order| order.version == version);
         if !candidates.any(|order| order.has_routes(rows)) {
-            let text = format!("{whose} has {version} in force with other routes");
-            self.cross(Invariant::Whole, text);
+            let text = format!("{holder} has {version} in force with other routes");
+            self.report(Invariant::Whole, text);
         }
     }
 
     /// An order is known to be or have been in force.
-    fn take(&mut self, number: usize) {
+    fn record_applied(&mut self, number: usize) {
         let Some(order) = self.orders.get(number).cloned() else { return };
         if self.refused.contains(&number) {
             let text = format!("order {number} ({}) was refused and is in force", order.version);
-            self.cross(Invariant::RefusedStays, text);
+            self.report(Invariant::RefusedStays, text);
         }
-        let same_version = *self.taken.entry(order.version).or_insert(number);
-        let same_base = *self.taken_bases.entry(order.base).or_insert(number);
+        let same_version = *self.applied.entry(order.version).or_insert(number);
+        let same_base = *self.applied_bases.entry(order.base).or_insert(number);
         for other in [same_version, same_base].into_iter().filter(|other| *other != number) {
             let text = format!("orders {other} and {number} ({}) were both taken", order.version);
-            self.cross(Invariant::OneContent, text);
+            self.report(Invariant::OneContent, text);
         }
     }
 
     /// An operator was told that its order is in force.
-    pub fn acknowledge(&mut self, number: usize) {
+    pub fn record_acknowledged(&mut self, number: usize) {
         let Some(order) = self.orders.get(number).cloned() else { return };
-        let by = self.newest_served();
-        self.acknowledged.entry(order.version).or_insert(Acknowledged { order: number, by });
-        self.take(number);
+        let served_epoch = self.newest_served_epoch();
+        self.acknowledged
+            .entry(order.version)
+            .or_insert(Acknowledged { order: number, served_epoch });
+        self.record_applied(number);
     }
 
     /// An operator was told that its order is refused for good.
-    pub fn refuse(&mut self, number: usize) {
+    pub fn record_refused(&mut self, number: usize) {
         self.refused.insert(number);
-        if self.taken.values().any(|taken| *taken == number) {
+        if self.applied.values().any(|applied| *applied == number) {
             let text = format!("order {number} was taken, and refused when it came again");
-            self.cross(Invariant::TakenStays, text);
+            self.report(Invariant::TakenStays, text);
         }
     }
 
     /// Something that was read says that an order is in force; the asking began when the newest
     /// version acknowledged was `since`.
-    pub fn see_read(&mut self, whose: &str, read: Option<usize>, since: ConfigurationVersion) {
+    pub fn check_read(
+        &mut self,
+        holder: &str,
+        read: Option<usize>,
+        acknowledged_before: ConfigurationVersion,
+    ) {
         let version = read.and_then(|number| self.orders.get(number)).map(|order| order.version);
-        if version.unwrap_or_default() < since {
-            let text = format!("{whose} was shown {version:?}; {since} was acknowledged before");
-            self.cross(Invariant::Fresh, text);
+        if version.unwrap_or_default() < acknowledged_before {
+            let text = format!(
+                "{holder} was shown {version:?}; {acknowledged_before} was acknowledged before"
+            );
+            self.report(Invariant::Fresh, text);
         }
         if let Some(number) = read {
-            self.take(number);
+            self.record_applied(number);
         }
     }
 
     /// A reader's rows changed: `before` was the version in force.
-    pub fn see_reader(
+    pub fn check_reader(
         &mut self,
-        whose: &str,
+        holder: &str,
         rows: &BTreeMap<String, bytes::Bytes>,
         before: Option<ConfigurationVersion>,
-        since: ConfigurationVersion,
+        acknowledged_before: ConfigurationVersion,
     ) {
-        let version = super::order::in_force(rows);
+        let version = super::order::version_in_force(rows);
         if version < before {
-            let text = format!("{whose} saw {before:?} and then {version:?}");
-            self.cross(Invariant::NeverBack, text);
+            let text = format!("{holder} saw {before:?} and then {version:?}");
+            self.report(Invariant::NeverBack, text);
         }
-        self.see_rows(whose, rows);
+        self.check_rows(holder, rows);
         let held = self
             .orders
             .iter()
             .find(|order| Some(order.version) == version && order.has_routes(rows));
         let held = held.map(|order| order.number);
-        self.see_read(whose, held, since);
+        self.check_read(holder, held, acknowledged_before);
     }
 }
--- a/fleet-simulator/src/model/mod.rs
+++ b/fleet-simulator/src/model/mod.rs
@@ -6,20 +6,20 @@
 
 pub mod action;
 pub mod fingerprint;
-pub mod judge;
+pub mod injected_fault;
+pub mod invariants;
 pub mod network;
 pub mod node;
 pub mod order;
-pub mod people;
-pub mod plant;
+pub mod participants;
 pub mod search;
 pub mod shrink;
 pub mod walk;
 pub mod world;
 
-pub use action::{Action, Letter, Party};
-pub use judge::{Invariant, Violation};
-pub use plant::Plant;
+pub use action::{Action, MessageRef, Party};
+pub use injected_fault::InjectedFault;
+pub use invariants::{Invariant, Violation};
 pub use world::World;
 
 /// What a modelled fleet is made of.
@@ -32,24 +32,31 @@
     /// Followers of the feed.
     pub readers: usize,
     /// Whether ticks between core nodes arrive at once; else they are messages like all others.
-    pub ticks_at_once: bool,
+    pub instant_ticks: bool,
     /// A fault of the surroundings that an invariant must see.
-    pub plant: Option<Plant>,
+    pub injected_fault: Option<InjectedFault>,
     /// The one invariant that is looked at; all of them if none is named.
-    pub watched: Option<Invariant>,
+    pub only_invariant: Option<Invariant>,
 }
 
 impl Settings {
     /// A fleet of so many control nodes, as many losses as that tolerates, and one reader.
-    pub fn of(nodes: usize) -> Self {
+    pub fn for_nodes(nodes: usize) -> Self {
         let losses = if nodes >= 5 { 2 } else { 1 };
-        Self { nodes, losses, readers: 1, ticks_at_once: true, plant: None, watched: None }
+        Self {
+            nodes,
+            losses,
+            readers: 1,
+            instant_ticks: true,
+            injected_fault: None,
+            only_invariant: None,
+        }
     }
 }
 
 /// Replays actions on a new fleet; gives the world at the end or at the first violation.
 pub fn replay(settings: Settings, actions: &[Action]) -> World {
-    let mut world = World::founded(settings);
+    let mut world = World::bootstrapped(settings);
     for action in actions {
         if world.violation().is_some() {
             break;
@@ -60,8 +67,8 @@
 }
 
 /// The lines that tell a run: each action that took place, and what the nodes noted.
-pub fn tell(settings: Settings, actions: &[Action]) -> Vec<String> {
-    let mut world = World::founded(settings);
+pub fn describe_run(settings: Settings, actions: &[Action]) -> Vec<String> {
+    let mut world = World::bootstrapped(settings);
     world.keep_notes();
     for action in actions {
         if world.violation().is_some() {
--- a/fleet-simulator/src/model/network.rs
+++ b/fleet-simulator/src/model/network.rs
@@ -1,6 +1,6 @@
 //! Messages under way, in the order in which they were sent.
 
-use super::{Letter, Party};
+use super::{MessageRef, Party};
 use topazyard_types::NodeId;
 use topazyard_wire::Message;
 use topazyard_wire::message::control::CoreMessage;
@@ -25,14 +25,14 @@
     /// An operator's call.
     Call {
         /// Which asking.
-        asking: usize,
+        call_index: usize,
         /// What is asked.
         request: OperatorRequest,
     },
     /// The return of one.
-    Answer {
+    Response {
         /// Which asking.
-        asking: usize,
+        call_index: usize,
         /// What came of it.
         outcome: OperatorOutcome,
     },
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 pub struct Envelope {
     /// When it was sent, among all events.
-    pub number: u64,
+    pub event_number: u64,
     /// Who sent it.
     pub from: Party,
     /// Who is to take it.
@@ -53,8 +53,8 @@
 
 impl Envelope {
     /// Whether the letter names a message of this kind between these two.
-    pub fn is_like(&self, letter: &Letter) -> bool {
-        self.from == letter.from && self.to == letter.to && self.label() == letter.label
+    pub fn matches(&self, message: &MessageRef) -> bool {
+        self.from == message.from && self.to == message.to && self.label() == message.label
     }
 
     /// What kind of message it is.
@@ -63,7 +63,7 @@
             Payload::Frame { message, .. } => label_of(message),
             Payload::Call { request: OperatorRequest::Command(_), .. } => "Order",
             Payload::Call { request: OperatorRequest::Query(_), .. } => "Read",
-            Payload::Answer { .. } => "Answer",
+            Payload::Response { .. } => "Answer",
         }
     }
 }
@@ -101,20 +101,20 @@
 }
 
 /// The names of all messages under way, the oldest first.
-pub fn letters(envelopes: &[Envelope]) -> Vec<Letter> {
-    let mut seen: std::collections::BTreeMap<(Party, Party, &'static str), usize> =
+pub fn message_refs(envelopes: &[Envelope]) -> Vec<MessageRef> {
+    let mut counts: std::collections::BTreeMap<(Party, Party, &'static str), usize> =
         std::collections::BTreeMap::new();
-    let named = envelopes.iter().map(|envelope| {
+    let message_refs = envelopes.iter().map(|envelope| {
         let (from, to, label) = (envelope.from, envelope.to, envelope.label());
-        let count = seen.entry((from, to, label)).or_default();
+        let count = counts.entry((from, to, label)).or_default();
         *count += 1;
-        Letter { from, to, label, nth: *count - 1 }
+        MessageRef { from, to, label, nth: *count - 1 }
     });
-    named.collect()
+    message_refs.collect()
 }
 
 /// Where the message that a letter names stands.
-pub fn find(envelopes: &[Envelope], letter: &Letter) -> Option<usize> {
-    let like = envelopes.iter().enumerate().filter(|(_, envelope)| envelope.is_like(letter));
-    like.map(|(at, _)| at).nth(letter.nth)
+pub fn find(envelopes: &[Envelope], message: &MessageRef) -> Option<usize> {
+    let matching = envelopes.iter().enumerate().filter(|(_, envelope)| envelope.matches(message));
+    matching.map(|(at, _)| at).nth(message.nth)
 }
--- a/fleet-simulator/src/model/node.rs
+++ b/fleet-simulator/src/model/node.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone)]
 pub struct Write {
     /// When it was handed over, among all events.
-    pub number: u64,
+    pub event_number: u64,
     /// The machine's mark.
     pub token: WriteToken,
     /// The rows.
@@ -49,7 +49,7 @@
     }
 
     /// The process ends: a transaction holds a run of writes, so the oldest few are kept.
-    pub fn end(&mut self, kept: usize) {
+    pub fn crash(&mut self, kept: usize) {
         for _ in 0..kept {
             self.sync();
         }
@@ -69,9 +69,9 @@
     /// The disk.
     pub disk: Disk,
     /// How often it was started.
-    pub lives: u64,
+    pub starts: u64,
     /// How often another machine took its place.
-    pub moves: u16,
+    pub relocations: u16,
     /// Whether it stands still.
     pub is_frozen: bool,
     /// Whether its disk syncs nothing.
@@ -81,9 +81,9 @@
     /// The number of the last call.
     pub last_call: u64,
     /// Since which event nothing of the other nodes can reach it.
-    pub alone_since: Option<u64>,
+    pub isolated_since: Option<u64>,
     /// The hash of all this, and at which moment, once it was asked for.
-    hashed: std::sync::OnceLock<(MonotonicMs, u64)>,
+    cached_hash: std::sync::OnceLock<(MonotonicMs, u64)>,
 }
 
 impl Node {
@@ -94,42 +94,42 @@
             id: NodeId(0),
             machine: None,
             disk: Disk::default(),
-            lives: 0,
-            moves: 0,
+            starts: 0,
+            relocations: 0,
             is_frozen: false,
             is_stalled: false,
             calls: BTreeMap::new(),
             last_call: 0,
-            alone_since: None,
-            hashed: std::sync::OnceLock::new(),
+            isolated_since: None,
+            cached_hash: std::sync::OnceLock::new(),
         }
     }
 
     /// Changes a node that worlds may share.
-    pub fn change(node: &mut Arc<Self>) -> &mut Self {
+    pub fn make_mut(node: &mut Arc<Self>) -> &mut Self {
         let node = Arc::make_mut(node);
-        node.hashed = std::sync::OnceLock::new();
+        node.cached_hash = std::sync::OnceLock::new();
         node
     }
 
     /// The hash of its state.
     pub fn fingerprint(&self, now: MonotonicMs) -> u64 {
-        let (at, hash) = self.hashed.get_or_init(|| (now, self.hash_at(now)));
+        let (at, hash) = self.cached_hash.get_or_init(|| (now, self.hash_at(now)));
         if *at == now { *hash } else { self.hash_at(now) }
     }
 
     fn hash_at(&self, now: MonotonicMs) -> u64 {
-        let marks = (self.is_frozen, self.is_stalled, self.alone_since.is_some());
+        let flags = (self.is_frozen, self.is_stalled, self.isolated_since.is_some());
         let unsynced: Vec<_> =
             self.disk.unsynced.iter().map(|write| (&write.token, &write.changes)).collect();
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
         self.disk.synced.hash(&mut hasher);
         let synced = hasher.finish();
-        fingerprint::hash_of(now, &[&self.machine, &marks, &self.calls, &unsynced, &synced])
+        fingerprint::hash_of(now, &[&self.machine, &flags, &self.calls, &unsynced, &synced])
     }
 
     /// Whether it can take an input now.
-    pub fn is_awake(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         self.machine.is_some() && !self.is_frozen
     }
 
@@ -139,17 +139,17 @@
     }
 
     /// The process ends.
-    pub fn end(&mut self, kept: usize) {
+    pub fn crash(&mut self, kept: usize) {
         self.machine = None;
-        self.disk.end(kept);
+        self.disk.crash(kept);
         self.is_frozen = false;
         self.is_stalled = false;
         self.calls.clear();
-        self.alone_since = None;
+        self.isolated_since = None;
     }
 }
 
 /// Where the node of that number takes frames after it was moved so often.
-pub fn address_of(number: usize, moves: u16) -> std::net::SocketAddr {
-    ([127, 0, 0, 1], 1_000 + number as u16 + 100 * moves).into()
+pub fn address_of(number: usize, relocations: u16) -> std::net::SocketAddr {
+    ([127, 0, 0, 1], 1_000 + number as u16 + 100 * relocations).into()
 }
--- a/fleet-simulator/src/model/order.rs
+++ b/fleet-simulator/src/model/order.rs
@@ -34,10 +34,11 @@
     /// The order of that number.
     pub fn new(number: usize, base: ConfigurationVersion, version: ConfigurationVersion) -> Self {
         let routes: Vec<_> = (0..ROUTES_EACH).map(|route| route_of(number, route)).collect();
-        let bundle = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
-        let text = bundle.to_string();
-        let read = topazyard_spec::Configuration::read(&text).map(|bundle| bundle.routes);
-        let routes = read
+        let configuration = serde_json::json!({ "pools": [{ "name": "main" }], "routes": routes });
+        let text = configuration.to_string();
+        let parsed =
+            topazyard_spec::Configuration::read(&text).map(|configuration| configuration.routes);
+        let routes = parsed
             .unwrap_or_default()
             .into_iter()
             .map(|route| (route_key(&route.name), topazyard_wire::rows::encode(&route)));
@@ -57,7 +58,7 @@
     }
 
     /// Whether the rows hold it as taken.
-    pub fn is_taken(&self, rows: &BTreeMap<String, bytes::Bytes>) -> bool {
+    pub fn is_applied(&self, rows: &BTreeMap<String, bytes::Bytes>) -> bool {
         let row = rows.get(&configuration_key(self.version));
         let row: Option<ConfigurationRow> =
             row.and_then(|value| topazyard_wire::rows::decode(value));
@@ -66,9 +67,9 @@
 
     /// Whether the route rows are exactly its own.
     pub fn has_routes(&self, rows: &BTreeMap<String, bytes::Bytes>) -> bool {
-        let held = rows.range(ROUTES.to_owned()..);
-        let held = held.take_while(|(key, _)| key.starts_with(ROUTES));
-        held.eq(self.routes.iter())
+        let stored = rows.range(ROUTES.to_owned()..);
+        let stored = stored.take_while(|(key, _)| key.starts_with(ROUTES));
+        stored.eq(self.routes.iter())
     }
 }
 
@@ -84,12 +85,12 @@
 }
 
 /// The number of the order that a source came from.
-pub fn number_of(source: &str) -> Option<usize> {
+pub fn order_number(source: &str) -> Option<usize> {
     source.strip_prefix("order ")?.parse().ok()
 }
 
 /// The version in force by the rows, if one is.
-pub fn in_force(rows: &BTreeMap<String, bytes::Bytes>) -> Option<ConfigurationVersion> {
+pub fn version_in_force(rows: &BTreeMap<String, bytes::Bytes>) -> Option<ConfigurationVersion> {
     let row: InForceRow = topazyard_wire::rows::decode(rows.get(IN_FORCE)?)?;
     Some(row.version)
 }
--- a/fleet-simulator/src/model/people.rs
+++ b/fleet-simulator/src/model/participants.rs
@@ -7,7 +7,7 @@
 
 /// What an operator asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum CallKind {
     /// To take an order.
     Order(usize),
     /// What is in force.
@@ -16,24 +16,24 @@
 
 /// A call of an operator.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking {
+pub struct OperatorCall {
     /// Whose.
     pub operator: usize,
     /// What.
-    pub asked: Asked,
+    pub kind: CallKind,
     /// The newest version acknowledged when it began.
-    pub since: ConfigurationVersion,
+    pub acknowledged_before: ConfigurationVersion,
     /// When it reached the node, among all events.
-    pub arrived: Option<u64>,
+    pub arrived_at_event: Option<u64>,
 }
 
 /// An operator.
 #[derive(Debug, Clone, Default)]
 pub struct Operator {
     /// The newest version that it knows to be in force.
-    pub knows: ConfigurationVersion,
+    pub known_version: ConfigurationVersion,
     /// The order that it has no clear answer to.
-    pub open: Option<Arc<Order>>,
+    pub open_order: Option<Arc<Order>>,
 }
 
 /// A follower of the feed, in one life.
@@ -45,9 +45,10 @@
     pub follower: FeedFollower,
     /// The newest version acknowledged at each moment at which it asked: an asking that was given up
     /// may still be answered, and then confirms what it was asked for.
-    pub since: std::collections::BTreeMap<topazyard_types::MonotonicMs, ConfigurationVersion>,
+    pub acknowledged_before:
+        std::collections::BTreeMap<topazyard_types::MonotonicMs, ConfigurationVersion>,
     /// When its last asking reached each node, among all events.
-    pub arrived: std::collections::BTreeMap<usize, u64>,
+    pub request_arrivals: std::collections::BTreeMap<usize, u64>,
 }
 
 impl Reader {
@@ -56,6 +57,11 @@
         let address = ([127, 0, 0, 1], 3_000 + number as u16).into();
         let boot_id = topazyard_types::BootId((number as u64 + 1) << 40);
         let follower = FeedFollower::new(sources, boot_id);
-        Self { address, follower, since: Default::default(), arrived: Default::default() }
+        Self {
+            address,
+            follower,
+            acknowledged_before: Default::default(),
+            request_arrivals: Default::default(),
+        }
     }
 }
--- a/fleet-simulator/src/model/search.rs
+++ b/fleet-simulator/src/model/search.rs
@@ -18,7 +18,7 @@
 
 /// What a search found.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct SearchResult {
     /// States that differ.
     pub states: usize,
     /// Steps taken.
@@ -28,10 +28,10 @@
     /// The newest epoch that any state reached.
     pub newest_epoch: u64,
     /// A run that crosses an invariant.
-    pub crossed: Option<(Vec<Action>, Violation)>,
+    pub counterexample: Option<(Vec<Action>, Violation)>,
 }
 
-impl Found {
+impl SearchResult {
     fn add(&mut self, other: Self) {
         self.states += other.states;
         self.steps += other.steps;
@@ -40,38 +40,38 @@
         let shorter = |a: &Option<(Vec<Action>, Violation)>, b: &(Vec<Action>, Violation)| {
             a.as_ref().is_none_or(|a| b.0.len() < a.0.len())
         };
-        if let Some(crossed) = other.crossed
-            && shorter(&self.crossed, &crossed)
+        if let Some(counterexample) = other.counterexample
+            && shorter(&self.counterexample, &counterexample)
         {
-            self.crossed = Some(crossed);
+            self.counterexample = Some(counterexample);
         }
     }
 }
 
 /// The runs that a search begins with: who orders where.
-pub fn beginnings(settings: Settings) -> Vec<Vec<Action>> {
-    let replicas = (0..settings.nodes).flat_map(|a| (0..settings.nodes).map(move |b| (a, b)));
+pub fn starting_points(settings: Settings) -> Vec<Vec<Action>> {
+    let pairs = (0..settings.nodes).flat_map(|a| (0..settings.nodes).map(move |b| (a, b)));
     let both = |(first, second)| {
         vec![
             Action::Order { operator: 0, node: first, skip: 0 },
             Action::Order { operator: 1, node: second, skip: 0 },
         ]
     };
-    replicas.map(both).collect()
+    pairs.map(both).collect()
 }
 
 /// Searches from every beginning, so many at a time. Each counts its own states.
-pub fn search(settings: Settings, bounds: Bounds, threads: usize) -> Found {
-    let beginnings = beginnings(settings);
+pub fn search(settings: Settings, bounds: Bounds, threads: usize) -> SearchResult {
+    let starting_points = starting_points(settings);
     let threads = threads.max(1);
-    let mut found = Found::default();
+    let mut found = SearchResult::default();
     std::thread::scope(|scope| {
-        let beginnings = &beginnings;
+        let starting_points = &starting_points;
         let share = |first: usize| {
             move || {
-                let mut found = Found::default();
-                for beginning in beginnings.iter().skip(first).step_by(threads) {
-                    found.add(search_from(settings, bounds, beginning));
+                let mut found = SearchResult::default();
+                for starting_point in starting_points.iter().skip(first).step_by(threads) {
+                    found.add(search_from(settings, bounds, starting_point));
                 }
                 found
             }
@@ -83,15 +83,16 @@
 }
 
 /// Searches from one beginning.
-pub fn search_from(settings: Settings, bounds: Bounds, beginning: &[Action]) -> Found {
-    let mut world = World::founded(settings);
-    for action in beginning {
+pub fn search_from(settings: Settings, bounds: Bounds, starting_point: &[Action]) -> SearchResult {
+    let mut world = World::bootstrapped(settings);
+    for action in starting_point {
         world.apply(action);
     }
-    let trace = beginning.to_vec();
-    let mut search = Search { bounds, seen: HashMap::new(), trace, found: Found::default() };
-    search.go(world, bounds.depth, &mut Vec::new());
-    search.found.states = search.seen.len();
+    let trace = starting_point.to_vec();
+    let mut search =
+        Search { bounds, visited: HashMap::new(), trace, found: SearchResult::default() };
+    search.explore(world, bounds.depth, &mut Vec::new());
+    search.found.states = search.visited.len();
     search.found
 }
 
@@ -99,89 +100,100 @@
 struct Search {
     bounds: Bounds,
     /// The states met, each with the most steps that were left there.
-    seen: HashMap<u64, usize>,
+    visited: HashMap<u64, usize>,
     trace: Vec<Action>,
-    found: Found,
+    found: SearchResult,
 }
 
 impl Search {
     /// Goes on by itself to the end, and into each deviation on the way.
-    fn go(&mut self, mut world: World, mut left: usize, spent: &mut Vec<&'static str>) {
+    fn explore(
+        &mut self,
+        mut world: World,
+        mut steps_left: usize,
+        used_kinds: &mut Vec<&'static str>,
+    ) {
         let before = self.trace.len();
-        while self.is_worth_going(&world, left, spent) {
-            for action in deviations(&world, spent, self.bounds.deviations) {
+        while self.should_explore(&world, steps_left, used_kinds) {
+            for action in deviations(&world, used_kinds, self.bounds.deviations) {
                 let mut other = world.clone();
                 if other.apply(&action) {
-                    self.turn_off(other, action, left - 1, spent);
+                    self.branch(other, action, steps_left - 1, used_kinds);
                 }
             }
             world.apply(&Action::Next);
             self.trace.push(Action::Next);
             self.found.steps += 1;
-            left -= 1;
+            steps_left -= 1;
         }
         self.trace.truncate(before);
     }
 
-    fn turn_off(
+    fn branch(
         &mut self,
         world: World,
         action: Action,
-        left: usize,
-        spent: &mut Vec<&'static str>,
+        steps_left: usize,
+        used_kinds: &mut Vec<&'static str>,
     ) {
         let kind = action.kind();
         self.found.steps += 1;
         self.found.kinds.extend(kind);
-        spent.extend(kind);
+        used_kinds.extend(kind);
         self.trace.push(action);
-        self.go(world, left, spent);
+        self.explore(world, steps_left, used_kinds);
         self.trace.pop();
         if kind.is_some() {
-            spent.pop();
+            used_kinds.pop();
         }
     }
 
     /// Whether a state is new, has steps left and crosses nothing.
-    fn is_worth_going(&mut self, world: &World, left: usize, spent: &[&'static str]) -> bool {
+    fn should_explore(
+        &mut self,
+        world: &World,
+        steps_left: usize,
+        used_kinds: &[&'static str],
+    ) -> bool {
         if let Some(violation) = world.violation() {
-            let known = self.found.crossed.as_ref().map_or(usize::MAX, |(trace, _)| trace.len());
+            let known =
+                self.found.counterexample.as_ref().map_or(usize::MAX, |(trace, _)| trace.len());
             if self.trace.len() < known {
-                self.found.crossed = Some((self.trace.clone(), violation.clone()));
+                self.found.counterexample = Some((self.trace.clone(), violation.clone()));
             }
             return false;
         }
-        if left == 0 {
+        if steps_left == 0 {
             return false;
         }
         self.found.newest_epoch = self.found.newest_epoch.max(world.newest_epoch());
-        let mut kinds = spent.to_vec();
+        let mut kinds = used_kinds.to_vec();
         kinds.sort_unstable();
         let state = super::fingerprint::hash_of(world.now(), &[&world.fingerprint(), &kinds]);
-        let known = self.seen.entry(state).or_insert(0);
-        if *known >= left {
+        let known = self.visited.entry(state).or_insert(0);
+        if *known >= steps_left {
             return false;
         }
-        *known = left;
+        *known = steps_left;
         true
     }
 }
 
 /// All that may happen in a state besides what happens by itself.
-fn deviations(world: &World, spent: &[&'static str], most: usize) -> Vec<Action> {
-    let mut actions = mends(world);
-    if spent.len() < most {
-        actions.extend(on_messages(world));
-        actions.extend(troubles(world));
-        actions.extend(askings(world));
+fn deviations(world: &World, used_kinds: &[&'static str], max_deviations: usize) -> Vec<Action> {
+    let mut actions = repairs(world);
+    if used_kinds.len() < max_deviations {
+        actions.extend(message_deviations(world));
+        actions.extend(faults(world));
+        actions.extend(operator_calls(world));
     }
-    actions.retain(|action| action.kind().is_none_or(|kind| !spent.contains(&kind)));
+    actions.retain(|action| action.kind().is_none_or(|kind| !used_kinds.contains(&kind)));
     actions
 }
 
 /// What mends; only while nothing else is under way, as in between it makes no difference that a
 /// late message does not make.
-fn mends(world: &World) -> Vec<Action> {
+fn repairs(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
     if world.held() > 0 {
         actions.push(Action::Release);
@@ -206,12 +218,12 @@
     actions
 }
 
-fn on_messages(world: &World) -> Vec<Action> {
-    let letters = network::letters(world.envelopes());
+fn message_deviations(world: &World) -> Vec<Action> {
+    let message_refs = network::message_refs(world.envelopes());
     let mut actions: Vec<Action> =
-        letters.iter().skip(1).map(|letter| Action::Deliver(*letter)).collect();
+        message_refs.iter().skip(1).map(|message| Action::Deliver(*message)).collect();
     // The oldest is the one that arrives next: each message is that at some time.
-    if let Some(oldest) = letters.first() {
+    if let Some(oldest) = message_refs.first() {
         actions.push(Action::Lose(*oldest));
         actions.push(Action::Double(*oldest));
         actions.push(Action::Hold(*oldest));
@@ -219,7 +231,7 @@
     actions
 }
 
-fn troubles(world: &World) -> Vec<Action> {
+fn faults(world: &World) -> Vec<Action> {
     let nodes = world.nodes();
     let mut actions = Vec::new();
     for (number, node) in nodes.iter().enumerate().filter(|(_, node)| node.machine.is_some()) {
@@ -245,7 +257,7 @@
     actions
 }
 
-fn askings(world: &World) -> Vec<Action> {
+fn operator_calls(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
     // An operator turns to another node after silence, not in the middle of things.
     if !world.is_quiet() {
@@ -253,11 +265,11 @@
     }
     for operator in 0..OPERATORS {
         for node in 0..world.nodes().len() {
-            let again = match &world.operators()[operator].open {
+            let order = match &world.operators()[operator].open_order {
                 Some(_) => Action::Resend { operator, node },
                 None => Action::Order { operator, node, skip: 0 },
             };
-            actions.extend([again, Action::Read { operator, node }]);
+            actions.extend([order, Action::Read { operator, node }]);
         }
     }
     actions
--- a/fleet-simulator/src/model/shrink.rs
+++ b/fleet-simulator/src/model/shrink.rs
@@ -3,7 +3,7 @@
 use super::{Action, Invariant, Settings, replay};
 
 /// The most replays of one shortening.
-const MOST_REPLAYS: usize = 4_000;
+const MAX_REPLAYS: usize = 4_000;
 
 /// A run that is being shortened.
 struct Shrinking {
@@ -13,27 +13,27 @@
 }
 
 impl Shrinking {
-    fn still_crosses(&mut self, actions: &[Action]) -> bool {
+    fn reproduces(&mut self, actions: &[Action]) -> bool {
         self.replays += 1;
         let world = replay(self.settings, actions);
         world.violation().is_some_and(|violation| violation.invariant == self.invariant)
     }
 
     /// Takes ever smaller pieces out, as long as the invariant is still crossed.
-    fn without_pieces(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
-        let mut piece = actions.len().div_ceil(2);
-        while piece > 0 {
-            let mut at = 0;
-            while at < actions.len() && self.replays < MOST_REPLAYS {
-                let end = (at + piece).min(actions.len());
-                let shorter = [&actions[..at], &actions[end..]].concat();
-                if self.still_crosses(&shorter) {
+    fn remove_chunks(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
+        let mut chunk = actions.len().div_ceil(2);
+        while chunk > 0 {
+            let mut start = 0;
+            while start < actions.len() && self.replays < MAX_REPLAYS {
+                let end = (start + chunk).min(actions.len());
+                let shorter = [&actions[..start], &actions[end..]].concat();
+                if self.reproduces(&shorter) {
                     actions = shorter;
                 } else {
-                    at = end;
+                    start = end;
                 }
             }
-            piece /= 2;
+            chunk /= 2;
         }
         actions
     }
@@ -45,8 +45,8 @@
     let mut actions = actions.to_vec();
     loop {
         let before = actions.len();
-        actions = shrinking.without_pieces(actions);
-        if actions.len() == before || shrinking.replays >= MOST_REPLAYS {
+        actions = shrinking.remove_chunks(actions);
+        if actions.len() == before || shrinking.replays >= MAX_REPLAYS {
             return actions;
         }
     }
--- a/fleet-simulator/src/model/walk.rs
+++ b/fleet-simulator/src/model/walk.rs
@@ -10,9 +10,9 @@
 /// How often in a thousand steps all is mended and left alone.
 const CALM_PERMILLE: u32 = 2;
 /// Troubles at once, above which a walk mends one before it makes another.
-const MOST_TROUBLES: usize = 3;
+const MAX_FAULTS: usize = 3;
 /// Times that may pass at once: below and above each timeout.
-const TIMES_MS: [u64; 5] = [25, 100, 350, 700, 1_600];
+const TICK_INTERVALS_MS: [u64; 5] = [25, 100, 350, 700, 1_600];
 
 /// How a walk ended.
 #[derive(Debug)]
@@ -24,18 +24,18 @@
     /// What was crossed, if anything was.
     pub violation: Option<Violation>,
     /// The highest epoch reached.
-    pub epoch: u64,
+    pub newest_epoch: u64,
     /// Orders acknowledged, as the newest version tells.
-    pub newest: u64,
+    pub newest_version: u64,
     /// After how many calms nobody served.
-    pub stuck_calms: u32,
+    pub unrecovered_calms: u32,
 }
 
 /// Walks so many steps from a seed.
 pub fn walk(settings: Settings, seed: u64, steps: usize) -> Walk {
     use rand::SeedableRng as _;
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = World::founded(settings);
+    let mut world = World::bootstrapped(settings);
     let percent = DEVIATIONS_PERCENT[rng.random_range(0..DEVIATIONS_PERCENT.len())];
     let mut actions = Vec::new();
     while actions.len() < steps && world.violation().is_none() {
@@ -50,40 +50,47 @@
             actions.push(action);
         }
     }
-    let epoch = world.newest_epoch();
-    let newest = world.newest_acknowledged().0;
+    let newest_epoch = world.newest_epoch();
+    let newest_version = world.newest_acknowledged().0;
     let violation = world.violation().cloned();
-    Walk { seed, actions, violation, epoch, newest, stuck_calms: world.stuck_calms() }
+    Walk {
+        seed,
+        actions,
+        violation,
+        newest_epoch,
+        newest_version,
+        unrecovered_calms: world.unrecovered_calms(),
+    }
 }
 
 fn deviation(world: &World, rng: &mut StdRng) -> Action {
     match rng.random_range(0..100) {
-        0..45 => on_message(world, rng),
+        0..45 => message_deviation(world, rng),
         45..55 => pass_time(world, rng),
-        55..75 => ask(world, rng),
-        _ => trouble(world, rng),
+        55..75 => operator_call(world, rng),
+        _ => fault(world, rng),
     }
 }
 
-fn on_message(world: &World, rng: &mut StdRng) -> Action {
+fn message_deviation(world: &World, rng: &mut StdRng) -> Action {
     if world.held() > 0 && rng.random_ratio(1, 4) {
         return Action::Release;
     }
-    let letters = network::letters(world.envelopes());
-    if letters.is_empty() {
+    let message_refs = network::message_refs(world.envelopes());
+    if message_refs.is_empty() {
         return Action::Next;
     }
-    let letter = letters[rng.random_range(0..letters.len())];
+    let message = message_refs[rng.random_range(0..message_refs.len())];
     match rng.random_range(0..10) {
-        0..5 => Action::Deliver(letter),
-        5..7 => Action::Lose(letter),
-        7 => Action::Double(letter),
-        _ => Action::Hold(letter),
+        0..5 => Action::Deliver(message),
+        5..7 => Action::Lose(message),
+        7 => Action::Double(message),
+        _ => Action::Hold(message),
     }
 }
 
 fn pass_time(world: &World, rng: &mut StdRng) -> Action {
-    let ms = TIMES_MS[rng.random_range(0..TIMES_MS.len())];
+    let ms = TICK_INTERVALS_MS[rng.random_range(0..TICK_INTERVALS_MS.len())];
     match rng.random_ratio(1, 3) {
         true => Action::TickAlone(ms, any_node(world, rng)),
         false => Action::Tick(ms),
@@ -94,10 +101,10 @@
     rng.random_range(0..world.nodes().len())
 }
 
-fn ask(world: &World, rng: &mut StdRng) -> Action {
+fn operator_call(world: &World, rng: &mut StdRng) -> Action {
     let operator = rng.random_range(0..OPERATORS);
     let node = any_node(world, rng);
-    let is_open = world.operators()[operator].open.is_some();
+    let is_open = world.operators()[operator].open_order.is_some();
     match rng.random_range(0..10) {
         0..3 => Action::Read { operator, node },
         _ if is_open => Action::Resend { operator, node },
@@ -106,29 +113,29 @@
 }
 
 /// What is wrong now, as the actions that mend it.
-fn mends(world: &World) -> Vec<Action> {
-    let mut mends = Vec::new();
+fn repairs(world: &World) -> Vec<Action> {
+    let mut repairs = Vec::new();
     for (number, node) in world.nodes().iter().enumerate() {
         if node.machine.is_none() {
-            mends.push(Action::Restart(number));
+            repairs.push(Action::Restart(number));
         }
         if node.is_frozen {
-            mends.push(Action::Thaw(number));
+            repairs.push(Action::Thaw(number));
         }
         if node.is_stalled {
-            mends.push(Action::Resume(number));
+            repairs.push(Action::Resume(number));
         }
     }
     if world.is_cut() {
-        mends.push(Action::Heal);
+        repairs.push(Action::Heal);
     }
-    mends
+    repairs
 }
 
-fn trouble(world: &World, rng: &mut StdRng) -> Action {
-    let mends = mends(world);
-    if mends.len() > rng.random_range(0..=MOST_TROUBLES) {
-        return mends[rng.random_range(0..mends.len())].clone();
+fn fault(world: &World, rng: &mut StdRng) -> Action {
+    let repairs = repairs(world);
+    if repairs.len() > rng.random_range(0..=MAX_FAULTS) {
+        return repairs[rng.random_range(0..repairs.len())].clone();
     }
     let node = match world.primary() {
         // Most of what matters befalls the primary.
--- a/fleet-simulator/src/model/world.rs
+++ b/fleet-simulator/src/model/world.rs
@@ -1,13 +1,13 @@
 //! A modelled fleet: what each action does to it.
 
 mod apply;
-mod carry;
+mod effects;
 mod faults;
 
-use super::judge::{Judge, Violation};
+use super::invariants::{InvariantChecker, Violation};
 use super::network::Envelope;
 use super::node::Node;
-use super::people::{Asking, Operator, Reader};
+use super::participants::{Operator, OperatorCall, Reader};
 use super::{Action, Party, Settings, fingerprint};
 use std::sync::Arc;
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
@@ -15,11 +15,11 @@
 
 /// How much time passes when nothing else happens: a few of these make every timeout run out, the
 /// primary's before the backup's.
-pub const STEP_MS: u64 = 250;
+pub const IDLE_STEP_MS: u64 = 250;
 /// How long a calm lasts: longer than a fleet may take until it is whole again.
 const CALM_MS: u64 = 8_000;
 /// How long a fleet may take until it serves at first.
-const FOUNDING_MS: u64 = 10_000;
+const BOOTSTRAP_TIMEOUT_MS: u64 = 10_000;
 /// Operators.
 pub const OPERATORS: usize = 2;
 
@@ -33,23 +33,23 @@
     nodes: Vec<Arc<Node>>,
     readers: Vec<Reader>,
     operators: Vec<Operator>,
-    askings: Vec<Asking>,
+    calls: Vec<OperatorCall>,
     envelopes: Vec<Envelope>,
     held: std::collections::VecDeque<Envelope>,
     cuts: std::collections::BTreeSet<(usize, usize)>,
     /// Disks lost since the fleet was last whole.
     lost_disks: u16,
-    judge: Judge,
-    founding: bool,
-    planted: carry::Planted,
+    checker: InvariantChecker,
+    bootstrapping: bool,
+    injected_state: effects::InjectedFaultState,
     notes: Option<Vec<String>>,
-    stuck_calms: u32,
+    unrecovered_calms: u32,
 }
 
 impl World {
     /// A fleet that was founded and serves, with one configuration in force that the operators and
     /// the readers know.
-    pub fn founded(settings: Settings) -> Self {
+    pub fn bootstrapped(settings: Settings) -> Self {
         let mut world = Self {
             settings,
             now: MonotonicMs(86_400_000),
@@ -57,33 +57,33 @@
             nodes: (0..settings.nodes).map(|number| Arc::new(Node::new(number))).collect(),
             readers: Vec::new(),
             operators: vec![Operator::default(); OPERATORS],
-            askings: Vec::new(),
+            calls: Vec::new(),
             envelopes: Vec::new(),
             held: Default::default(),
             cuts: Default::default(),
             lost_disks: 0,
-            judge: Judge::watching(settings.watched, settings.losses),
-            founding: true,
-            planted: Default::default(),
+            checker: InvariantChecker::new(settings.only_invariant, settings.losses),
+            bootstrapping: true,
+            injected_state: Default::default(),
             notes: None,
-            stuck_calms: 0,
+            unrecovered_calms: 0,
         };
         let sources: Vec<_> = world.nodes.iter().map(|node| node.address).collect();
         world.readers =
             (0..settings.readers).map(|number| Reader::new(number, sources.clone())).collect();
         (0..settings.nodes).for_each(|number| world.start(number));
-        let until = world.now.plus(DurationMs(FOUNDING_MS));
-        while world.primary().is_none() && world.now < until {
+        let deadline = world.now.plus(DurationMs(BOOTSTRAP_TIMEOUT_MS));
+        while world.primary().is_none() && world.now < deadline {
             world.apply(&Action::Next);
         }
-        world.founding = false;
+        world.bootstrapping = false;
         world.apply(&Action::Order { operator: 0, node: 0, skip: 0 });
-        let until = world.now.plus(DurationMs(4 * STEP_MS));
-        while world.now < until {
+        let deadline = world.now.plus(DurationMs(4 * IDLE_STEP_MS));
+        while world.now < deadline {
             world.apply(&Action::Next);
         }
-        let knows = world.judge.newest_acknowledged();
-        world.operators.iter_mut().for_each(|operator| operator.knows = knows);
+        let known_version = world.checker.newest_acknowledged();
+        world.operators.iter_mut().for_each(|operator| operator.known_version = known_version);
         world
     }
 
@@ -94,7 +94,7 @@
 
     /// The first violation.
     pub fn violation(&self) -> Option<&Violation> {
-        self.judge.violation()
+        self.checker.violation()
     }
 
     /// The present moment.
@@ -128,13 +128,13 @@
     }
 
     /// After how many calms nobody served.
-    pub fn stuck_calms(&self) -> u32 {
-        self.stuck_calms
+    pub fn unrecovered_calms(&self) -> u32 {
+        self.unrecovered_calms
     }
 
     /// The newest version acknowledged.
     pub fn newest_acknowledged(&self) -> topazyard_types::ConfigurationVersion {
-        self.judge.newest_acknowledged()
+        self.checker.newest_acknowledged()
     }
 
     /// The newest epoch that any node knows of.
@@ -177,21 +177,21 @@
             states.extend([&envelope.to as &dyn std::fmt::Debug, &envelope.payload]);
         }
         for reader in &self.readers {
-            states.extend([&reader.follower as &dyn std::fmt::Debug, &reader.since]);
+            states.extend([&reader.follower as &dyn std::fmt::Debug, &reader.acknowledged_before]);
         }
-        let askings: Vec<_> =
-            self.askings.iter().map(|asking| (asking.asked, asking.since)).collect();
-        let ages: Vec<u64> = self.event_order();
-        states.extend([&askings as &dyn std::fmt::Debug, &ages, &self.operators]);
-        states.extend([&self.cuts as &dyn std::fmt::Debug, &self.lost_disks, &self.judge]);
+        let calls: Vec<_> =
+            self.calls.iter().map(|call| (call.kind, call.acknowledged_before)).collect();
+        let event_order: Vec<u64> = self.event_order();
+        states.extend([&calls as &dyn std::fmt::Debug, &event_order, &self.operators]);
+        states.extend([&self.cuts as &dyn std::fmt::Debug, &self.lost_disks, &self.checker]);
         fingerprint::hash_of(self.now, &states)
     }
 
     /// In which order what is under way would happen.
     fn event_order(&self) -> Vec<u64> {
-        let envelopes = self.envelopes.iter().map(|envelope| envelope.number);
+        let envelopes = self.envelopes.iter().map(|envelope| envelope.event_number);
         let writes = self.nodes.iter().flat_map(|node| &node.disk.unsynced);
-        let numbers: Vec<u64> = envelopes.chain(writes.map(|write| write.number)).collect();
+        let numbers: Vec<u64> = envelopes.chain(writes.map(|write| write.event_number)).collect();
         let mut sorted = numbers.clone();
         sorted.sort_unstable();
         let rank = |number: &u64| sorted.partition_point(|other| other < number) as u64;
@@ -209,13 +209,13 @@
     fn start(&mut self, number: usize) {
         let seeds: Vec<_> =
             (0..self.settings.nodes).map(|n| super::node::address_of(n, 0)).collect();
-        let node = Node::change(&mut self.nodes[number]);
-        node.lives += 1;
+        let node = Node::make_mut(&mut self.nodes[number]);
+        node.starts += 1;
         // A node with an empty disk draws a new id.
-        let fresh = NodeId(10 * node.lives + number as u64 + 1);
-        let kept = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
-        let id = kept.get("id").and_then(|id| topazyard_wire::rows::decode(id)).unwrap_or(fresh);
-        kept.insert("id".to_owned(), topazyard_wire::rows::encode(&id));
+        let new_id = NodeId(10 * node.starts + number as u64 + 1);
+        let stored = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
+        let id = stored.get("id").and_then(|id| topazyard_wire::rows::decode(id)).unwrap_or(new_id);
+        stored.insert("id".to_owned(), topazyard_wire::rows::encode(&id));
         node.id = id;
         let member = Member {
             id,
@@ -233,13 +233,13 @@
             resources: topazyard_spec::Resources::default(),
             member,
             seeds,
-            random_seed: (node.lives << 40) + ((number as u64) << 32) + 1,
+            random_seed: (node.starts << 40) + ((number as u64) << 32) + 1,
             loaded: node.disk.synced.clone(),
             bounds,
-            may_bootstrap: self.founding,
+            may_bootstrap: self.bootstrapping,
         };
         let (machine, effects) = topazyard_control::ControlMachine::new(start, self.now);
         node.machine = Some(machine);
-        self.carry_out(number, effects);
+        self.apply_effects(number, effects);
     }
 }
--- a/fleet-simulator/src/model/world/carry.rs
+++ b/fleet-simulator/src/model/world/effects.rs
@@ -1,11 +1,11 @@
 //! Steps of the machines, and what becomes of their effects.
 
 use super::World;
-use crate::model::judge::Invariant;
+use crate::model::invariants::Invariant;
 use crate::model::network::{Envelope, Payload};
 use crate::model::node::{Node, Write};
-use crate::model::people::Asked;
-use crate::model::{Party, Plant};
+use crate::model::participants::CallKind;
+use crate::model::{InjectedFault, Party};
 use topazyard_control::{ControlCall, ControlTask};
 use topazyard_types::ConfigurationVersion;
 use topazyard_wire::api::Code;
@@ -19,13 +19,13 @@
 
 /// What a planted fault remembers.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Planted {
+pub(super) struct InjectedFaultState {
     /// The first view that a reader was given.
-    view: Option<std::collections::BTreeMap<String, bytes::Bytes>>,
+    first_snapshot: Option<std::collections::BTreeMap<String, bytes::Bytes>>,
     /// The first source that was read.
-    source: Option<String>,
+    first_source: Option<String>,
     /// Orders that were answered once.
-    answered: std::collections::BTreeSet<usize>,
+    responded: std::collections::BTreeSet<usize>,
 }
 
 /// Whether an outcome is final: the order is taken, or refused for good.
@@ -51,27 +51,27 @@
     /// Lets a machine take an input, and carries out what it wants.
     pub(super) fn step(&mut self, number: usize, input: Input<ControlCall>) {
         let now = self.now;
-        let node = Node::change(&mut self.nodes[number]);
+        let node = Node::make_mut(&mut self.nodes[number]);
         let Some(machine) = &mut node.machine else { return };
         let before = (machine.copy().position(), machine.is_serving());
         let effects = machine.step(input, now);
-        self.judge.see_node(node.id, machine, before);
-        self.carry_out(number, effects);
+        self.checker.check_node(node.id, machine, before);
+        self.apply_effects(number, effects);
     }
 
-    pub(super) fn carry_out(&mut self, number: usize, effects: Vec<ControlEffect>) {
+    pub(super) fn apply_effects(&mut self, number: usize, effects: Vec<ControlEffect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(number, to, message),
                 Effect::Write { token, changes } => {
                     let event = self.next_event();
-                    let node = Node::change(&mut self.nodes[number]);
-                    node.disk.unsynced.push_back(Write { number: event, token, changes });
-                    if self.settings.plant == Some(Plant::SyncedEarly) {
+                    let node = Node::make_mut(&mut self.nodes[number]);
+                    node.disk.unsynced.push_back(Write { event_number: event, token, changes });
+                    if self.settings.injected_fault == Some(InjectedFault::ReportSyncEarly) {
                         self.step(number, Input::Written(token));
                     }
                 }
-                Effect::Respond { call, value } => self.answer(number, call, value),
+                Effect::Respond { call, value } => self.respond(number, call, value),
                 Effect::Log { text, .. } => self.note(|| format!("    n{number}: {text}")),
                 Effect::StartTask(_) => {}
             }
@@ -79,7 +79,7 @@
     }
 
     /// Whether anything that is sent goes from one node to another.
-    pub(super) fn is_linked(&self, from: Party, to: Party) -> bool {
+    pub(super) fn is_connected(&self, from: Party, to: Party) -> bool {
         match (from, to) {
             (Party::Node(from), Party::Node(to)) => !self.cuts.contains(&(from, to)),
             _ => true,
@@ -88,7 +88,7 @@
 
     fn send(&mut self, number: usize, to: std::net::SocketAddr, mut message: Message) {
         if let Message::Core(CoreMessage::Accept { record, .. }) = &mut message
-            && self.settings.plant == Some(Plant::DropBackups)
+            && self.settings.injected_fault == Some(InjectedFault::DropBackups)
         {
             record.backups.clear();
         }
@@ -96,27 +96,27 @@
         if let (Message::Feed(FeedMessage::Update { .. }), Party::Reader(reader)) =
             (&message, party)
         {
-            let asked = self.readers[reader].arrived.get(&number).copied();
-            self.check_alone(number, asked, "confirmed a reader's asking");
+            let requested_at = self.readers[reader].request_arrivals.get(&number).copied();
+            self.check_isolated(number, requested_at, "confirmed a reader's asking");
         }
-        if !self.is_linked(Party::Node(number), party) {
+        if !self.is_connected(Party::Node(number), party) {
             self.forge_confirmation(number, party, &message);
             return;
         }
         let (sender, from) = (self.nodes[number].id, self.nodes[number].address);
         // Membership is no part of what is modelled: nothing is lost of it where nodes are linked.
-        let at_once = match &message {
-            Message::Membership(_) => !self.settings.ticks_at_once,
-            Message::Core(CoreMessage::Heartbeat { .. }) => self.settings.ticks_at_once,
+        let is_instant = match &message {
+            Message::Membership(_) => !self.settings.instant_ticks,
+            Message::Core(CoreMessage::Heartbeat { .. }) => self.settings.instant_ticks,
             _ => false,
         };
-        let dropped = matches!(message, Message::Membership(_)) && !at_once;
+        let dropped = matches!(message, Message::Membership(_)) && !is_instant;
         if dropped {
             return;
         }
-        if at_once {
+        if is_instant {
             if let Party::Node(to) = party
-                && self.nodes[to].is_awake()
+                && self.nodes[to].is_responsive()
             {
                 self.step(to, Input::Frame { sender, from, message });
             }
@@ -127,19 +127,19 @@
 
     /// Puts a message under way.
     pub(super) fn post(&mut self, from: Party, to: Party, payload: Payload) {
-        let number = self.next_event();
-        self.envelopes.push(Envelope { number, from, to, payload });
+        let event_number = self.next_event();
+        self.envelopes.push(Envelope { event_number, from, to, payload });
     }
 
     /// The planted fault of a primary that is told what its backups never said.
     fn forge_confirmation(&mut self, number: usize, to: Party, message: &Message) {
         let (Party::Node(backup), Message::Replica(sent)) = (to, message) else { return };
-        let body = match (self.settings.plant, &sent.body) {
-            (Some(Plant::ForgeConfirmations), ReplicaBody::Append { round, .. }) => {
+        let body = match (self.settings.injected_fault, &sent.body) {
+            (Some(InjectedFault::ForgeConfirmations), ReplicaBody::Append { round, .. }) => {
                 ReplicaBody::Appended { round: *round }
             }
             (
-                Some(Plant::ForgetVotesAndForgeSteps),
+                Some(InjectedFault::ForgetVotesAndForgeInSync),
                 ReplicaBody::Digests { round, sequence, of: FollowerRole::Backup, .. },
             ) => ReplicaBody::InSync { round: *round, sequence: *sequence },
             _ => return,
@@ -153,98 +153,107 @@
     }
 
     /// A node that hears no other decides nothing that was asked since.
-    fn check_alone(&mut self, number: usize, asked: Option<u64>, what: &str) {
-        let alone = self.nodes[number].alone_since;
-        if let (Some(alone), Some(asked)) = (alone, asked)
-            && asked > alone
+    fn check_isolated(&mut self, number: usize, requested_at: Option<u64>, what: &str) {
+        let isolated_since = self.nodes[number].isolated_since;
+        if let (Some(isolated_since), Some(requested_at)) = (isolated_since, requested_at)
+            && requested_at > isolated_since
         {
             let text = format!("n{number} hears no other node and {what}");
-            self.judge.cross(Invariant::AloneDecidesNothing, text);
+            self.checker.report(Invariant::AloneDecidesNothing, text);
         }
     }
 
-    fn answer(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperatorOutcome) {
-        let node = Node::change(&mut self.nodes[number]);
-        let Some(asking) = node.calls.remove(&call) else { return };
+    fn respond(&mut self, number: usize, call: topazyard_types::CallId, outcome: OperatorOutcome) {
+        let node = Node::make_mut(&mut self.nodes[number]);
+        let Some(call_index) = node.calls.remove(&call) else { return };
         if is_final(&outcome) {
-            let arrived = self.askings[asking].arrived;
-            self.check_alone(number, arrived, "answered an operator");
+            let arrived_at_event = self.calls[call_index].arrived_at_event;
+            self.check_isolated(number, arrived_at_event, "answered an operator");
         }
-        let to = Party::Operator(self.askings[asking].operator);
-        self.post(Party::Node(number), to, Payload::Answer { asking, outcome });
+        let to = Party::Operator(self.calls[call_index].operator);
+        self.post(Party::Node(number), to, Payload::Response { call_index, outcome });
     }
 
     /// A message reaches who is to take it; one that does not run takes nothing.
-    pub(super) fn arrive(&mut self, envelope: Envelope) {
+    pub(super) fn deliver(&mut self, envelope: Envelope) {
         let Envelope { from, to, payload, .. } = envelope;
         match (to, payload) {
-            (Party::Node(number), payload) if self.nodes[number].is_awake() => {
-                self.node_takes(number, from, payload);
+            (Party::Node(number), payload) if self.nodes[number].is_responsive() => {
+                self.node_receives(number, from, payload);
             }
             (Party::Reader(reader), Payload::Frame { from, message, .. }) => {
-                self.reader_takes(reader, from, message);
+                self.reader_receives(reader, from, message);
             }
-            (Party::Operator(operator), Payload::Answer { asking, outcome }) => {
-                self.operator_takes(operator, asking, outcome);
+            (Party::Operator(operator), Payload::Response { call_index, outcome }) => {
+                self.operator_receives(operator, call_index, outcome);
             }
             _ => {}
         }
     }
 
-    fn node_takes(&mut self, number: usize, party: Party, payload: Payload) {
+    fn node_receives(&mut self, number: usize, party: Party, payload: Payload) {
         match payload {
             // The address may have gone to another machine meanwhile.
             Payload::Frame { to, .. } if self.nodes[number].address != to => {}
             Payload::Frame { sender, from, message, .. } => {
-                let is_asking = matches!(message, Message::Feed(FeedMessage::Request { .. }));
-                if let (Party::Reader(reader), true) = (party, is_asking) {
+                let is_request = matches!(message, Message::Feed(FeedMessage::Request { .. }));
+                if let (Party::Reader(reader), true) = (party, is_request) {
                     let event = self.next_event();
-                    self.readers[reader].arrived.insert(number, event);
+                    self.readers[reader].request_arrivals.insert(number, event);
                 }
                 self.step(number, Input::Frame { sender, from, message });
             }
-            Payload::Call { asking, request } => {
-                self.askings[asking].arrived = Some(self.next_event());
-                let node = Node::change(&mut self.nodes[number]);
+            Payload::Call { call_index, request } => {
+                self.calls[call_index].arrived_at_event = Some(self.next_event());
+                let node = Node::make_mut(&mut self.nodes[number]);
                 node.last_call += 1;
                 let call = topazyard_types::CallId(node.last_call);
-                node.calls.insert(call, asking);
+                node.calls.insert(call, call_index);
                 self.step(number, Input::Call { call, request: ControlCall::Operate(request) });
             }
-            Payload::Answer { .. } => {}
+            Payload::Response { .. } => {}
         }
     }
 
-    fn reader_takes(&mut self, number: usize, from: std::net::SocketAddr, message: Message) {
+    fn reader_receives(&mut self, number: usize, from: std::net::SocketAddr, message: Message) {
         let Message::Feed(message) = message else { return };
-        let before = crate::model::order::in_force(self.readers[number].follower.copy().rows());
-        let message = match self.settings.plant {
-            Some(Plant::OldNews) => self.plant_news(before, message),
+        let before =
+            crate::model::order::version_in_force(self.readers[number].follower.copy().rows());
+        let message = match self.settings.injected_fault {
+            Some(InjectedFault::StaleSnapshot) => self.inject_stale_snapshot(before, message),
             _ => message,
         };
         let reader = &mut self.readers[number];
         let confirmed = reader.follower.confirmed_at();
         reader.follower.receive(from, message);
         let confirmed = reader.follower.confirmed_at().filter(|at| Some(*at) != confirmed);
-        if let Some(asked) = confirmed {
+        if let Some(requested_at) = confirmed {
             let rows = reader.follower.copy().rows();
-            let since = reader.since.get(&asked).copied().unwrap_or_default();
-            self.judge.see_reader(&format!("reader{number}"), rows, before, since);
+            let acknowledged_before =
+                reader.acknowledged_before.get(&requested_at).copied().unwrap_or_default();
+            self.checker.check_reader(
+                &format!("reader{number}"),
+                rows,
+                before,
+                acknowledged_before,
+            );
         }
     }
 
     /// The planted fault of a reader that is shown the first view again.
-    fn plant_news(
+    fn inject_stale_snapshot(
         &mut self,
-        shown: Option<ConfigurationVersion>,
+        version_shown: Option<ConfigurationVersion>,
         message: FeedMessage,
     ) -> FeedMessage {
         let FeedMessage::Update { nonce, position, content } = message else { return message };
         if let UpdateContent::Snapshot(rows) = &content {
-            self.planted.view.get_or_insert_with(|| rows.iter().cloned().collect());
+            self.injected_state
+                .first_snapshot
+                .get_or_insert_with(|| rows.iter().cloned().collect());
         }
-        let content = match &self.planted.view {
-            Some(rows) if crate::model::order::in_force(rows) < shown => {
+        let content = match &self.injected_state.first_snapshot {
+            Some(rows) if crate::model::order::version_in_force(rows) < version_shown => {
                 UpdateContent::Snapshot(rows.clone().into_iter().collect())
             }
             _ => content,
@@ -252,51 +261,62 @@
         FeedMessage::Update { nonce, position, content }
     }
 
-    fn operator_takes(&mut self, number: usize, asking: usize, outcome: OperatorOutcome) {
-        let asking = self.askings[asking];
-        let outcome = self.plant_outcome(asking.asked, outcome);
+    fn operator_receives(&mut self, number: usize, call_index: usize, outcome: OperatorOutcome) {
+        let call = self.calls[call_index];
+        let outcome = self.inject_outcome(call.kind, outcome);
         let operator = &mut self.operators[number];
-        match (asking.asked, &outcome) {
-            (Asked::Order(order), OperatorOutcome::Done(_)) => {
-                let version = self.judge.order(order).map(|order| order.version);
-                operator.knows = operator.knows.max(version.unwrap_or_default());
-                operator.open.take_if(|open| open.number == order);
-                self.judge.acknowledge(order);
+        match (call.kind, &outcome) {
+            (CallKind::Order(order), OperatorOutcome::Done(_)) => {
+                let version = self.checker.order(order).map(|order| order.version);
+                operator.known_version = operator.known_version.max(version.unwrap_or_default());
+                operator.open_order.take_if(|open| open.number == order);
+                self.checker.record_acknowledged(order);
             }
-            (Asked::Order(order), refused) if is_final(refused) => {
-                operator.open.take_if(|open| open.number == order);
-                self.judge.refuse(order);
+            (CallKind::Order(order), refused) if is_final(refused) => {
+                operator.open_order.take_if(|open| open.number == order);
+                self.checker.record_refused(order);
             }
-            (Asked::Read, OperatorOutcome::Done(source)) => {
-                let read = crate::model::order::number_of(source);
-                let version = read.and_then(|number| self.judge.order(number)).map(|o| o.version);
-                operator.knows = operator.knows.max(version.unwrap_or_default());
-                self.judge.see_read(&format!("operator{number}"), read, asking.since);
+            (CallKind::Read, OperatorOutcome::Done(source)) => {
+                let read = crate::model::order::order_number(source);
+                let version = read.and_then(|number| self.checker.order(number)).map(|o| o.version);
+                operator.known_version = operator.known_version.max(version.unwrap_or_default());
+                self.checker.check_read(
+                    &format!("operator{number}"),
+                    read,
+                    call.acknowledged_before,
+                );
             }
-            (Asked::Read, read) if is_final(read) => {
-                self.judge.see_read(&format!("operator{number}"), None, asking.since);
+            (CallKind::Read, read) if is_final(read) => {
+                self.checker.check_read(
+                    &format!("operator{number}"),
+                    None,
+                    call.acknowledged_before,
+                );
             }
             _ => {}
         }
-        self.note(|| format!("    operator{number}: {:?} -> {outcome:?}", asking.asked));
+        self.note(|| format!("    operator{number}: {:?} -> {outcome:?}", call.kind));
     }
 
-    fn plant_outcome(&mut self, asked: Asked, outcome: OperatorOutcome) -> OperatorOutcome {
-        let Some(plant) = self.settings.plant else { return outcome };
+    fn inject_outcome(&mut self, kind: CallKind, outcome: OperatorOutcome) -> OperatorOutcome {
+        let Some(injected_fault) = self.settings.injected_fault else { return outcome };
         let is_done = matches!(outcome, OperatorOutcome::Done(_));
-        match (plant, asked) {
+        match (injected_fault, kind) {
             // The first order founds what follows.
-            (_, Asked::Order(0)) => outcome,
-            (Plant::RefuseTaken, Asked::Order(_)) if is_done => stale_base(),
-            (Plant::RefuseAgain, Asked::Order(order)) if is_done => {
-                if self.planted.answered.insert(order) { outcome } else { stale_base() }
+            (_, CallKind::Order(0)) => outcome,
+            (InjectedFault::ReportAppliedAsRefused, CallKind::Order(_)) if is_done => stale_base(),
+            (InjectedFault::RefuseResent, CallKind::Order(order)) if is_done => {
+                if self.injected_state.responded.insert(order) { outcome } else { stale_base() }
             }
-            (Plant::TakeRefused, Asked::Order(_)) if !is_done && is_final(&outcome) => {
+            (InjectedFault::ReportRefusedAsApplied, CallKind::Order(_))
+                if !is_done && is_final(&outcome) =>
+            {
                 OperatorOutcome::Done("{}".to_owned())
             }
-            (Plant::OldSource, Asked::Read) => match &outcome {
+            (InjectedFault::StaleRead, CallKind::Read) => match &outcome {
                 OperatorOutcome::Done(source) => {
-                    let first = self.planted.source.get_or_insert_with(|| source.clone());
+                    let first =
+                        self.injected_state.first_source.get_or_insert_with(|| source.clone());
                     OperatorOutcome::Done(first.clone())
                 }
                 OperatorOutcome::Refused(_) => outcome,
--- a/fleet-simulator/src/model/world/faults.rs
+++ b/fleet-simulator/src/model/world/faults.rs
@@ -1,7 +1,7 @@
 //! Faults: what ends, stands still or is cut.
 
 use super::World;
-use crate::model::Plant;
+use crate::model::InjectedFault;
 use crate::model::node::{Node, address_of};
 use topazyard_wire::Group;
 
@@ -10,16 +10,16 @@
         if self.nodes[number].machine.is_none() {
             return false;
         }
-        let plant = self.settings.plant;
-        let node = Node::change(&mut self.nodes[number]);
+        let injected_fault = self.settings.injected_fault;
+        let node = Node::make_mut(&mut self.nodes[number]);
         let torn = node
             .disk
             .unsynced
             .get(kept)
             .cloned()
             .or_else(|| node.disk.unsynced.back().cloned().filter(|_| kept > 0));
-        node.end(kept);
-        if plant == Some(Plant::TornWrite)
+        node.crash(kept);
+        if injected_fault == Some(InjectedFault::TornWrite)
             && let Some(mut write) = torn
         {
             let half = write.changes.len().div_ceil(2);
@@ -40,21 +40,21 @@
 
     /// Whether another disk may be lost: no more at once than the fleet bears.
     pub fn may_lose_disk(&self) -> bool {
-        let planted = self.settings.plant == Some(Plant::LoseMoreDisks);
-        planted || self.lost_disks < self.settings.losses
+        let ignores_limit = self.settings.injected_fault == Some(InjectedFault::ExceedDiskLosses);
+        ignores_limit || self.lost_disks < self.settings.losses
     }
 
-    pub(super) fn wipe(&mut self, number: usize, moves: bool) -> bool {
+    pub(super) fn wipe(&mut self, number: usize, is_replaced: bool) -> bool {
         if !self.may_lose_disk() {
             return false;
         }
         self.lost_disks += 1;
-        let node = Node::change(&mut self.nodes[number]);
-        node.end(0);
+        let node = Node::make_mut(&mut self.nodes[number]);
+        node.crash(0);
         node.disk = Default::default();
-        if moves {
-            node.moves += 1;
-            node.address = address_of(number, node.moves);
+        if is_replaced {
+            node.relocations += 1;
+            node.address = address_of(number, node.relocations);
         }
         true
     }
@@ -63,10 +63,10 @@
         if self.nodes[number].machine.is_some() {
             return false;
         }
-        if self.settings.plant.is_some_and(Plant::forgets_votes) {
-            let node = Node::change(&mut self.nodes[number]);
-            let votes = node.disk.synced.entry(Group::Witness).or_default();
-            votes.remove("vote");
+        if self.settings.injected_fault.is_some_and(InjectedFault::forgets_votes) {
+            let node = Node::make_mut(&mut self.nodes[number]);
+            let witness_rows = node.disk.synced.entry(Group::Witness).or_default();
+            witness_rows.remove("vote");
         }
         self.start(number);
         true
@@ -77,7 +77,7 @@
         if node.machine.is_none() || node.is_frozen == frozen {
             return false;
         }
-        Node::change(&mut self.nodes[number]).is_frozen = frozen;
+        Node::make_mut(&mut self.nodes[number]).is_frozen = frozen;
         true
     }
 
@@ -86,7 +86,7 @@
         if node.machine.is_none() || node.is_stalled == stalled {
             return false;
         }
-        Node::change(&mut self.nodes[number]).is_stalled = stalled;
+        Node::make_mut(&mut self.nodes[number]).is_stalled = stalled;
         true
     }
 
@@ -101,31 +101,31 @@
     pub(super) fn heal(&mut self) -> bool {
         let was_cut = !self.cuts.is_empty();
         self.cuts.clear();
-        self.see_who_is_alone();
+        self.update_isolation();
         was_cut
     }
 
     /// Notes for each node since when nothing of the others can reach it: all links to it are cut,
     /// nothing is under way to it, and it waits for no sync.
-    pub(super) fn see_who_is_alone(&mut self) {
+    pub(super) fn update_isolation(&mut self) {
         for number in 0..self.nodes.len() {
             let others = (0..self.nodes.len()).filter(|other| *other != number);
             let is_cut = others.clone().all(|other| self.cuts.contains(&(other, number)));
-            let is_alone = is_cut && self.nothing_reaches(number);
-            let since = self.nodes[number].alone_since;
-            let next = if !is_cut { None } else { since.or(is_alone.then_some(self.events)) };
+            let is_isolated = is_cut && self.is_unreachable(number);
+            let since = self.nodes[number].isolated_since;
+            let next = if !is_cut { None } else { since.or(is_isolated.then_some(self.events)) };
             if next != since {
-                Node::change(&mut self.nodes[number]).alone_since = next;
+                Node::make_mut(&mut self.nodes[number]).isolated_since = next;
             }
         }
     }
 
-    fn nothing_reaches(&self, number: usize) -> bool {
-        let to_it = |envelope: &crate::model::network::Envelope| {
+    fn is_unreachable(&self, number: usize) -> bool {
+        let is_from_peer = |envelope: &crate::model::network::Envelope| {
             envelope.to == crate::model::Party::Node(number)
                 && matches!(envelope.from, crate::model::Party::Node(_))
         };
-        let under_way = self.envelopes.iter().chain(&self.held).any(to_it);
+        let under_way = self.envelopes.iter().chain(&self.held).any(is_from_peer);
         !under_way && self.nodes[number].disk.unsynced.is_empty()
     }
 }
--- a/fleet-simulator/src/model_command.rs
+++ b/fleet-simulator/src/model_command.rs
@@ -2,7 +2,7 @@
 
 use fleet_simulator::model::search::{Bounds, search};
 use fleet_simulator::model::walk::{Walk, walk};
-use fleet_simulator::model::{Action, Settings, Violation, shrink, tell};
+use fleet_simulator::model::{Action, Settings, Violation, describe_run, shrink};
 use std::process::ExitCode;
 
 /// Searches the orders of events that the control side may meet; prints a short run that crosses an
@@ -45,13 +45,13 @@
 
 impl ModelFlags {
     fn depth(&self) -> usize {
-        let unsaid = if self.walks.is_none() { DEFAULT_DEPTH } else { 0 };
-        self.depth.unwrap_or(unsaid)
+        let default = if self.walks.is_none() { DEFAULT_DEPTH } else { 0 };
+        self.depth.unwrap_or(default)
     }
 
     fn walks(&self) -> u64 {
-        let unsaid = if self.depth.is_none() { DEFAULT_WALKS } else { 0 };
-        self.walks.unwrap_or(unsaid)
+        let default = if self.depth.is_none() { DEFAULT_WALKS } else { 0 };
+        self.walks.unwrap_or(default)
     }
 }
 
@@ -61,31 +61,31 @@
         eprintln!("nothing to search: --depth and --walks are both 0");
         return ExitCode::from(2);
     }
-    let mut settings = Settings::of(flags.nodes);
+    let mut settings = Settings::for_nodes(flags.nodes);
     settings.losses = flags.losses.unwrap_or(settings.losses);
-    settings.ticks_at_once = !flags.ticks_under_way;
-    let searched = if flags.depth() > 0 { run_search(flags, settings) } else { None };
-    let walked = if flags.walks() > 0 { run_walks(flags, settings) } else { None };
-    match searched.or(walked) {
-        Some(crossed) => {
-            tell_short(settings, &crossed.0, &crossed.1);
+    settings.instant_ticks = !flags.ticks_under_way;
+    let from_search = if flags.depth() > 0 { run_search(flags, settings) } else { None };
+    let from_walks = if flags.walks() > 0 { run_walks(flags, settings) } else { None };
+    match from_search.or(from_walks) {
+        Some(violating) => {
+            print_counterexample(settings, &violating.0, &violating.1);
             ExitCode::FAILURE
         }
         None => ExitCode::SUCCESS,
     }
 }
 
-fn tell_short(settings: Settings, actions: &[Action], violation: &Violation) {
+fn print_counterexample(settings: Settings, actions: &[Action], violation: &Violation) {
     println!("CROSSED {violation}");
     let short = shrink::shrink(settings, actions, violation.invariant);
     println!("the shortest run found has {} actions of {}:", short.len(), actions.len());
-    tell(settings, &short).iter().for_each(|line| println!("  {line}"));
+    describe_run(settings, &short).iter().for_each(|line| println!("  {line}"));
     println!("as actions: {short:?}");
 }
 
 /// Searches; gives the shortest run that crossed an invariant.
 fn run_search(flags: &ModelFlags, settings: Settings) -> Option<(Vec<Action>, Violation)> {
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let bounds = Bounds { depth: flags.depth(), deviations: flags.deviations };
     let found = search(settings, bounds, flags.threads);
     println!(
@@ -98,25 +98,25 @@
         found.states,
         found.steps,
         found.newest_epoch,
-        begun.elapsed().as_secs_f64(),
+        started_at.elapsed().as_secs_f64(),
         found.kinds.into_iter().collect::<Vec<_>>().join(", ")
     );
-    found.crossed
+    found.counterexample
 }
 
 /// Walks; gives the run of the lowest seed that crossed an invariant.
 fn run_walks(flags: &ModelFlags, settings: Settings) -> Option<(Vec<Action>, Violation)> {
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let (sender, receiver) = std::sync::mpsc::channel();
     let threads = flags.threads.max(1) as u64;
-    let mut crossed: Vec<Walk> = Vec::new();
+    let mut violating: Vec<Walk> = Vec::new();
     let (mut walks, mut steps, mut epochs, mut versions, mut stuck) = (0_u64, 0, 0, 0, 0_u64);
     std::thread::scope(|scope| {
-        for share in 0..threads {
+        for worker in 0..threads {
             let sender = sender.clone();
             scope.spawn(move || {
                 for seed in flags.seed..flags.seed + flags.walks() {
-                    if (seed - flags.seed) % threads == share
+                    if (seed - flags.seed) % threads == worker
                         && sender.send(walk(settings, seed, flags.steps)).is_err()
                     {
                         return;
@@ -128,12 +128,12 @@
         for walk in receiver {
             walks += 1;
             steps += walk.actions.len();
-            epochs += walk.epoch;
-            versions += walk.newest;
-            stuck += u64::from(walk.stuck_calms);
+            epochs += walk.newest_epoch;
+            versions += walk.newest_version;
+            stuck += u64::from(walk.unrecovered_calms);
             if let Some(violation) = &walk.violation {
                 println!("seed {} after {} actions: {violation}", walk.seed, walk.actions.len());
-                crossed.push(walk);
+                violating.push(walk);
             }
         }
     });
@@ -142,9 +142,9 @@
          {stuck} calms after which nobody served, {} crossed an invariant, {:.1} s",
         settings.nodes,
         settings.losses,
-        crossed.len(),
-        begun.elapsed().as_secs_f64()
+        violating.len(),
+        started_at.elapsed().as_secs_f64()
     );
-    let first = crossed.into_iter().min_by_key(|walk| walk.seed)?;
+    let first = violating.into_iter().min_by_key(|walk| walk.seed)?;
     Some((first.actions, first.violation?))
 }
