--- a/fleet-simulator/src/check/batches.rs
+++ b/fleet-simulator/src/check/batches.rs
@@ -1,4 +1,5 @@
-//! Batches: readable, listed for good, ended for good, within their ceiling.
+//! Checks batches: they are readable, their lists are stable, no item starts after the end, and
+//! waiting work stays within its ceiling.
 
 use super::rollouts::IN_FORCE_DELAY_US;
 use super::{Bounds, Figures, Line, Violation, add_violation};
@@ -6,17 +7,17 @@
     BatchReadOutcome, BatchRecord, History, Impairment, ListedResult, Micros, RolloutRecord,
 };
 
-/// How long after its acceptance a batch may not be readable yet.
+/// How long after its acceptance a batch may be unreadable.
 const READABLE_DELAY_US: Micros = 1_000_000;
-/// Within which time a read must then be answered.
+/// How long the response to a later read may take.
 const READ_TIMEOUT_US: Micros = 1_000_000;
-/// How long after a machine with a disk is back its copies may still be on one machine only.
+/// How long after a machine with a disk is back some data may have a copy on one machine only.
 const CATCH_UP_US: Micros = 5_000_000;
-/// After how long several machines that are out count as gone.
+/// Several machines that are out for longer than this count as lost.
 const LONG_OUTAGE_US: Micros = 30_000_000;
-/// How long after several machines were out a read may still fail.
+/// How long reads may fail after several machines were out.
 const MULTIPLE_OUTAGES_RECOVERY_US: Micros = 12_000_000;
-/// How long after its end an item may still start.
+/// How long after the end of a batch an item may still start.
 const START_AFTER_END_US: Micros = 3_000_000;
 
 pub(super) fn check(
@@ -57,8 +58,8 @@
     check_ceiling(history, violations, figures);
 }
 
-/// A read that is refused, unanswered or late counts as one that can't be made, unless the relay
-/// that was asked was struck itself or more than one machine with a disk was out.
+/// A refused, unanswered or late read is a violation unless the relay that received it was
+/// impaired, or more machines with a disk were out than the deployment tolerates.
 fn check_reads(
     at: usize,
     batch: &BatchRecord,
@@ -72,27 +73,30 @@
     {
         figures.reads += 1;
         if let Some((_, BatchReadOutcome::Unknown)) = read.outcome {
-            let text = format!("batch {at} was accepted and is not known");
+            let text = format!("batch {at} was accepted and reported as unknown");
             add_violation(violations, Line::BatchList, text);
         }
         let until = read.requested_at + READ_TIMEOUT_US;
-        let succeeded = matches!(read.outcome, Some((responded_at, BatchReadOutcome::Given)) if responded_at <= until);
+        let succeeded = matches!(
+            read.outcome,
+            Some((responded_at, BatchReadOutcome::Given)) if responded_at <= until
+        );
         let excused = history.was_impaired(&read.relay, read.requested_at, until);
         if !succeeded
             && !excused
             && !exceeds_tolerated_outages(history, bounds.lost_machines, read.requested_at, until)
         {
             figures.reads_failed += 1;
-            let (asked, relay) = (read.requested_at / 1_000, &read.relay);
+            let (requested_ms, relay) = (read.requested_at / 1_000, &read.relay);
             let text =
-                format!("batch {at} asked of {relay} at {asked} ms could not be read: {read:?}");
+                format!("reading batch {at} at {relay} at {requested_ms} ms failed: {read:?}");
             add_violation(violations, Line::BatchList, text);
         }
     }
 }
 
-/// Whether more machines with a disk were out at some time, or had just been, than may be, so that
-/// all copies of something may have been out of reach then.
+/// Whether more machines with a disk than tolerated were out at some time or had just been, so that
+/// all copies of some data may have been unreachable.
 fn exceeds_tolerated_outages(
     history: &History,
     lost_machines: u16,
@@ -105,13 +109,13 @@
         let recovered_at =
             together.iter().map(|impairment| impairment.ends_at() + CATCH_UP_US).min();
         let recovered_at = recovered_at.unwrap_or(0);
-        // What stays out for long is gone: the others must do without it.
+        // Machines that are out for long count as lost: the others must serve without them.
         let ended_at = if recovered_at > began + LONG_OUTAGE_US { began } else { recovered_at };
         began < recovered_at && began <= until && ended_at + MULTIPLE_OUTAGES_RECOVERY_US >= from
     })
 }
 
-/// Whether so many machines, each another one, were out together in a way that counts.
+/// Whether this many different machines had overlapping outages for which `is_relevant` holds.
 fn has_overlapping_outages<'a>(
     out: &[&'a Impairment],
     together: &mut Vec<&'a Impairment>,
@@ -142,7 +146,7 @@
     for (_, list) in &batch.lists {
         let common = longest.len().min(list.len());
         if longest[..common] != list[..common] || list.len() < longest.len() {
-            let text = format!("batch {at}: a listed return changed, moved or went");
+            let text = format!("batch {at}: a listed result changed, moved or disappeared");
             add_violation(violations, Line::BatchList, text);
         }
         let mut items: Vec<u32> = list.iter().map(|listed| listed.item).collect();
@@ -165,7 +169,8 @@
         longest = list;
     }
     if batch.accepted.is_some() && longest.len() < batch.items as usize {
-        let text = format!("batch {at} has {} of {} returns at rest", longest.len(), batch.items);
+        let text =
+            format!("batch {at} lists {} of {} results at the end", longest.len(), batch.items);
         add_violation(violations, Line::BatchList, text);
     }
     for listed in longest {
@@ -176,19 +181,20 @@
                 && body.as_ref() == format!("return of work {work} run {run}").as_bytes()
         });
         if !own {
-            let text = format!("batch {at}: item {} has a return not its own", listed.item);
+            let text = format!("batch {at}: item {} has the result of other work", listed.item);
             add_violation(violations, Line::WrongReturn, text);
         }
     }
 }
 
-/// Holds what waits, as the copies have it, against the ceiling of the spec in force. What waits
-/// when a spec lowers the ceiling goes on waiting, but grows no more.
+/// Compares the waiting work, according to its copies, with the ceiling of the configuration in
+/// force. Work that already waits when a configuration lowers the ceiling keeps waiting, but must
+/// not grow.
 fn check_ceiling(history: &History, violations: &mut Vec<Violation>, figures: &mut Figures) {
     let mut before = 0;
     for (at, waiting) in &history.waiting {
-        // Any spec that may be in force: the last one acknowledged long enough ago, and all that
-        // were asked for since.
+        // Any configuration that may be in force: the last one acknowledged long enough ago, and
+        // all later ones whose roll-out was requested.
         let known = |rollout: &&RolloutRecord| {
             rollout.acknowledged.is_some_and(|a| a + IN_FORCE_DELAY_US < *at)
         };
@@ -196,11 +202,11 @@
         let Some(confirmed) = confirmed else { continue };
         let possible = history.rollouts.iter().filter(|rollout| {
             rollout.version > confirmed.version
-                && rollout.requested_at.is_some_and(|asked| asked <= *at)
+                && rollout.requested_at.is_some_and(|requested_at| requested_at <= *at)
         });
         let ceiling = possible.map(|rollout| rollout.ceiling).fold(confirmed.ceiling, u64::max);
         if *waiting > ceiling * 11 / 10 && *waiting > before {
-            let text = format!("{waiting} waits at {} ms, ceiling {ceiling}", at / 1_000);
+            let text = format!("{waiting} waiting at {} ms, ceiling {ceiling}", at / 1_000);
             add_violation(violations, Line::Ceiling, text);
         }
         before = *waiting;
--- a/fleet-simulator/src/check/engines.rs
+++ b/fleet-simulator/src/check/engines.rs
@@ -1,12 +1,14 @@
-//! Engines: nothing altered, nothing unmapped, nothing after leaving, never too much at once.
+//! Checks engines: they get no altered body, no model without a route and no work after they left,
+//! and the tokens in flight stay within the budget.
 
 use super::{Bounds, Figures, Line, Violation, add_violation};
 use crate::history::{History, ImpairmentKind, Micros};
 
-/// How long after a list was acknowledged an engine that it doesn't list may still get work.
+/// How long after a list of engines was acknowledged an engine that is not on it may still get
+/// work.
 const REMOVAL_DELAY_US: Micros = 3_000_000;
 
-/// How long work that a relay sent may run on after it is well again.
+/// How long work sent by a relay may keep running after the relay recovered.
 const RUN_DRAIN_US: Micros = 10_000_000;
 
 pub(super) fn check(
@@ -17,16 +19,16 @@
 ) {
     for (at, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else {
-            let text = format!("run {at} at {} is of a body that nobody sent", run.engine);
+            let text = format!("run {at} at {} has a body that nobody sent", run.engine);
             add_violation(violations, Line::Altered, text);
             continue;
         };
         if history.works[work].model == "unmapped" {
-            let text = format!("run {at} is of work {work}, whose model no spec ever mapped");
+            let text = format!("run {at} is of work {work}, whose model no configuration routes");
             add_violation(violations, Line::Unmapped, text);
         }
-        // The last list that certainly was taken long enough before, unless a later one that
-        // may have been taken lists the engine again.
+        // The last list that certainly was acknowledged long enough before, unless a later list
+        // that may have been applied contains the engine again.
         let due = history.engine_lists.iter().rposition(|list| {
             list.acknowledged.is_some_and(|at| at + REMOVAL_DELAY_US < run.began)
         });
@@ -34,7 +36,10 @@
             let later = &history.engine_lists[due..];
             let candidates = later.iter().filter(|list| list.sent < run.began);
             if candidates.clone().all(|list| !list.ready.contains(&run.engine)) {
-                let text = format!("run {at} began at {} long after it was listed", run.engine);
+                let text = format!(
+                    "run {at} started at {} long after the engine was last listed",
+                    run.engine
+                );
                 add_violation(violations, Line::EngineLeaving, text);
             }
         }
@@ -58,13 +63,14 @@
     }
     let limit = bounds.limit_tokens;
     if max_unexcused > limit || figures.max_tokens > limit * 3 / 2 {
-        let text = format!("{max_unexcused} to {} tokens, limit {limit}", figures.max_tokens);
+        let text =
+            format!("{max_unexcused} to {} tokens in flight, limit {limit}", figures.max_tokens);
         add_violation(violations, Line::Budget, text);
     }
 }
 
-/// A relay that froze or was cut off lost its lease, not its running work. Until that has ended up
-/// to half more than the limit may be in flight.
+/// A relay that was frozen or cut off loses its lease while its work keeps running. Until that work
+/// has ended, up to 1.5 times the limit may be in flight.
 fn is_excused(history: &History, at: Micros) -> bool {
     history.impairments.iter().any(|impairment| {
         let may_run = matches!(impairment.kind, ImpairmentKind::Frozen | ImpairmentKind::Cut)
--- a/fleet-simulator/src/check/invariants.rs
+++ b/fleet-simulator/src/check/invariants.rs
@@ -1,10 +1,10 @@
-//! What processes themselves saw violated.
+//! Violations that the processes themselves detected.
 
 use super::{Line, Violation};
 use topazyard_wire::invariants::{self, Invariant};
 
-/// The invariants that this thread violated since its counts were taken. A run has a thread of its
-/// own, so these are the run's.
+/// The invariants that this thread violated since `before` was taken. Each run has its own thread,
+/// so these are the violations of the run.
 pub fn violated_since(before: &[(Invariant, u64)]) -> Vec<Violation> {
     let counts = invariants::thread_counts().into_iter().zip(before);
     let newly = counts.map(|((invariant, count), (_, before))| (invariant, count - before));
--- a/fleet-simulator/src/check/mod.rs
+++ b/fleet-simulator/src/check/mod.rs
@@ -1,5 +1,4 @@
-//! The checker: it judges a history by what was seen from outside, line by line of what must
-//! never happen.
+//! The checker: compares the history of a run with the properties that every run must have.
 
 mod batches;
 mod engines;
@@ -11,74 +10,76 @@
 
 use crate::history::{History, Micros};
 
-/// A line of what must never happen, as the brief orders them, and what the design adds.
+/// A property that no run may violate; each variant names the violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Line {
-    /// Unrepeatable work ran twice, or ran after it was said to be refused.
+    /// Non-repeatable work ran twice, or ran after it was reported as not run.
     RanTwiceOrRefused,
-    /// A return was not whole, another's, or looked complete when cut.
+    /// A response was incomplete, belonged to another request, or looked complete although it was
+    /// interrupted.
     WrongReturn,
-    /// An engine ran what nobody sent, or something altered.
+    /// An engine ran a body that nobody sent or that was altered.
     Altered,
-    /// A service was reached that no spec allowed.
+    /// An engine got work of a model that no configuration in force routes to it.
     Unmapped,
-    /// A spec was not in force in time, or an older one came back.
+    /// A configuration was not in force in time, or an older one came back.
     SpecLate,
-    /// A refused spec took effect, or one read back was older than acknowledged.
+    /// A refused configuration took effect, or a read returned an older one than acknowledged.
     SpecWrong,
-    /// Two configurations were taken under one number or on one base.
+    /// Two configurations were applied with the same number or on the same base.
     OrderRace,
-    /// A configuration was refused though it was taken, or without a cause.
+    /// A configuration was refused although it was applied, or without a reason.
     OrderRefused,
-    /// What a relay had in force was no configuration that anybody ordered.
+    /// A relay had a configuration in force that nobody ordered, such as a mixture of two.
     FeedMixed,
-    /// What a relay had in force went back.
+    /// The configuration in force at a relay went back to an older one.
     FeedBack,
-    /// An engine got work long after it was known to leave.
+    /// An engine got work long after control knew that it leaves.
     EngineLeaving,
-    /// A stream lost, repeated or spliced pieces.
+    /// A stream lost, repeated or mixed up pieces.
     StreamBroken,
     /// A batch was not readable, or its list changed.
     BatchList,
-    /// An item of an ended batch started.
+    /// An item started after the end of its batch.
     BatchEnded,
     /// Waiting work exceeded its ceiling.
     Ceiling,
-    /// Service did not come back.
+    /// The service did not recover.
     Recovery,
-    /// A final answer came late, or did not say when to come back.
+    /// A final response was late, or did not say when to retry.
     Answer,
-    /// More tokens were in flight than any recovery allows.
+    /// More tokens were in flight than any recovery permits.
     Budget,
-    /// Something broke though machines were drained or emptied before they went.
+    /// Connections were lost although machines were drained or emptied before they were removed.
     Drained,
-    /// Something is still held when nothing runs.
+    /// A hold is left when nothing runs any more.
     LeakedHold,
-    /// A process saw one of the invariants violated that it checks while it runs.
+    /// A process detected the violation of an invariant that it checks while it runs.
     Invariant,
 }
 
-/// A line that was crossed.
+/// A violation of a property.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// Which.
+    /// The violated property.
     pub line: Line,
-    /// How.
+    /// What was observed.
     pub text: String,
 }
 
-/// What the checker must know of a run besides its history.
+/// What the checker needs to know of a run besides its history.
 #[derive(Debug, Clone)]
 pub struct Bounds {
     /// The budget of in-flight tokens.
     pub limit_tokens: u64,
-    /// From when to when service is measured before any fault.
+    /// The period before any fault in which the rate of the service is measured.
     pub before: (Micros, Micros),
-    /// When the last fault was closed, if there was one.
+    /// When the last fault ended, if there was one.
     pub closed: Option<Micros>,
-    /// Machines with a disk that may be out at the same time while reads still succeed.
+    /// How many machines with a disk may be out at the same time while reads still succeed.
     pub lost_machines: u16,
-    /// Whether machines went only after they were drained or emptied, so that nothing breaks.
+    /// Whether machines were only removed after they were drained or emptied, so that no connection
+    /// may be lost.
     pub drained: bool,
 }
 
@@ -87,53 +88,53 @@
 pub struct Figures {
     /// Prompts sent.
     pub prompts: usize,
-    /// Whole returns.
+    /// Complete responses.
     #[serde(rename = "whole")]
     pub complete: usize,
-    /// Prompts refused.
+    /// Refused prompts.
     pub refused: usize,
-    /// Connections that broke.
+    /// Lost connections.
     #[serde(rename = "broken")]
     pub connections_lost: usize,
-    /// Items handed in with accepted batches.
+    /// Items of accepted batches.
     pub items: usize,
-    /// Median time of whole returns.
+    /// Median response time of complete responses.
     pub p50_ms: u64,
-    /// Time within which 99 of 100 whole returns came.
+    /// 99th percentile of the response time of complete responses.
     pub p99_ms: u64,
-    /// Whole returns a second before any fault.
+    /// Complete responses per second before any fault.
     pub before_per_s: f64,
-    /// The same from 12 s after the closing fault on.
+    /// Complete responses per second from 12 s after the end of the last fault.
     pub after_per_s: f64,
-    /// How long after the last fault closed service was back at half its former level.
+    /// How long after the end of the last fault the service was back at half its earlier rate.
     pub back_after_ms: Option<u64>,
-    /// The longest time, from the first fault on, during which service was below half its former
-    /// level.
+    /// The longest period, from the first fault on, in which the service was below half its earlier
+    /// rate.
     pub longest_below_half_ms: u64,
-    /// The same for a quarter of its former level.
+    /// The longest such period below a quarter of its earlier rate.
     pub longest_below_quarter_ms: u64,
     /// Numbered configurations that were acknowledged, and that were refused.
     pub orders: (usize, usize),
-    /// The most sendings of an order.
+    /// The largest number of attempts to send an order.
     #[serde(rename = "most_sendings")]
     pub max_sendings: usize,
-    /// Read-backs that were given, and that gave nothing clear.
+    /// Reads of the numbered configuration with a clear outcome, and without one.
     pub read_backs: (usize, usize),
-    /// The most tokens in flight at engines.
+    /// The largest number of tokens in flight at engines.
     #[serde(rename = "most_tokens")]
     pub max_tokens: u64,
-    /// When the last item that ran had ended.
+    /// When the last run of a batch item ended.
     pub items_done_ms: u64,
-    /// Reads of batches asked more than a second after they were accepted.
+    /// Reads of batches that were sent more than a second after the batch was accepted.
     pub reads: usize,
-    /// Reads of these that failed though no more machines with a disk were out than may be.
+    /// Those of them that failed although no more machines with a disk were out than tolerated.
     pub reads_failed: usize,
-    /// The most waiting batch work, and the ceiling then in force.
+    /// The largest amount of waiting batch work, and the ceiling in force at that time.
     #[serde(rename = "most_waiting")]
     pub max_waiting: (u64, u64),
 }
 
-/// Judges a history.
+/// Checks a history; returns the violations and the figures of the run.
 pub fn check(history: &History, bounds: &Bounds) -> (Vec<Violation>, Figures) {
     let mut violations = Vec::new();
     let mut figures = Figures::default();
--- a/fleet-simulator/src/check/orders.rs
+++ b/fleet-simulator/src/check/orders.rs
@@ -1,5 +1,6 @@
-//! Numbered configurations: one under each number and on each base, none refused that was taken,
-//! none in force that was refused, and what is read back or in force no older than acknowledged.
+//! Checks numbered configurations: at most one is applied per number and per base, an applied one
+//! is never refused, a refused one is never in force, and no read or relay has an older one than
+//! acknowledged.
 
 use super::rollouts::IN_FORCE_DELAY_US;
 use super::{Figures, Line, Violation, add_violation};
@@ -17,7 +18,7 @@
     for (at, order) in history.orders.iter().enumerate() {
         check_refusals(history, at, &applied, violations);
         if !order.is_valid() && applied[at].is_some() {
-            add_violation(violations, Line::SpecWrong, format!("invalid order {at} was taken"));
+            add_violation(violations, Line::SpecWrong, format!("invalid order {at} was applied"));
         }
         check_outcome_known(history, at, violations);
     }
@@ -26,39 +27,39 @@
     record_figures(history, figures);
 }
 
-/// When it first showed that an order was taken: acknowledged, read back or in force.
+/// When there was first evidence that an order was applied: acknowledged, read back or in force.
 fn first_applied(history: &History, order: &OrderRecord) -> Option<Micros> {
     let read = history.read_backs.iter().filter_map(|read| match &read.outcome {
         Some((at, ReadBackOutcome::Given(source))) if *source == order.source => Some(*at),
         _ => None,
     });
     let in_force =
-        history.in_force.iter().filter(|seen| is_same(seen, order)).map(|seen| seen.from);
+        history.in_force.iter().filter(|record| is_same(record, order)).map(|record| record.from);
     order.first(OrderResponse::Acknowledged).into_iter().chain(read).chain(in_force).min()
 }
 
-fn is_same(seen: &InForceRecord, order: &OrderRecord) -> bool {
-    seen.number == order.number && order.fingerprint == Some(seen.fingerprint)
+fn is_same(record: &InForceRecord, order: &OrderRecord) -> bool {
+    record.number == order.number && order.fingerprint == Some(record.fingerprint)
 }
 
-/// Of all that share a number or a base one is taken at the most.
+/// At most one of the orders with the same number or base is applied.
 fn check_races(history: &History, applied: &[Option<Micros>], violations: &mut Vec<Violation>) {
     let mut by_number = std::collections::BTreeMap::new();
     let mut by_base = std::collections::BTreeMap::new();
     for (at, order) in history.orders.iter().enumerate().filter(|(at, _)| applied[*at].is_some()) {
         if let Some(other) = by_number.insert(order.number, at) {
-            let text = format!("orders {other} and {at} were both taken as {}", order.number);
+            let text = format!("orders {other} and {at} were both applied as {}", order.number);
             add_violation(violations, Line::OrderRace, text);
         }
         if let Some(other) = by_base.insert(order.base, at) {
-            let text = format!("orders {other} and {at} were both taken on {}", order.base);
+            let text = format!("orders {other} and {at} were both applied on base {}", order.base);
             add_violation(violations, Line::OrderRace, text);
         }
     }
 }
 
-/// An order is refused for a cause, and one that was taken never: not before, as it then was in
-/// force though refused, and not when it is sent again.
+/// An order is only refused for a reason, and never if it is applied: neither when it is sent
+/// again, nor before it turns out to be in force.
 fn check_refusals(
     history: &History,
     at: usize,
@@ -71,7 +72,7 @@
     match applied[at] {
         Some(applied) if applied <= refused => {
             let ms = (applied / 1_000, refused / 1_000);
-            let text = format!("{name} taken by {} ms was refused at {} ms", ms.0, ms.1);
+            let text = format!("{name} applied by {} ms was refused at {} ms", ms.0, ms.1);
             add_violation(violations, Line::OrderRefused, text);
         }
         Some(applied) => {
@@ -80,15 +81,15 @@
             add_violation(violations, Line::SpecWrong, text);
         }
         None if !is_justified(history, at, applied, refused) => {
-            let text = format!("{name} was refused at {} ms without a cause", refused / 1_000);
+            let text = format!("{name} was refused at {} ms without a reason", refused / 1_000);
             add_violation(violations, Line::OrderRefused, text);
         }
         None => {}
     }
 }
 
-/// Whether an order may have been refused by then: it is invalid, its base was not surely taken, or
-/// another may have been taken on that base or a later one.
+/// Whether an order may have been refused by then: it is invalid, its base was not certainly
+/// applied before, or another order may have been applied on that base or a later one.
 fn is_justified(history: &History, at: usize, applied: &[Option<Micros>], refused: Micros) -> bool {
     let order = &history.orders[at];
     let base_is_applied = order.base == 0
@@ -106,15 +107,15 @@
     !order.is_valid() || !base_is_applied || overtaken
 }
 
-/// Whoever asks long enough is told what became of an order.
+/// Enough attempts must get a response with the outcome of an order.
 fn check_outcome_known(history: &History, at: usize, violations: &mut Vec<Violation>) {
     let order = &history.orders[at];
     let is_clear = order.attempts.iter().any(|attempt| {
         matches!(attempt.response, Some((_, OrderResponse::Acknowledged | OrderResponse::Refused)))
     });
     if !is_clear && !order.attempts.is_empty() {
-        let times = order.attempts.len();
-        let text = format!("order {at} had no clear answer in {times} sendings");
+        let attempts = order.attempts.len();
+        let text = format!("order {at} had no clear response in {attempts} attempts");
         add_violation(violations, Line::Recovery, text);
     }
 }
@@ -126,24 +127,27 @@
         .filter_map(|order| Some((order.first(OrderResponse::Acknowledged)?, order.number)))
         .collect();
     let mut read: Vec<(Micros, u64)> = Vec::new();
-    for seen in &history.read_backs {
+    for record in &history.read_backs {
         let newest_before = |known: &[(Micros, u64)]| {
-            let before = known.iter().filter(|(at, _)| *at < seen.requested_at);
+            let before = known.iter().filter(|(at, _)| *at < record.requested_at);
             before.map(|(_, number)| *number).max().unwrap_or(0)
         };
-        let promised = newest_before(&acknowledged).max(newest_before(&read));
-        match number_read(history, seen) {
+        let newest_known = newest_before(&acknowledged).max(newest_before(&read));
+        match number_read(history, record) {
             Some(Some(number)) => {
-                read.extend(seen.outcome.as_ref().map(|(at, _)| (*at, number)));
-                if number < promised {
-                    let (asked, node) = (seen.requested_at / 1_000, &seen.node);
-                    let text = format!("{node} read {number} at {asked} ms after {promised}");
+                read.extend(record.outcome.as_ref().map(|(at, _)| (*at, number)));
+                if number < newest_known {
+                    let (requested_ms, node) = (record.requested_at / 1_000, &record.node);
+                    let text =
+                        format!("{node} read {number} at {requested_ms} ms after {newest_known}");
                     add_violation(violations, Line::SpecWrong, text);
                 }
             }
-            Some(None) if promised > 0 => {
-                let (asked, node) = (seen.requested_at / 1_000, &seen.node);
-                let text = format!("{node} read nothing known at {asked} ms after {promised}");
+            Some(None) if newest_known > 0 => {
+                let (requested_ms, node) = (record.requested_at / 1_000, &record.node);
+                let text = format!(
+                    "{node} read no known configuration at {requested_ms} ms after {newest_known}"
+                );
                 add_violation(violations, Line::SpecWrong, text);
             }
             Some(None) | None => {}
@@ -151,9 +155,10 @@
     }
 }
 
-/// The number of what was read back, if the answer was clear and if it is any order's.
-fn number_read(history: &History, seen: &ReadBackRecord) -> Option<Option<u64>> {
-    match &seen.outcome {
+/// The number of the configuration that a read returned, or `None` inside for no known order;
+/// `None` if the outcome is unclear.
+fn number_read(history: &History, record: &ReadBackRecord) -> Option<Option<u64>> {
+    match &record.outcome {
         Some((_, ReadBackOutcome::Given(source))) => {
             let order = history.orders.iter().find(|order| order.source == *source);
             Some(order.map(|order| order.number))
@@ -165,23 +170,27 @@
 
 fn check_in_force(history: &History, violations: &mut Vec<Violation>) {
     let mut newest = std::collections::BTreeMap::new();
-    for seen in &history.in_force {
-        let (relay, number) = (&seen.relay, seen.number);
-        let ms = (seen.from / 1_000, seen.until / 1_000);
-        if !history.orders.iter().any(|order| is_same(seen, order)) {
-            let text = format!("{relay} had a mixture under {number} from {} ms", ms.0);
+    for record in &history.in_force {
+        let (relay, number) = (&record.relay, record.number);
+        let ms = (record.from / 1_000, record.until / 1_000);
+        if !history.orders.iter().any(|order| is_same(record, order)) {
+            let text =
+                format!("{relay} had an unknown configuration {number} in force from {} ms", ms.0);
             add_violation(violations, Line::FeedMixed, text);
         }
-        let before = newest.entry((relay, seen.generation)).or_insert(number);
+        let before = newest.entry((relay, record.generation)).or_insert(number);
         if number < *before {
-            let text = format!("{relay} went back from {before} to {number} at {} ms", ms.0);
+            let text = format!("{relay} reverted from {before} to {number} at {} ms", ms.0);
             add_violation(violations, Line::FeedBack, text);
         }
         *before = number.max(*before);
         let overtaken = history.orders.iter().filter(|order| order.number > number);
         let since = overtaken.filter_map(|order| order.first(OrderResponse::Acknowledged)).min();
-        if since.is_some_and(|since| since + IN_FORCE_DELAY_US < seen.until) {
-            let text = format!("{relay} had {number} at {} ms, long after a later one", ms.1);
+        if since.is_some_and(|since| since + IN_FORCE_DELAY_US < record.until) {
+            let text = format!(
+                "{relay} had {number} in force at {} ms, long after a later one was acknowledged",
+                ms.1
+            );
             add_violation(violations, Line::SpecLate, text);
         }
     }
--- a/fleet-simulator/src/check/prompts.rs
+++ b/fleet-simulator/src/check/prompts.rs
@@ -1,4 +1,5 @@
-//! Prompts: at most once, whole, their own, and answered at once when given up.
+//! Checks prompts: non-repeatable work runs at most once, responses are complete and belong to
+//! their request, and refusals are timely and say when to retry.
 
 use super::{Line, Violation, add_violation};
 use crate::history::{History, PromptEnd, PromptRecord};
@@ -12,7 +13,7 @@
     }
     for (work, runs) in &run_counts {
         if *runs > 1 && !history.works[*work].repeatable {
-            let text = format!("work {work} may not be repeated and ran {runs} times");
+            let text = format!("non-repeatable work {work} ran {runs} times");
             add_violation(violations, Line::RanTwiceOrRefused, text);
         }
     }
@@ -21,11 +22,11 @@
         let Some((ended, end)) = &prompt.end else { continue };
         if let PromptEnd::Refused { status, ran, has_retry_after } = end {
             if *ran == Execution::NotRun && run_counts.contains_key(&prompt.work) {
-                let text = format!("prompt {at} was said not to have run and ran");
+                let text = format!("prompt {at} was reported as not run and ran");
                 add_violation(violations, Line::RanTwiceOrRefused, text);
             }
             if matches!(status, 429 | 502..=504) && !has_retry_after || *status == 413 {
-                let text = format!("prompt {at} got {status} without when to come back");
+                let text = format!("prompt {at} got {status} without saying when to retry");
                 add_violation(violations, Line::Answer, text);
             }
             let took_ms = (ended - prompt.sent) / 1_000;
@@ -59,12 +60,12 @@
             add_violation(
                 violations,
                 line,
-                format!("prompt {at} looked whole with pieces missing"),
+                format!("prompt {at} looked complete with pieces missing"),
             );
             add_violation(
                 violations,
                 Line::WrongReturn,
-                format!("prompt {at} looked whole when cut"),
+                format!("prompt {at} looked complete when interrupted"),
             );
         }
     }
--- a/fleet-simulator/src/check/rollouts.rs
+++ b/fleet-simulator/src/check/rollouts.rs
@@ -1,11 +1,13 @@
-//! Specs: in force in time, never back, never a refused one, read back no older than said.
+//! Checks configurations that are rolled out: they are in force in time, never reverted, never in
+//! force after a refusal, and reads return none older than acknowledged.
 //!
-//! Each spec maps a model that no other maps, so that prompts tell from outside what is in force.
+//! Each configuration routes a model that no other one routes, so that prompts show which one is in
+//! force.
 
 use super::{Line, Violation, add_violation};
 use crate::history::{History, Micros, PromptEnd, RolloutRecord};
 
-/// How long after its acknowledgement a spec may not be in force yet.
+/// How long after its acknowledgement a configuration may not be in force yet.
 pub(super) const IN_FORCE_DELAY_US: Micros = 2_000_000;
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>) {
@@ -19,7 +21,7 @@
                 format!("run {at} used a model that only the refused configuration {index} routes");
             add_violation(violations, Line::SpecWrong, text);
         }
-        if rollout.requested_at.is_none_or(|asked| run.began < asked) {
+        if rollout.requested_at.is_none_or(|requested_at| run.began < requested_at) {
             let text =
                 format!("run {at} used configuration {index} before its roll-out was requested");
             add_violation(violations, Line::Unmapped, text);
@@ -65,7 +67,7 @@
     }
 }
 
-/// Specs of a later version.
+/// Configurations with a higher version.
 fn later<'a>(
     history: &'a History,
     rollout: &'a RolloutRecord,
--- a/fleet-simulator/src/check/service.rs
+++ b/fleet-simulator/src/check/service.rs
@@ -1,11 +1,11 @@
-//! Service: back after a closing fault, and nothing held when nothing runs.
+//! Checks the service: it recovers after the last fault, and no hold is left when nothing runs.
 
 use super::{Bounds, Figures, Line, Violation, add_violation};
 use crate::history::{History, Micros, PromptEnd};
 
-/// How long after a closing fault service must be back.
+/// How long after the end of the last fault the service must have recovered.
 const RECOVERY_TIMEOUT_US: Micros = 12_000_000;
-/// Over which time service is measured after that.
+/// The period over which the service is measured after that.
 const MEASUREMENT_US: Micros = 5_000_000;
 
 pub(super) fn check(
@@ -27,7 +27,7 @@
         }
     }
     if bounds.drained && figures.connections_lost > 0 {
-        let text = format!("{} connections broke", figures.connections_lost);
+        let text = format!("{} connections lost", figures.connections_lost);
         add_violation(violations, Line::Drained, text);
     }
     latencies_ms.sort_unstable();
@@ -42,7 +42,10 @@
         let after = closed + RECOVERY_TIMEOUT_US;
         figures.after_per_s = completed_per_s(history, after, after + MEASUREMENT_US);
         if figures.after_per_s < figures.before_per_s / 4.0 {
-            let text = format!("{:.1}/s after {:.1}/s", figures.after_per_s, figures.before_per_s);
+            let text = format!(
+                "{:.1} complete responses/s after {:.1}/s before",
+                figures.after_per_s, figures.before_per_s
+            );
             add_violation(violations, Line::Recovery, text);
         }
         let recovered_at = (0..60)
@@ -53,19 +56,22 @@
             |fraction| longest_below(history, watched.clone(), figures.before_per_s * fraction);
         (figures.longest_below_half_ms, figures.longest_below_quarter_ms) =
             (longest_below_fraction(0.5), longest_below_fraction(0.25));
-        // Not only after the last fault: no fault may leave service below for longer.
+        // Applies during all faults: no fault may keep the service below a quarter for longer.
         if figures.longest_below_quarter_ms * 1_000 > RECOVERY_TIMEOUT_US {
-            let text = format!("below a quarter for {} ms", figures.longest_below_quarter_ms);
+            let text = format!(
+                "below a quarter of the earlier rate for {} ms",
+                figures.longest_below_quarter_ms
+            );
             add_violation(violations, Line::Recovery, text);
         }
         figures.back_after_ms = recovered_at.map(|at| (at - closed) / 1_000);
     }
     if let Some(holds) = history.holds_at_rest.filter(|holds| *holds > 0) {
-        add_violation(violations, Line::LeakedHold, format!("{holds} holds at rest"));
+        add_violation(violations, Line::LeakedHold, format!("{holds} holds left at the end"));
     }
 }
 
-/// For how many milliseconds at a stretch service was below a rate.
+/// The longest period, in milliseconds, in which the service was below a rate.
 fn longest_below(history: &History, watched: std::ops::Range<Micros>, rate: f64) -> u64 {
     let mut longest_ms = 0;
     let mut below_since = None;
--- a/fleet-simulator/src/history/mod.rs
+++ b/fleet-simulator/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! What was seen from outside. Moments are microseconds of simulated time.
+//! Everything the checker knows of a run: what clients, operators, engines and the simulated
+//! machines recorded. Times are microseconds of simulated time.
 
 mod orders;
 
@@ -8,134 +9,134 @@
     InForceRecord, OrderAttempt, OrderRecord, OrderResponse, ReadBackOutcome, ReadBackRecord,
 };
 
-/// A moment of simulated time.
+/// A simulated time or duration in microseconds.
 pub type Micros = u64;
 
 /// How a prompt ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PromptEnd {
-    /// A return that looked whole.
+    /// A response that looked complete.
     Complete,
-    /// The connection broke.
+    /// The connection was lost.
     ConnectionLost,
-    /// An error.
+    /// An error response.
     Refused {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// Whether it says that the work may have run.
+        /// What the error says about whether the work ran.
         ran: Execution,
-        /// Whether it says when to come back.
+        /// Whether it says when to retry.
         has_retry_after: bool,
     },
 }
 
-/// A piece of a return: of which prompt's run, which run, and which piece.
+/// A piece of an engine's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Piece {
-    /// The prompt or item that the engine ran.
+    /// Index of the work that the engine ran.
     pub work: usize,
-    /// The run.
+    /// Index of the run.
     pub run: usize,
-    /// The piece.
+    /// Index of the piece.
     pub index: u32,
-    /// How many there are.
+    /// Number of pieces in the response.
     pub of: u32,
 }
 
-/// A prompt as its client saw it.
+/// A prompt as its client recorded it.
 #[derive(Debug, Clone)]
 pub struct PromptRecord {
-    /// Which work it is, in the engines' logs too.
+    /// Index of the work, as in the engines' logs.
     pub work: usize,
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
     /// Whether it may be repeated.
     pub repeatable: bool,
     /// When it was sent.
     pub sent: Micros,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub wait: Micros,
-    /// The relay it was sent to.
+    /// The relay to which it was sent.
     pub relay: String,
-    /// The pieces that came.
+    /// The pieces received.
     pub pieces: Vec<Piece>,
     /// How it ended, and when.
     pub end: Option<(Micros, PromptEnd)>,
 }
 
-/// A run as an engine logged it.
+/// A run of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineRun {
-    /// Which work, or none if no client sent such a body.
+    /// Index of the work; `None` if no client sent such a body.
     pub work: Option<usize>,
     /// The engine.
     pub engine: String,
-    /// When it began.
+    /// When it started.
     pub began: Micros,
     /// When it ended, if it did.
     pub ended: Option<Micros>,
-    /// The cost that admission should have held for it.
+    /// The cost that admission should have reserved for it.
     pub cost: u64,
 }
 
-/// A kind of work that was handed in.
+/// Work submitted by a client: a prompt or an item of a batch.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// Its body; no two are alike.
+    /// Its body, which is unique.
     pub body: bytes::Bytes,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub repeatable: bool,
     /// Its model.
     pub model: String,
     /// Its estimated cost.
     pub cost: u64,
-    /// The batch it is an item of.
+    /// The batch that it is an item of.
     pub batch: Option<usize>,
 }
 
-/// A return as a batch's list showed it.
+/// A result in the list of a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedResult {
-    /// Its position.
+    /// Its position in the list.
     pub position: u32,
-    /// Its item.
+    /// Index of the item.
     pub item: u32,
-    /// What it says, with the body.
+    /// The kind of result, and its body if it has one.
     pub text: String,
-    /// The engine's whole return, where it is one.
+    /// The engine's complete response, if the result is one.
     pub body: Option<bytes::Bytes>,
 }
 
-/// A read of a batch as its client saw it.
+/// A read of a batch's status or list as its client recorded it.
 #[derive(Debug, Clone)]
 pub struct BatchRead {
-    /// When it was asked.
+    /// When the request was sent.
     pub requested_at: Micros,
-    /// The relay that was asked.
+    /// The relay to which it was sent.
     pub relay: String,
-    /// What came back, and when.
+    /// The response, and when it arrived.
     pub outcome: Option<(Micros, BatchReadOutcome)>,
 }
 
-/// What a read of a batch gave.
+/// The outcome of a read of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchReadOutcome {
-    /// How it stands, or a page of its list.
+    /// The status of the batch or a page of its list.
     Given,
-    /// That there is no such batch.
+    /// The response that there is no such batch.
     Unknown,
-    /// An error.
+    /// An error response.
     Refused,
 }
 
-/// What a machine is struck by.
+/// Kinds of impairments of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ImpairmentKind {
-    /// It is off.
+    /// It is stopped.
     Off,
     /// It is frozen.
     Frozen,
-    /// It is cut off, at least one way.
+    /// It is cut off in at least one direction.
     Cut,
     /// Its disk is slow.
     SlowDisk,
@@ -143,103 +144,105 @@
     FullDisk,
 }
 
-/// A time during which a machine was struck: off, frozen, cut off, or with a slow or full disk.
+/// A period during which a machine was impaired: stopped, frozen, cut off, or with a slow or full
+/// disk.
 #[derive(Debug, Clone)]
 pub struct Impairment {
-    /// The process on it.
+    /// Name of the process on the machine.
     pub name: String,
-    /// By what.
+    /// The kind of impairment.
     pub kind: ImpairmentKind,
-    /// Whether it keeps something on a disk.
+    /// Whether the process keeps data on a disk.
     pub has_disk: bool,
-    /// From when.
+    /// When it began.
     pub from: Micros,
-    /// Until when; none if it was never mended.
+    /// When it ended; `None` if it never did.
     pub until: Option<Micros>,
 }
 
 impl Impairment {
-    /// When it was well again, or for ever.
+    /// When the machine recovered; a time beyond every run if it never did.
     pub fn ends_at(&self) -> Micros {
         self.until.unwrap_or(Micros::MAX / 2)
     }
 }
 
-/// A batch as its client saw it.
+/// A batch as its client recorded it.
 #[derive(Debug, Clone)]
 pub struct BatchRecord {
     /// Its id.
     pub id: topazyard_types::BatchId,
-    /// The first of its items in the list of works; the others follow.
+    /// Index of the work of its first item; the other items follow.
     pub first_work: usize,
-    /// How many items.
+    /// Number of items.
     pub items: u32,
-    /// The cost of all items.
+    /// The total cost of its items.
     pub cost: u64,
     /// When it was first sent.
     pub sent: Micros,
     /// When it was accepted.
     pub accepted: Option<Micros>,
-    /// Reads after it was accepted, of how it stands and of its list.
+    /// Reads of its status and its list after it was accepted.
     pub reads: Vec<BatchRead>,
-    /// Every list read from the first position: when answered, and what it showed.
+    /// Each complete read of its list, with the time of the last response.
     pub lists: Vec<(Micros, Vec<ListedResult>)>,
-    /// When its end was asked and acknowledged.
+    /// When a request to end it was acknowledged.
     pub ended: Option<Micros>,
-    /// Items asked back, with the moment of the answer and whether it said that they never run.
+    /// Recalled items: time of the response, index of the item, and whether the response says that
+    /// it never runs.
     pub recalls: Vec<(Micros, u32, bool)>,
 }
 
-/// A spec version as operators saw it.
+/// A configuration that is rolled out in stages, as operators recorded it.
 #[derive(Debug, Clone)]
 pub struct RolloutRecord {
-    /// Its version, once submitted.
+    /// Its version once it was submitted.
     pub version: Option<u64>,
-    /// Its ceiling on waiting batch work.
+    /// Its limit on waiting batch work.
     pub ceiling: u64,
-    /// The model that only this version maps.
+    /// A model that only this version routes.
     pub model: String,
-    /// Whether some step was refused, so that it never may take effect.
+    /// Whether a step was refused, so that it must never take effect.
     pub refused: bool,
-    /// When its roll-out was first asked for.
+    /// When its roll-out was first requested.
     pub requested_at: Option<Micros>,
     /// When its roll-out was acknowledged.
     pub acknowledged: Option<Micros>,
 }
 
-/// A read of the spec in force.
+/// A read of the rolled-out configuration in force.
 #[derive(Debug, Clone)]
 pub struct ConfigurationRead {
-    /// When it was asked.
+    /// When the request was sent.
     pub requested_at: Micros,
-    /// The version it gave.
+    /// The version returned.
     pub version: u64,
 }
 
-/// A list of engines that control acknowledged.
+/// A list of engines that the platform sent to control.
 #[derive(Debug, Clone)]
 pub struct EngineListRecord {
-    /// When the platform first sent it.
+    /// When it was first sent.
     pub sent: Micros,
     /// When it was acknowledged.
     pub acknowledged: Option<Micros>,
-    /// Engines that may be given work.
+    /// Engines that may receive work.
     pub ready: std::collections::BTreeSet<String>,
 }
 
-/// A fault, and when it was closed.
+/// A fault or the end of one.
 #[derive(Debug, Clone)]
 pub struct FaultRecord {
-    /// What was done.
+    /// What happened.
     pub text: String,
-    /// When.
+    /// When it happened.
     pub at: Micros,
 }
 
-/// Everything seen from outside.
+/// The history of a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// All work handed in.
+    /// All submitted work.
     pub works: Vec<Work>,
     /// Prompts.
     pub prompts: Vec<PromptRecord>,
@@ -247,30 +250,30 @@
     pub runs: Vec<EngineRun>,
     /// Batches.
     pub batches: Vec<BatchRecord>,
-    /// Specs.
+    /// Configurations rolled out in stages.
     pub rollouts: Vec<RolloutRecord>,
-    /// Reads of the spec in force.
+    /// Reads of the rolled-out configuration in force.
     pub configuration_reads: Vec<ConfigurationRead>,
-    /// Numbered configurations that were ordered.
+    /// Numbered configurations that operators ordered.
     pub orders: Vec<OrderRecord>,
-    /// Read-backs of the numbered configuration in force.
+    /// Reads of the numbered configuration in force.
     pub read_backs: Vec<ReadBackRecord>,
-    /// What each relay had in force, in the order in which it was seen.
+    /// Numbered configurations in force at each relay, in the order in which they were recorded.
     pub in_force: Vec<InForceRecord>,
-    /// Engine lists.
+    /// Lists of engines.
     pub engine_lists: Vec<EngineListRecord>,
-    /// Faults, for the trace.
+    /// Faults, printed with the run.
     pub faults: Vec<FaultRecord>,
-    /// Machines that were struck, and for how long.
+    /// Impairments of machines.
     pub impairments: Vec<Impairment>,
-    /// Waiting batch work as the copies have it, now and then.
+    /// Waiting batch work over time, according to the copies on the shards.
     pub waiting: Vec<(Micros, u64)>,
-    /// Holds at the counter at the very end, when nothing runs any more.
+    /// Holds at the token counter at the end, when nothing runs any more.
     pub holds_at_rest: Option<usize>,
 }
 
 impl History {
-    /// Whether a process's machine was struck at some time between two moments.
+    /// Whether the machine of a process was impaired at any time between two times.
     pub fn was_impaired(&self, name: &str, from: Micros, to: Micros) -> bool {
         let overlaps =
             |impairment: &Impairment| impairment.from <= to && impairment.ends_at() >= from;
--- a/fleet-simulator/src/history/orders.rs
+++ b/fleet-simulator/src/history/orders.rs
@@ -1,49 +1,49 @@
-//! Numbered configurations, as operators sent and read them and as relays had them in force.
+//! Numbered configurations as operators sent and read them, and as relays had them in force.
 
 use super::Micros;
 use topazyard_types::Digest;
 
-/// What an operator learned of one sending of its order.
+/// What an operator learned from one attempt to send its order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResponse {
     /// It was acknowledged.
     Acknowledged,
     /// It was refused.
     Refused,
-    /// Nothing is known: silence, a lost answer or an error of the node.
+    /// The outcome is unknown: no response, a lost response or an error of the node.
     Unclear,
 }
 
-/// One sending of an order.
+/// One attempt to send an order.
 #[derive(Debug, Clone)]
 pub struct OrderAttempt {
-    /// The node that was asked.
+    /// The node to which it was sent.
     pub node: String,
     /// When it was sent.
     pub requested_at: Micros,
-    /// What came of it, and when.
+    /// The response, and when it arrived.
     pub response: Option<(Micros, OrderResponse)>,
 }
 
 /// A numbered configuration that an operator ordered.
 #[derive(Debug, Clone)]
 pub struct OrderRecord {
-    /// Its number.
+    /// Its version number.
     pub number: u64,
-    /// The number that it builds on.
+    /// The version number it is based on.
     pub base: u64,
-    /// Its source, as it is read back; no two are alike.
+    /// Its source text, which is unique and returned by reads.
     pub source: bytes::Bytes,
-    /// What tells it apart where it is in force; none if it is invalid.
+    /// Identifies its content where it is in force; `None` if it is invalid.
     pub fingerprint: Option<Digest>,
-    /// The change that was sent in place of the whole, if it was one.
+    /// The patch that was sent instead of the complete configuration, if any.
     pub patch: Option<String>,
-    /// Each sending, in order.
+    /// All attempts to send it, in order.
     pub attempts: Vec<OrderAttempt>,
 }
 
 impl OrderRecord {
-    /// Whether it is valid if nothing else came between.
+    /// Whether it is valid if no other configuration was applied in between.
     pub fn is_valid(&self) -> bool {
         self.fingerprint.is_some() && self.number > self.base
     }
@@ -53,48 +53,48 @@
         self.attempts.first().map_or(Micros::MAX, |attempt| attempt.requested_at)
     }
 
-    /// When it was first answered so.
+    /// When this response first arrived.
     pub fn first(&self, wanted: OrderResponse) -> Option<Micros> {
         let responses = self.attempts.iter().filter_map(|attempt| attempt.response);
         responses.filter(|(_, response)| *response == wanted).map(|(at, _)| at).min()
     }
 }
 
-/// What a read-back gave.
+/// The outcome of a read of the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadBackOutcome {
-    /// This source.
+    /// The source text returned.
     Given(bytes::Bytes),
-    /// That there is none.
+    /// The response that no configuration is in force.
     Missing,
-    /// Nothing clear.
+    /// No response, or one that says nothing about the configuration.
     Unclear,
 }
 
-/// A read-back of the configuration in force.
+/// A read of the configuration in force.
 #[derive(Debug, Clone)]
 pub struct ReadBackRecord {
-    /// The node that was asked.
+    /// The node to which the request was sent.
     pub node: String,
-    /// When it was asked.
+    /// When the request was sent.
     pub requested_at: Micros,
-    /// What came of it, and when.
+    /// The outcome, and when the response arrived.
     pub outcome: Option<(Micros, ReadBackOutcome)>,
 }
 
-/// A configuration that a relay had in force for a time.
+/// A numbered configuration that was in force at a relay for a period.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InForceRecord {
     /// The relay.
     pub relay: String,
-    /// The relay's life: it rises with each start.
+    /// How often the relay was started.
     pub generation: u64,
-    /// The number that it gave.
+    /// The version number reported.
     pub number: u64,
-    /// The content that it had.
+    /// Identifies the content.
     pub fingerprint: Digest,
-    /// From when it was seen.
+    /// When it was first observed.
     pub from: Micros,
-    /// When it was last seen.
+    /// When it was last observed.
     pub until: Micros,
 }
--- a/fleet-simulator/src/model/action.rs
+++ b/fleet-simulator/src/model/action.rs
@@ -1,11 +1,11 @@
-//! What may happen next.
+//! The actions that a run of the model consists of.
 
-/// Who sends or takes a message.
+/// The sender or receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Party {
     /// A control node.
     Node(usize),
-    /// A follower of the feed.
+    /// A reader, which follows the update feed.
     Reader(usize),
     /// An operator.
     Operator(usize),
@@ -21,16 +21,16 @@
     }
 }
 
-/// A message under way, named so that the name still fits when a run is shortened.
+/// Identifies a message in flight by properties that stay valid when a run is shortened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageRef {
-    /// Who sent it.
+    /// The sender.
     pub from: Party,
-    /// Who is to take it.
+    /// The receiver.
     pub to: Party,
-    /// What kind of message it is.
+    /// The kind of message.
     pub label: &'static str,
-    /// Which of those of this kind between the two, the oldest first.
+    /// Index among the messages of this kind between the two, oldest first.
     pub nth: usize,
 }
 
@@ -44,83 +44,84 @@
 /// One step of a run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Action {
-    /// The oldest event under way happens; if there is none, time passes and everybody ticks.
+    /// The oldest pending event takes place; without one, time passes and every node ticks.
     Next,
-    /// So many milliseconds pass, and everybody ticks.
+    /// This many milliseconds pass, and every node ticks.
     Tick(u64),
-    /// So many milliseconds pass, and one node alone ticks.
+    /// This many milliseconds pass, and only one node ticks.
     TickAlone(u64, usize),
-    /// A message arrives, before older ones.
+    /// A message is delivered before older ones.
     Deliver(MessageRef),
     /// A message is lost.
     Lose(MessageRef),
-    /// A message arrives later a second time.
+    /// A message is delivered a second time later.
     Double(MessageRef),
-    /// A message stays under way until it is released.
+    /// A message is held back until it is released.
     Hold(MessageRef),
-    /// The message held for longest arrives.
+    /// The message held longest is delivered.
     Release,
-    /// A process is killed; so many of its writes that were not synced are kept.
+    /// A process is killed; some of its unsynced writes survive.
     Kill {
-        /// Whose.
+        /// The node.
         node: usize,
-        /// How many, the oldest first: the disk commits in order.
+        /// How many unsynced writes survive, oldest first, as the disk commits in order.
         kept: usize,
     },
-    /// All machines lose power; each keeps so many of its writes that were not synced.
+    /// All machines lose power; on each, some of the unsynced writes survive.
     PowerLoss {
-        /// How many, by node.
+        /// How many unsynced writes survive, by node.
         kept: Vec<usize>,
     },
-    /// A machine loses its disk, and with it its id.
+    /// A machine loses its disk and with it its node id.
     Wipe(usize),
-    /// A machine is lost and another takes its place at another address.
+    /// A machine is replaced by another one with an empty disk at another address.
     Replace(usize),
-    /// A process that does not run starts.
+    /// A stopped process starts.
     Restart(usize),
-    /// A disk syncs nothing until it is resumed.
+    /// A disk stops syncing until it is resumed.
     Stall(usize),
-    /// A stalled disk goes on.
+    /// A stalled disk resumes.
     Resume(usize),
-    /// Nothing goes from the first node to the second any more.
+    /// Blocks all messages from the first node to the second.
     Cut(usize, usize),
-    /// Nothing goes between a node and the other nodes any more.
+    /// Blocks all messages between a node and the other nodes.
     CutOff(usize),
-    /// All cuts end.
+    /// Removes all blocked links.
     Heal,
-    /// A process stands still; what it is sent waits.
+    /// A process is frozen; messages to it wait.
     Freeze(usize),
-    /// It goes on.
+    /// A frozen process continues.
     Thaw(usize),
-    /// An operator orders a configuration that builds on the newest one it knows of.
+    /// An operator orders a configuration based on the newest version it knows.
     Order {
-        /// Which operator.
+        /// The operator.
         operator: usize,
-        /// At which node.
+        /// The node that receives the call.
         node: usize,
-        /// By how much more than one its number is above its base.
+        /// By how much the new version exceeds the base version plus one.
         skip: u64,
     },
-    /// An operator sends the order that it has no clear answer to again.
+    /// An operator resends its order, whose outcome it does not know.
     Resend {
-        /// Which operator.
+        /// The operator.
         operator: usize,
-        /// At which node.
+        /// The node that receives the call.
         node: usize,
     },
     /// An operator reads the configuration in force.
     Read {
-        /// Which operator.
+        /// The operator.
         operator: usize,
-        /// At which node.
+        /// The node that receives the call.
         node: usize,
     },
-    /// All troubles end, and enough time passes for the fleet to be whole again.
+    /// All faults end, and enough time passes for the fleet to recover completely.
     Calm,
 }
 
 impl Action {
-    /// The kind of deviation, for a budget of each kind; none where it is none.
+    /// The kind of deviation, used to limit deviations by kind; `None` for actions that are no
+    /// deviation.
     pub fn kind(&self) -> Option<&'static str> {
         Some(match self {
             Self::Next | Self::Tick(_) | Self::Release | Self::Calm => return None,
--- a/fleet-simulator/src/model/fingerprint.rs
+++ b/fleet-simulator/src/model/fingerprint.rs
@@ -1,14 +1,14 @@
-//! A hash of a world's state: moments count by how long ago they were, so that two worlds in which
-//! the same may happen from now on are equal.
+//! Hashes the state of a world. Instants count by their age, so that two worlds with the same
+//! possible futures get the same hash.
 
 use std::hash::Hasher as _;
 use topazyard_types::MonotonicMs;
 
-/// Moments that are longer ago than every timeout are all alike.
+/// Instants older than this count as equal: it exceeds every timeout.
 const MAX_AGE_MS: u64 = 10_000;
 const INSTANT_TYPE: &str = "MonotonicMs";
 
-/// Takes the text of a state and hashes it.
+/// Hashes the debug text of a state as it is written.
 struct HashedText {
     hasher: std::collections::hash_map::DefaultHasher,
     now: MonotonicMs,
@@ -23,7 +23,7 @@
             && let Ok(at) = text.parse::<u64>()
         {
             self.in_instant = false;
-            // What never was is told apart from what was long ago.
+            // Zero stands for "never" and counts like the oldest instants.
             let age = if at == 0 { u64::MAX } else { self.now.0.saturating_sub(at) };
             self.hasher.write_u64(age.min(MAX_AGE_MS));
             return Ok(());
@@ -33,13 +33,13 @@
     }
 }
 
-/// Hashes anything that can be told as text.
+/// Hashes the debug texts of states.
 pub fn hash_of(now: MonotonicMs, states: &[&dyn std::fmt::Debug]) -> u64 {
     use std::fmt::Write as _;
     let hasher = std::collections::hash_map::DefaultHasher::new();
     let mut text = HashedText { hasher, now, in_instant: false };
     for state in states {
-        // Taking text never fails.
+        // Writing to the hasher never fails.
         let _ = write!(text, "{state:?}|");
     }
     text.hasher.finish()
--- a/fleet-simulator/src/model/injected_fault.rs
+++ b/fleet-simulator/src/model/injected_fault.rs
@@ -1,36 +1,37 @@
-//! Faults planted in the surroundings, each of which an invariant must see.
+//! Faults injected into the environment of the machines to test that each invariant detects one.
 
-/// A planted fault.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A node that restarts has forgotten what it voted and learned as a witness.
+    /// A restarted node has lost its witness state: its votes and the records it learned.
     ForgetVotes,
-    /// Votes are forgotten likewise, and a primary is told that its backups are in step with it.
+    /// Votes are lost as with `ForgetVotes`, and a primary receives forged reports that its backups
+    /// are in sync.
     ForgetVotesAndForgeInSync,
-    /// Writes are said to be synced when they are handed over.
+    /// Writes are reported as synced as soon as they are submitted.
     ReportSyncEarly,
-    /// A process that is killed leaves half of a write on its disk.
+    /// A killed process leaves half of a write on its disk.
     TornWrite,
-    /// An acknowledged order is told to its operator as refused.
+    /// An applied order is reported to its operator as refused.
     ReportAppliedAsRefused,
-    /// An order that is sent again is told to its operator as refused.
+    /// An applied order that is sent again is reported as refused.
     RefuseResent,
-    /// A refused order is told to its operator as taken.
+    /// A refused order is reported to its operator as applied.
     ReportRefusedAsApplied,
-    /// A reader is given the first view again in place of the newest.
+    /// A reader receives the first snapshot again instead of the newest state.
     StaleSnapshot,
-    /// A read is answered with the first source ever read.
+    /// A read returns the first source that was ever read.
     StaleRead,
-    /// A primary that nobody hears is told that all its backups confirmed.
+    /// An isolated primary receives forged confirmations from all its backups.
     ForgeConfirmations,
-    /// Records that are proposed lose their backups on the way.
+    /// Proposed epoch records lose their backups in transit.
     DropBackups,
-    /// More disks are lost at once than the fleet bears.
+    /// More disks are lost at once than the fleet tolerates.
     ExceedDiskLosses,
 }
 
 impl InjectedFault {
-    /// Whether nodes that restart have forgotten their votes.
+    /// Whether restarted nodes have lost their votes.
     pub fn forgets_votes(self) -> bool {
         matches!(self, Self::ForgetVotes | Self::ForgetVotesAndForgeInSync)
     }
--- a/fleet-simulator/src/model/invariants.rs
+++ b/fleet-simulator/src/model/invariants.rs
@@ -1,5 +1,5 @@
-//! What must hold in every state, by what operators and readers were told and by what a node that
-//! serves holds.
+//! Invariants of every state, checked against the responses that operators and readers received and
+//! the state of serving nodes.
 
 use super::order::Order;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,41 +9,41 @@
 use topazyard_wire::message::control::EpochRecord;
 use topazyard_wire::state::configuration_key;
 
-/// What must hold.
+/// A property that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// One node at most serves in an epoch.
+    /// At most one node serves in an epoch.
     OnePrimary,
     /// An epoch has one record.
     OneRecord,
-    /// A record names as many backups as disks may be lost.
+    /// A record names at least as many backups as disks may be lost at once.
     EnoughCopies,
-    /// A fleet that is whole and left alone serves.
+    /// A fleet without faults serves again after some time.
     Recovers,
-    /// What was acknowledged is in every later primary, and it or a later one is in force.
+    /// Every later primary has each acknowledged order, and that order or a later one is in force.
     Kept,
-    /// The routes of a primary, or of a reader, are those of the version in force.
+    /// The routes of a primary or a reader are those of the version in force.
     Whole,
-    /// Nothing that was refused is in force.
+    /// A refused order is never in force.
     RefusedStays,
-    /// A number has one content, and a version one change that builds on it.
+    /// A version has one content, and at most one order is applied on a base version.
     OneContent,
-    /// An order that was taken is not refused when it is sent again.
+    /// An applied order is not refused when it is sent again.
     TakenStays,
-    /// A reader never sees the configuration go back.
+    /// A reader never sees the configuration revert to an older one.
     NeverBack,
-    /// What is read was in force after the asking began.
+    /// A read returns nothing older than what was acknowledged before the request.
     Fresh,
-    /// A node that hears no other decides nothing.
+    /// A node that receives nothing from other nodes makes no decisions.
     AloneDecidesNothing,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// What was observed.
     pub text: String,
 }
 
@@ -53,15 +53,15 @@
     }
 }
 
-/// An order that was acknowledged.
+/// An acknowledged order.
 #[derive(Debug, Clone, Copy)]
 struct Acknowledged {
     order: usize,
-    /// The newest epoch in which a node had served by then.
+    /// The newest epoch in which a node had served at that time.
     served_epoch: Epoch,
 }
 
-/// Remembers what was told, and compares.
+/// Records what was observed and checks it against the invariants.
 #[derive(Debug, Clone, Default)]
 pub struct InvariantChecker {
     orders: Vec<Arc<Order>>,
@@ -69,7 +69,7 @@
     served: BTreeMap<Epoch, NodeId>,
     acknowledged: BTreeMap<ConfigurationVersion, Acknowledged>,
     refused: BTreeSet<usize>,
-    /// Orders known to be in force at some time, by version and by base.
+    /// Orders known to have been in force at some time, by version and by base.
     applied: BTreeMap<ConfigurationVersion, usize>,
     applied_bases: BTreeMap<ConfigurationVersion, usize>,
     only_invariant: Option<Invariant>,
@@ -78,7 +78,7 @@
 }
 
 impl InvariantChecker {
-    /// Looks at one invariant alone, or at all, of a fleet that may lose so many disks.
+    /// Checks one invariant or all of them, for a fleet that tolerates this many lost disks.
     pub fn new(only_invariant: Option<Invariant>, losses: u16) -> Self {
         Self { only_invariant, losses: usize::from(losses), ..Self::default() }
     }
@@ -88,14 +88,14 @@
         self.violation.as_ref()
     }
 
-    /// Notes a violation, if it is the first.
+    /// Keeps a violation if it is the first one of a checked invariant.
     pub fn report(&mut self, invariant: Invariant, text: String) {
         if self.only_invariant.is_none_or(|only_invariant| only_invariant == invariant) {
             self.violation.get_or_insert(Violation { invariant, text });
         }
     }
 
-    /// An operator made up an order.
+    /// Registers a new order of an operator.
     pub fn add_order(
         &mut self,
         base: ConfigurationVersion,
@@ -106,12 +106,12 @@
         order
     }
 
-    /// The order of that number.
+    /// The order of a number.
     pub fn order(&self, number: usize) -> Option<&Arc<Order>> {
         self.orders.get(number)
     }
 
-    /// The newest version acknowledged.
+    /// The newest acknowledged version.
     pub fn newest_acknowledged(&self) -> ConfigurationVersion {
         self.acknowledged.last_key_value().map(|(version, _)| *version).unwrap_or_default()
     }
@@ -121,7 +121,8 @@
         self.served.last_key_value().map(|(epoch, _)| *epoch).unwrap_or_default()
     }
 
-    /// Looks at a node after a step of it, before which it was at a place, serving or not.
+    /// Checks a node after a step; `before` is its log position and whether it served before the
+    /// step.
     pub fn check_node(
         &mut self,
         id: NodeId,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// All that a primary begins with is committed from now on, but for what the same step added.
+    /// Everything a new primary starts with is committed, except for what the same step added.
     fn record_committed_orders(&mut self, machine: &ControlMachine, step_added_rows: bool) {
         let copy = machine.copy();
         let added: BTreeSet<&str> = copy.last_changed_keys().filter(|_| step_added_rows).collect();
@@ -184,14 +185,14 @@
         });
         if let Some((version, acknowledged)) = lost {
             let text = format!(
-                "order {} ({version}) was acknowledged by epoch {}; the primary of {epoch} has {in_force} in force",
+                "order {} ({version}) was acknowledged when epoch {} served; the primary of {epoch} has {in_force} in force",
                 acknowledged.order, acknowledged.served_epoch
             );
             self.report(Invariant::Kept, text);
         }
     }
 
-    /// Checks that rows are those of one configuration.
+    /// Checks that all route rows belong to the configuration in force.
     fn check_rows(&mut self, holder: &str, rows: &BTreeMap<String, bytes::Bytes>) {
         let Some(version) = super::order::version_in_force(rows) else { return };
         let mut candidates = self.orders.iter().filter(|order| order.version == version);
@@ -201,7 +202,7 @@
         }
     }
 
-    /// An order is known to be or have been in force.
+    /// Records that an order is or was in force.
     fn record_applied(&mut self, number: usize) {
         let Some(order) = self.orders.get(number).cloned() else { return };
         if self.refused.contains(&number) {
@@ -211,12 +212,12 @@
         let same_version = *self.applied.entry(order.version).or_insert(number);
         let same_base = *self.applied_bases.entry(order.base).or_insert(number);
         for other in [same_version, same_base].into_iter().filter(|other| *other != number) {
-            let text = format!("orders {other} and {number} ({}) were both taken", order.version);
+            let text = format!("orders {other} and {number} ({}) were both applied", order.version);
             self.report(Invariant::OneContent, text);
         }
     }
 
-    /// An operator was told that its order is in force.
+    /// Records that an operator was told that its order is in force.
     pub fn record_acknowledged(&mut self, number: usize) {
         let Some(order) = self.orders.get(number).cloned() else { return };
         let served_epoch = self.newest_served_epoch();
@@ -226,17 +227,17 @@
         self.record_applied(number);
     }
 
-    /// An operator was told that its order is refused for good.
+    /// Records that an operator was told that its order is finally refused.
     pub fn record_refused(&mut self, number: usize) {
         self.refused.insert(number);
         if self.applied.values().any(|applied| *applied == number) {
-            let text = format!("order {number} was taken, and refused when it came again");
+            let text = format!("order {number} was applied, and refused when it was sent again");
             self.report(Invariant::TakenStays, text);
         }
     }
 
-    /// Something that was read says that an order is in force; the asking began when the newest
-    /// version acknowledged was `since`.
+    /// Checks a read that returned an order; `acknowledged_before` is the newest version that was
+    /// acknowledged when the request was sent.
     pub fn check_read(
         &mut self,
         holder: &str,
@@ -245,9 +246,8 @@
     ) {
         let version = read.and_then(|number| self.orders.get(number)).map(|order| order.version);
         if version.unwrap_or_default() < acknowledged_before {
-            let text = format!(
-                "{holder} was shown {version:?}; {acknowledged_before} was acknowledged before"
-            );
+            let text =
+                format!("{holder} read {version:?}; {acknowledged_before} was acknowledged before");
             self.report(Invariant::Fresh, text);
         }
         if let Some(number) = read {
@@ -255,7 +255,8 @@
         }
     }
 
-    /// A reader's rows changed: `before` was the version in force.
+    /// Checks a reader whose rows were confirmed; `before` is the version it had in force until
+    /// then.
     pub fn check_reader(
         &mut self,
         holder: &str,
--- a/fleet-simulator/src/model/mod.rs
+++ b/fleet-simulator/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! The control side under every order of events: real control machines on a network, a clock and
-//! disks whose every step is chosen, by an exhaustive search or at random.
+//! Model checker for the control plane: real control machines on a simulated network, clock and
+//! disks. Every step is chosen by an exhaustive search or at random.
 //!
-//! A run is a list of [`Action`]s. [`Action::Next`] does what would happen by itself next; the
-//! others are the deviations: faults, late and doubled messages, and what operators ask.
+//! A run is a list of [`Action`]s. [`Action::Next`] performs the next pending event; the others are
+//! deviations: faults, reordered, lost and duplicated messages, and calls of operators.
 
 pub mod action;
 pub mod fingerprint;
@@ -22,25 +22,25 @@
 pub use invariants::{Invariant, Violation};
 pub use world::World;
 
-/// What a modelled fleet is made of.
+/// Configuration of a modelled fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Control nodes.
+    /// Number of control nodes.
     pub nodes: usize,
-    /// How many of them may lose their disks at once.
+    /// How many nodes may lose their disks at once.
     pub losses: u16,
-    /// Followers of the feed.
+    /// Number of feed followers.
     pub readers: usize,
-    /// Whether ticks between core nodes arrive at once; else they are messages like all others.
+    /// Whether heartbeats between core nodes arrive at once instead of as messages in flight.
     pub instant_ticks: bool,
-    /// A fault of the surroundings that an invariant must see.
+    /// A fault of the environment that an invariant must detect.
     pub injected_fault: Option<InjectedFault>,
-    /// The one invariant that is looked at; all of them if none is named.
+    /// The only invariant to check; all of them if `None`.
     pub only_invariant: Option<Invariant>,
 }
 
 impl Settings {
-    /// A fleet of so many control nodes, as many losses as that tolerates, and one reader.
+    /// A fleet of control nodes with the number of disk losses that it tolerates, and one reader.
     pub fn for_nodes(nodes: usize) -> Self {
         let losses = if nodes >= 5 { 2 } else { 1 };
         Self {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Replays actions on a new fleet; gives the world at the end or at the first violation.
+/// Replays actions on a new fleet; returns the world at the end or at the first violation.
 pub fn replay(settings: Settings, actions: &[Action]) -> World {
     let mut world = World::bootstrapped(settings);
     for action in actions {
@@ -66,7 +66,8 @@
     world
 }
 
-/// The lines that tell a run: each action that took place, and what the nodes noted.
+/// Replays a run and returns its log: each action, the events and log lines of the nodes, and the
+/// violation, if any.
 pub fn describe_run(settings: Settings, actions: &[Action]) -> Vec<String> {
     let mut world = World::bootstrapped(settings);
     world.keep_notes();
@@ -78,7 +79,7 @@
     }
     let mut lines = world.take_notes();
     if let Some(violation) = world.violation() {
-        lines.push(format!("CROSSED {violation}"));
+        lines.push(format!("VIOLATION: {violation}"));
     }
     lines
 }
--- a/fleet-simulator/src/model/network.rs
+++ b/fleet-simulator/src/model/network.rs
@@ -1,4 +1,4 @@
-//! Messages under way, in the order in which they were sent.
+//! Messages in flight, in the order in which they were sent.
 
 use super::{MessageRef, Party};
 use topazyard_types::NodeId;
@@ -8,56 +8,56 @@
 use topazyard_wire::message::operate::{OperatorMessage, OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::replica::ReplicaBody;
 
-/// What is under way.
+/// The content of a message in flight.
 #[derive(Debug, Clone)]
 pub enum Payload {
     /// A frame between processes.
     Frame {
-        /// The id of the sender.
+        /// The node id of the sender.
         sender: NodeId,
-        /// Its address.
+        /// The sender's address.
         from: std::net::SocketAddr,
-        /// The address it goes to.
+        /// The receiver's address.
         to: std::net::SocketAddr,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// An operator's call.
     Call {
-        /// Which asking.
+        /// Index of the call.
         call_index: usize,
-        /// What is asked.
+        /// The request.
         request: OperatorRequest,
     },
-    /// The return of one.
+    /// The response to an operator's call.
     Response {
-        /// Which asking.
+        /// Index of the call.
         call_index: usize,
-        /// What came of it.
+        /// The outcome.
         outcome: OperatorOutcome,
     },
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 pub struct Envelope {
-    /// When it was sent, among all events.
+    /// Number of the event in which it was sent.
     pub event_number: u64,
-    /// Who sent it.
+    /// The sender.
     pub from: Party,
-    /// Who is to take it.
+    /// The receiver.
     pub to: Party,
-    /// What it is.
+    /// The content.
     pub payload: Payload,
 }
 
 impl Envelope {
-    /// Whether the letter names a message of this kind between these two.
+    /// Whether the reference names a message of this kind between these two.
     pub fn matches(&self, message: &MessageRef) -> bool {
         self.from == message.from && self.to == message.to && self.label() == message.label
     }
 
-    /// What kind of message it is.
+    /// The kind of message.
     pub fn label(&self) -> &'static str {
         match &self.payload {
             Payload::Frame { message, .. } => label_of(message),
@@ -100,7 +100,7 @@
     }
 }
 
-/// The names of all messages under way, the oldest first.
+/// References to all messages in flight, oldest first.
 pub fn message_refs(envelopes: &[Envelope]) -> Vec<MessageRef> {
     let mut counts: std::collections::BTreeMap<(Party, Party, &'static str), usize> =
         std::collections::BTreeMap::new();
@@ -113,7 +113,7 @@
     message_refs.collect()
 }
 
-/// Where the message that a letter names stands.
+/// Index of the message that a reference names.
 pub fn find(envelopes: &[Envelope], message: &MessageRef) -> Option<usize> {
     let matching = envelopes.iter().enumerate().filter(|(_, envelope)| envelope.matches(message));
     matching.map(|(at, _)| at).nth(message.nth)
--- a/fleet-simulator/src/model/node.rs
+++ b/fleet-simulator/src/model/node.rs
@@ -1,4 +1,4 @@
-//! A control node: its machine while it runs, and its disk.
+//! A control node: its state machine while the process runs, and its disk.
 
 use super::fingerprint;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,35 +9,35 @@
 use topazyard_wire::rows::LoadedRows;
 use topazyard_wire::{RowChange, WriteToken};
 
-/// A write that is not synced.
+/// An unsynced write.
 #[derive(Debug, Clone)]
 pub struct Write {
-    /// When it was handed over, among all events.
+    /// Number of the event in which it was submitted.
     pub event_number: u64,
-    /// The machine's mark.
+    /// The machine's token for it.
     pub token: WriteToken,
-    /// The rows.
+    /// The changed rows.
     pub changes: Vec<RowChange>,
 }
 
-/// A disk that commits in order.
+/// A disk that commits writes in order.
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
-    /// What is synced.
+    /// Synced rows.
     pub synced: LoadedRows,
-    /// What is not, the oldest first.
+    /// Unsynced writes, oldest first.
     pub unsynced: VecDeque<Write>,
 }
 
 impl Disk {
-    /// Commits the oldest write.
+    /// Commits the oldest unsynced write.
     pub fn sync(&mut self) -> Option<WriteToken> {
         let write = self.unsynced.pop_front()?;
         self.apply(write.token, write.changes);
         Some(write.token)
     }
 
-    /// Commits rows.
+    /// Applies changes to the synced rows.
     pub fn apply(&mut self, token: WriteToken, changes: Vec<RowChange>) {
         let rows = self.synced.entry(token.group).or_default();
         for change in changes {
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The process ends: a transaction holds a run of writes, so the oldest few are kept.
+    /// The process ends. A transaction covers consecutive writes, so the oldest `kept` ones
+    /// survive.
     pub fn crash(&mut self, kept: usize) {
         for _ in 0..kept {
             self.sync();
@@ -60,34 +61,34 @@
 /// One control node.
 #[derive(Debug, Clone)]
 pub struct Node {
-    /// Where it takes frames.
+    /// The address at which it receives frames.
     pub address: std::net::SocketAddr,
-    /// Its id.
+    /// Its node id.
     pub id: NodeId,
     /// The machine, while the process runs.
     pub machine: Option<ControlMachine>,
-    /// The disk.
+    /// Its disk.
     pub disk: Disk,
     /// How often it was started.
     pub starts: u64,
-    /// How often another machine took its place.
+    /// How often it was replaced by another machine.
     pub relocations: u16,
-    /// Whether it stands still.
+    /// Whether the process is frozen.
     pub is_frozen: bool,
-    /// Whether its disk syncs nothing.
+    /// Whether the disk is stalled.
     pub is_stalled: bool,
-    /// Calls that wait for their return: which asking each belongs to.
+    /// Calls without a response yet, with the index of each operator call.
     pub calls: BTreeMap<CallId, usize>,
     /// The number of the last call.
     pub last_call: u64,
-    /// Since which event nothing of the other nodes can reach it.
+    /// The event since which no message of another node can reach it.
     pub isolated_since: Option<u64>,
-    /// The hash of all this, and at which moment, once it was asked for.
+    /// The hash of the state and the time for which it was computed.
     cached_hash: std::sync::OnceLock<(MonotonicMs, u64)>,
 }
 
 impl Node {
-    /// A node that does not run yet, with an empty disk.
+    /// A stopped node with an empty disk.
     pub fn new(number: usize) -> Self {
         Self {
             address: address_of(number, 0),
@@ -105,14 +106,14 @@
         }
     }
 
-    /// Changes a node that worlds may share.
+    /// Makes a node mutable that several worlds may share, and drops its cached hash.
     pub fn make_mut(node: &mut Arc<Self>) -> &mut Self {
         let node = Arc::make_mut(node);
         node.cached_hash = std::sync::OnceLock::new();
         node
     }
 
-    /// The hash of its state.
+    /// A hash of its state.
     pub fn fingerprint(&self, now: MonotonicMs) -> u64 {
         let (at, hash) = self.cached_hash.get_or_init(|| (now, self.hash_at(now)));
         if *at == now { *hash } else { self.hash_at(now) }
@@ -128,7 +129,7 @@
         fingerprint::hash_of(now, &[&self.machine, &flags, &self.calls, &unsynced, &synced])
     }
 
-    /// Whether it can take an input now.
+    /// Whether it can process inputs now.
     pub fn is_responsive(&self) -> bool {
         self.machine.is_some() && !self.is_frozen
     }
@@ -138,7 +139,7 @@
         self.machine.as_ref().is_some_and(ControlMachine::is_serving)
     }
 
-    /// The process ends.
+    /// The process ends; this many unsynced writes survive.
     pub fn crash(&mut self, kept: usize) {
         self.machine = None;
         self.disk.crash(kept);
@@ -149,7 +150,7 @@
     }
 }
 
-/// Where the node of that number takes frames after it was moved so often.
+/// The address of a node after a number of relocations.
 pub fn address_of(number: usize, relocations: u16) -> std::net::SocketAddr {
     ([127, 0, 0, 1], 1_000 + number as u16 + 100 * relocations).into()
 }
--- a/fleet-simulator/src/model/search.rs
+++ b/fleet-simulator/src/model/search.rs
@@ -1,33 +1,35 @@
-//! The exhaustive search: from a founded fleet with both operators' orders under way, what happens
-//! by itself, and at every point of it every deviation that the bounds still allow.
+//! The exhaustive search. It starts from a bootstrapped fleet with an order of each operator in
+//! flight, performs the pending events in order, and tries every deviation within the bounds at
+//! every point.
 //!
-//! States are counted by hash; one that was met with as many steps left is not gone into again.
+//! States are identified by hash; a state reached before with at least as many steps left is not
+//! explored again.
 
 use super::world::{OPERATORS, World};
 use super::{Action, Settings, Violation, network};
 use std::collections::{BTreeSet, HashMap};
 
-/// How far the search goes.
+/// Limits of the search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Steps of each run.
+    /// Maximum steps per run.
     pub depth: usize,
-    /// Deviations of each run, each of another kind.
+    /// Maximum deviations per run, each of a different kind.
     pub deviations: usize,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Default)]
 pub struct SearchResult {
-    /// States that differ.
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps taken.
+    /// Number of steps performed.
     pub steps: u64,
-    /// Kinds of deviations that took place.
+    /// Kinds of deviations performed.
     pub kinds: BTreeSet<&'static str>,
-    /// The newest epoch that any state reached.
+    /// The newest epoch reached in any state.
     pub newest_epoch: u64,
-    /// A run that crosses an invariant.
+    /// The shortest run found that violates an invariant, with the violation.
     pub counterexample: Option<(Vec<Action>, Violation)>,
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// The runs that a search begins with: who orders where.
+/// The runs from which the search starts: which operator sends its order to which node.
 pub fn starting_points(settings: Settings) -> Vec<Vec<Action>> {
     let pairs = (0..settings.nodes).flat_map(|a| (0..settings.nodes).map(move |b| (a, b)));
     let both = |(first, second)| {
@@ -60,7 +62,8 @@
     pairs.map(both).collect()
 }
 
-/// Searches from every beginning, so many at a time. Each counts its own states.
+/// Searches from every starting point on several threads. Each starting point counts its own
+/// states.
 pub fn search(settings: Settings, bounds: Bounds, threads: usize) -> SearchResult {
     let starting_points = starting_points(settings);
     let threads = threads.max(1);
@@ -82,7 +85,7 @@
     found
 }
 
-/// Searches from one beginning.
+/// Searches from one starting point.
 pub fn search_from(settings: Settings, bounds: Bounds, starting_point: &[Action]) -> SearchResult {
     let mut world = World::bootstrapped(settings);
     for action in starting_point {
@@ -96,17 +99,18 @@
     search.found
 }
 
-/// A search that is under way.
+/// A search in progress.
 struct Search {
     bounds: Bounds,
-    /// The states met, each with the most steps that were left there.
+    /// States reached, each with the highest number of steps left there.
     visited: HashMap<u64, usize>,
     trace: Vec<Action>,
     found: SearchResult,
 }
 
 impl Search {
-    /// Goes on by itself to the end, and into each deviation on the way.
+    /// Performs pending events until the steps are used up, and branches into each possible
+    /// deviation on the way.
     fn explore(
         &mut self,
         mut world: World,
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Whether a state is new, has steps left and crosses nothing.
+    /// Whether a state is new, has steps left and violates no invariant.
     fn should_explore(
         &mut self,
         world: &World,
@@ -179,7 +183,7 @@
     }
 }
 
-/// All that may happen in a state besides what happens by itself.
+/// All deviations and repairs possible in a state.
 fn deviations(world: &World, used_kinds: &[&'static str], max_deviations: usize) -> Vec<Action> {
     let mut actions = repairs(world);
     if used_kinds.len() < max_deviations {
@@ -191,8 +195,8 @@
     actions
 }
 
-/// What mends; only while nothing else is under way, as in between it makes no difference that a
-/// late message does not make.
+/// Actions that end a fault. They are only tried when no event is pending: earlier ones differ only
+/// in ways that a delayed message covers as well.
 fn repairs(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
     if world.held() > 0 {
@@ -222,7 +226,8 @@
     let message_refs = network::message_refs(world.envelopes());
     let mut actions: Vec<Action> =
         message_refs.iter().skip(1).map(|message| Action::Deliver(*message)).collect();
-    // The oldest is the one that arrives next: each message is that at some time.
+    // Only the oldest message is lost, duplicated or held: every message is the oldest one at some
+    // time.
     if let Some(oldest) = message_refs.first() {
         actions.push(Action::Lose(*oldest));
         actions.push(Action::Double(*oldest));
@@ -244,7 +249,7 @@
         let others = (0..nodes.len()).filter(|other| *other != number);
         actions.extend(others.map(|other| Action::Cut(number, other)));
     }
-    // Each machine keeps none of its unsynced writes or all of them.
+    // Each machine keeps either none or all of its unsynced writes.
     let unsynced = |number: usize| nodes[number].disk.unsynced.len();
     let has_unsynced: Vec<usize> = (0..nodes.len()).filter(|n| unsynced(*n) > 0).collect();
     for choice in 0_u32..1 << has_unsynced.len() {
@@ -259,7 +264,7 @@
 
 fn operator_calls(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
-    // An operator turns to another node after silence, not in the middle of things.
+    // Operators only send calls when no event is pending: they try another node after silence.
     if !world.is_quiet() {
         return actions;
     }
--- a/fleet-simulator/src/model/shrink.rs
+++ b/fleet-simulator/src/model/shrink.rs
@@ -1,11 +1,11 @@
-//! Shortening of runs that cross an invariant, by delta debugging.
+//! Shortens runs that violate an invariant by delta debugging.
 
 use super::{Action, Invariant, Settings, replay};
 
-/// The most replays of one shortening.
+/// Maximum number of replays per run.
 const MAX_REPLAYS: usize = 4_000;
 
-/// A run that is being shortened.
+/// A run being shortened.
 struct Shrinking {
     settings: Settings,
     invariant: Invariant,
@@ -19,7 +19,7 @@
         world.violation().is_some_and(|violation| violation.invariant == self.invariant)
     }
 
-    /// Takes ever smaller pieces out, as long as the invariant is still crossed.
+    /// Removes ever smaller chunks as long as the invariant is still violated.
     fn remove_chunks(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
         let mut chunk = actions.len().div_ceil(2);
         while chunk > 0 {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A shorter run that crosses the same invariant.
+/// Returns a shorter run that violates the same invariant.
 pub fn shrink(settings: Settings, actions: &[Action], invariant: Invariant) -> Vec<Action> {
     let mut shrinking = Shrinking { settings, invariant, replays: 0 };
     let mut actions = actions.to_vec();
--- a/fleet-simulator/src/model/walk.rs
+++ b/fleet-simulator/src/model/walk.rs
@@ -1,37 +1,37 @@
-//! Random walks: what would happen by itself, with deviations drawn from a seed.
+//! Random walks: pending events in order, with deviations drawn from a seed.
 
 use super::world::{OPERATORS, World};
 use super::{Action, Settings, Violation, network};
 use rand::Rng as _;
 use rand::rngs::StdRng;
 
-/// Deviations in a hundred steps, one of which a walk draws.
+/// Percentages of steps that are deviations; each walk draws one of them.
 const DEVIATIONS_PERCENT: [u32; 4] = [3, 8, 20, 45];
-/// How often in a thousand steps all is mended and left alone.
+/// Probability per step, in 1/1000, of a phase in which all faults end.
 const CALM_PERMILLE: u32 = 2;
-/// Troubles at once, above which a walk mends one before it makes another.
+/// Maximum number of simultaneous faults before a walk ends one of them.
 const MAX_FAULTS: usize = 3;
-/// Times that may pass at once: below and above each timeout.
+/// How much time may pass in one step: values below and above each timeout.
 const TICK_INTERVALS_MS: [u64; 5] = [25, 100, 350, 700, 1_600];
 
-/// How a walk ended.
+/// Result of a walk.
 #[derive(Debug)]
 pub struct Walk {
     /// Its seed.
     pub seed: u64,
-    /// What happened.
+    /// The actions performed.
     pub actions: Vec<Action>,
-    /// What was crossed, if anything was.
+    /// The violation, if any.
     pub violation: Option<Violation>,
-    /// The highest epoch reached.
+    /// The newest epoch reached.
     pub newest_epoch: u64,
-    /// Orders acknowledged, as the newest version tells.
+    /// The newest acknowledged version.
     pub newest_version: u64,
-    /// After how many calms nobody served.
+    /// Number of calm phases after which no node served.
     pub unrecovered_calms: u32,
 }
 
-/// Walks so many steps from a seed.
+/// Walks this many steps from a seed.
 pub fn walk(settings: Settings, seed: u64, steps: usize) -> Walk {
     use rand::SeedableRng as _;
     let mut rng = StdRng::seed_from_u64(seed);
@@ -112,7 +112,7 @@
     }
 }
 
-/// What is wrong now, as the actions that mend it.
+/// The actions that would end the current faults.
 fn repairs(world: &World) -> Vec<Action> {
     let mut repairs = Vec::new();
     for (number, node) in world.nodes().iter().enumerate() {
@@ -138,7 +138,7 @@
         return repairs[rng.random_range(0..repairs.len())].clone();
     }
     let node = match world.primary() {
-        // Most of what matters befalls the primary.
+        // The primary is hit more often: its faults matter most.
         Some(primary) if rng.random_ratio(1, 3) => primary,
         _ => any_node(world, rng),
     };
--- a/fleet-simulator/src/model/world.rs
+++ b/fleet-simulator/src/model/world.rs
@@ -1,4 +1,4 @@
-//! A modelled fleet: what each action does to it.
+//! A modelled fleet and the effect of each action on it.
 
 mod apply;
 mod effects;
@@ -13,14 +13,14 @@
 use topazyard_types::{DurationMs, MonotonicMs, NodeId};
 use topazyard_wire::message::membership::{Member, MemberRole};
 
-/// How much time passes when nothing else happens: a few of these make every timeout run out, the
+/// How much time passes when no event is pending. A few of these steps exceed every timeout, the
 /// primary's before the backup's.
 pub const IDLE_STEP_MS: u64 = 250;
-/// How long a calm lasts: longer than a fleet may take until it is whole again.
+/// Duration of a calm phase: longer than a fleet may take to recover completely.
 const CALM_MS: u64 = 8_000;
-/// How long a fleet may take until it serves at first.
+/// How long a new fleet may take until a node serves.
 const BOOTSTRAP_TIMEOUT_MS: u64 = 10_000;
-/// Operators.
+/// Number of operators.
 pub const OPERATORS: usize = 2;
 
 /// A modelled fleet.
@@ -28,7 +28,7 @@
 pub struct World {
     settings: Settings,
     now: MonotonicMs,
-    /// How many events there were.
+    /// Number of events so far.
     events: u64,
     nodes: Vec<Arc<Node>>,
     readers: Vec<Reader>,
@@ -37,7 +37,7 @@
     envelopes: Vec<Envelope>,
     held: std::collections::VecDeque<Envelope>,
     cuts: std::collections::BTreeSet<(usize, usize)>,
-    /// Disks lost since the fleet was last whole.
+    /// Disks lost since the fleet last recovered completely.
     lost_disks: u16,
     checker: InvariantChecker,
     bootstrapping: bool,
@@ -47,8 +47,8 @@
 }
 
 impl World {
-    /// A fleet that was founded and serves, with one configuration in force that the operators and
-    /// the readers know.
+    /// A bootstrapped, serving fleet with one configuration in force that the operators and readers
+    /// know.
     pub fn bootstrapped(settings: Settings) -> Self {
         let mut world = Self {
             settings,
@@ -87,7 +87,7 @@
         world
     }
 
-    /// What this fleet is made of.
+    /// The configuration of this fleet.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -97,7 +97,7 @@
         self.checker.violation()
     }
 
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> MonotonicMs {
         self.now
     }
@@ -112,32 +112,32 @@
         &self.operators
     }
 
-    /// Messages under way, the oldest first.
+    /// Messages in flight, oldest first.
     pub fn envelopes(&self) -> &[Envelope] {
         &self.envelopes
     }
 
-    /// Messages that are held.
+    /// Number of held messages.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether any link is cut.
+    /// Whether any link is blocked.
     pub fn is_cut(&self) -> bool {
         !self.cuts.is_empty()
     }
 
-    /// After how many calms nobody served.
+    /// Number of calm phases after which no node served.
     pub fn unrecovered_calms(&self) -> u32 {
         self.unrecovered_calms
     }
 
-    /// The newest version acknowledged.
+    /// The newest acknowledged version.
     pub fn newest_acknowledged(&self) -> topazyard_types::ConfigurationVersion {
         self.checker.newest_acknowledged()
     }
 
-    /// The newest epoch that any node knows of.
+    /// The newest epoch known to any node.
     pub fn newest_epoch(&self) -> u64 {
         let records = self.nodes.iter().filter_map(|node| node.machine.as_ref()?.record());
         records.map(|record| record.epoch.0).max().unwrap_or(0)
@@ -152,12 +152,12 @@
         serving.max_by_key(|(_, node)| epoch(node)).map(|(number, _)| number)
     }
 
-    /// Keeps a line of each action and each note from now on.
+    /// Logs each action, event and log line of a node from now on.
     pub fn keep_notes(&mut self) {
         self.notes = Some(Vec::new());
     }
 
-    /// The lines kept.
+    /// The lines logged so far.
     pub fn take_notes(&mut self) -> Vec<String> {
         self.notes.take().unwrap_or_default()
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A hash of all from which the future follows.
+    /// A hash of everything that determines the future.
     pub fn fingerprint(&self) -> u64 {
         let nodes: Vec<u64> = self.nodes.iter().map(|n| n.fingerprint(self.now)).collect();
         let mut states: Vec<&dyn std::fmt::Debug> = vec![&nodes];
@@ -187,7 +187,7 @@
         fingerprint::hash_of(self.now, &states)
     }
 
-    /// In which order what is under way would happen.
+    /// The order in which pending events would take place.
     fn event_order(&self) -> Vec<u64> {
         let envelopes = self.envelopes.iter().map(|envelope| envelope.event_number);
         let writes = self.nodes.iter().flat_map(|node| &node.disk.unsynced);
@@ -198,20 +198,20 @@
         numbers.iter().map(rank).collect()
     }
 
-    /// Who takes frames at an address.
+    /// The node or reader with an address.
     fn party_at(&self, address: std::net::SocketAddr) -> Option<Party> {
         let node = self.nodes.iter().position(|node| node.address == address);
         let reader = self.readers.iter().position(|reader| reader.address == address);
         node.map(Party::Node).or(reader.map(Party::Reader))
     }
 
-    /// Starts a node with what its disk holds.
+    /// Starts a node from the rows on its disk.
     fn start(&mut self, number: usize) {
         let seeds: Vec<_> =
             (0..self.settings.nodes).map(|n| super::node::address_of(n, 0)).collect();
         let node = Node::make_mut(&mut self.nodes[number]);
         node.starts += 1;
-        // A node with an empty disk draws a new id.
+        // A node with an empty disk draws a new node id.
         let new_id = NodeId(10 * node.starts + number as u64 + 1);
         let stored = node.disk.synced.entry(topazyard_wire::Group::Node).or_default();
         let id = stored.get("id").and_then(|id| topazyard_wire::rows::decode(id)).unwrap_or(new_id);
--- a/fleet-simulator/src/model/world/apply.rs
+++ b/fleet-simulator/src/model/world/apply.rs
@@ -1,4 +1,4 @@
-//! What each action does.
+//! Applies actions to a world.
 
 use super::{CALM_MS, IDLE_STEP_MS, World};
 use crate::model::invariants::Invariant;
@@ -12,17 +12,17 @@
 use topazyard_wire::message::operate::{OperatorRequest, Query};
 use topazyard_wire::{Input, WriteToken};
 
-/// What happens next by itself.
+/// An event that can take place next.
 enum PendingEvent {
     Delivery(usize),
     Sync(usize),
 }
 
-/// Moments at which a reader asked that are remembered; a follower keeps no more askings open.
+/// Request times remembered per reader; a follower keeps no more requests open.
 const MAX_OPEN_REQUESTS: usize = 8;
 
 impl World {
-    /// Does an action; gives whether there was anything to do.
+    /// Applies an action; returns whether it had any effect.
     pub fn apply(&mut self, action: &Action) -> bool {
         if *action != Action::Next {
             self.note(|| action.to_string());
@@ -94,7 +94,7 @@
         network::find(&self.envelopes, message).filter(|at| self.is_deliverable(*at))
     }
 
-    /// Whether who is to take it does not stand still.
+    /// Whether the receiver of a message is not frozen.
     fn is_deliverable(&self, at: usize) -> bool {
         match self.envelopes[at].to {
             Party::Node(number) => !self.nodes[number].is_frozen,
@@ -118,7 +118,7 @@
         delivery.into_iter().chain(syncs).min_by_key(|(number, _)| *number).map(|(_, event)| event)
     }
 
-    /// Whether nothing is under way that could happen now.
+    /// Whether no event is pending.
     pub fn is_quiet(&self) -> bool {
         self.next_pending().is_none()
     }
@@ -237,17 +237,17 @@
         true
     }
 
-    /// Nobody serves though nothing is wrong. Where a majority of the witnesses may be lost at once
-    /// that can't be helped.
+    /// No node serves although there is no fault. This is no violation where a majority of the
+    /// witnesses may lose their disks at once: such a fleet can't always recover.
     fn check_recovery(&mut self) {
         self.unrecovered_calms += 1;
         if self.nodes.len() > 2 * usize::from(self.settings.losses) {
-            let text = format!("nobody serves after {CALM_MS} ms without trouble");
+            let text = format!("nobody serves after {CALM_MS} ms without faults");
             self.checker.report(Invariant::Recovers, text);
         }
     }
 
-    /// Whether a node serves, all know its record, and it has all its backups.
+    /// Whether a node serves, all nodes have the same record, and it names all its backups.
     fn has_recovered(&self) -> bool {
         let records: Vec<_> = self
             .nodes
--- a/fleet-simulator/src/model/world/effects.rs
+++ b/fleet-simulator/src/model/world/effects.rs
@@ -1,4 +1,4 @@
-//! Steps of the machines, and what becomes of their effects.
+//! Steps of the machines and the effects that they request.
 
 use super::World;
 use crate::model::invariants::Invariant;
@@ -17,18 +17,18 @@
 
 pub(super) type ControlEffect = Effect<OperatorOutcome, ControlTask>;
 
-/// What a planted fault remembers.
+/// State of the injected faults.
 #[derive(Debug, Clone, Default)]
 pub(super) struct InjectedFaultState {
-    /// The first view that a reader was given.
+    /// The first snapshot that a reader received.
     first_snapshot: Option<std::collections::BTreeMap<String, bytes::Bytes>>,
     /// The first source that was read.
     first_source: Option<String>,
-    /// Orders that were answered once.
+    /// Orders that got a response already.
     responded: std::collections::BTreeSet<usize>,
 }
 
-/// Whether an outcome is final: the order is taken, or refused for good.
+/// Whether an outcome is final: the order is applied or refused for good.
 fn is_final(outcome: &OperatorOutcome) -> bool {
     match outcome {
         OperatorOutcome::Done(_) => true,
@@ -48,7 +48,7 @@
         self.events
     }
 
-    /// Lets a machine take an input, and carries out what it wants.
+    /// Passes an input to a machine and applies the effects.
     pub(super) fn step(&mut self, number: usize, input: Input<ControlCall>) {
         let now = self.now;
         let node = Node::make_mut(&mut self.nodes[number]);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether anything that is sent goes from one node to another.
+    /// Whether messages pass from one party to another.
     pub(super) fn is_connected(&self, from: Party, to: Party) -> bool {
         match (from, to) {
             (Party::Node(from), Party::Node(to)) => !self.cuts.contains(&(from, to)),
@@ -96,15 +96,16 @@
         if let (Message::Feed(FeedMessage::Update { .. }), Party::Reader(reader)) =
             (&message, party)
         {
-            let requested_at = self.readers[reader].request_arrivals.get(&number).copied();
-            self.check_isolated(number, requested_at, "confirmed a reader's asking");
+            let request_event = self.readers[reader].request_arrivals.get(&number).copied();
+            self.check_isolated(number, request_event, "confirmed a reader's request");
         }
         if !self.is_connected(Party::Node(number), party) {
             self.forge_confirmation(number, party, &message);
             return;
         }
         let (sender, from) = (self.nodes[number].id, self.nodes[number].address);
-        // Membership is no part of what is modelled: nothing is lost of it where nodes are linked.
+        // Membership is not part of the model: its messages are dropped, or while heartbeats are
+        // messages in flight, delivered at once between connected nodes.
         let is_instant = match &message {
             Message::Membership(_) => !self.settings.instant_ticks,
             Message::Core(CoreMessage::Heartbeat { .. }) => self.settings.instant_ticks,
@@ -125,13 +126,13 @@
         self.post(Party::Node(number), party, Payload::Frame { sender, from, to, message });
     }
 
-    /// Puts a message under way.
+    /// Puts a message in flight.
     pub(super) fn post(&mut self, from: Party, to: Party, payload: Payload) {
         let event_number = self.next_event();
         self.envelopes.push(Envelope { event_number, from, to, payload });
     }
 
-    /// The planted fault of a primary that is told what its backups never said.
+    /// Injected fault: an isolated primary receives responses that its backups never sent.
     fn forge_confirmation(&mut self, number: usize, to: Party, message: &Message) {
         let (Party::Node(backup), Message::Replica(sent)) = (to, message) else { return };
         let body = match (self.settings.injected_fault, &sent.body) {
@@ -147,18 +148,18 @@
         let message = Message::Replica(ReplicaMessage { body, ..sent.clone() });
         let (sender, from) = (self.nodes[backup].id, self.nodes[backup].address);
         let to = self.nodes[number].address;
-        // It comes from nowhere: nothing of the backup is under way.
+        // The sender is an operator so that no message of the backup counts as in flight.
         let frame = Payload::Frame { sender, from, to, message };
         self.post(Party::Operator(0), Party::Node(number), frame);
     }
 
-    /// A node that hears no other decides nothing that was asked since.
-    fn check_isolated(&mut self, number: usize, requested_at: Option<u64>, what: &str) {
+    /// An isolated node must not decide anything that was requested after it became isolated.
+    fn check_isolated(&mut self, number: usize, request_event: Option<u64>, what: &str) {
         let isolated_since = self.nodes[number].isolated_since;
-        if let (Some(isolated_since), Some(requested_at)) = (isolated_since, requested_at)
-            && requested_at > isolated_since
+        if let (Some(isolated_since), Some(request_event)) = (isolated_since, request_event)
+            && request_event > isolated_since
         {
-            let text = format!("n{number} hears no other node and {what}");
+            let text = format!("n{number} receives nothing from the other nodes and {what}");
             self.checker.report(Invariant::AloneDecidesNothing, text);
         }
     }
@@ -168,13 +169,13 @@
         let Some(call_index) = node.calls.remove(&call) else { return };
         if is_final(&outcome) {
             let arrived_at_event = self.calls[call_index].arrived_at_event;
-            self.check_isolated(number, arrived_at_event, "answered an operator");
+            self.check_isolated(number, arrived_at_event, "responded to an operator");
         }
         let to = Party::Operator(self.calls[call_index].operator);
         self.post(Party::Node(number), to, Payload::Response { call_index, outcome });
     }
 
-    /// A message reaches who is to take it; one that does not run takes nothing.
+    /// Delivers a message; a process that does not run receives nothing.
     pub(super) fn deliver(&mut self, envelope: Envelope) {
         let Envelope { from, to, payload, .. } = envelope;
         match (to, payload) {
@@ -193,7 +194,7 @@
 
     fn node_receives(&mut self, number: usize, party: Party, payload: Payload) {
         match payload {
-            // The address may have gone to another machine meanwhile.
+            // The node may have moved to another address since.
             Payload::Frame { to, .. } if self.nodes[number].address != to => {}
             Payload::Frame { sender, from, message, .. } => {
                 let is_request = matches!(message, Message::Feed(FeedMessage::Request { .. }));
@@ -240,7 +241,7 @@
         }
     }
 
-    /// The planted fault of a reader that is shown the first view again.
+    /// Injected fault: a reader receives the first snapshot again.
     fn inject_stale_snapshot(
         &mut self,
         version_shown: Option<ConfigurationVersion>,
@@ -302,7 +303,7 @@
         let Some(injected_fault) = self.settings.injected_fault else { return outcome };
         let is_done = matches!(outcome, OperatorOutcome::Done(_));
         match (injected_fault, kind) {
-            // The first order founds what follows.
+            // The first order is part of the initial state, so no fault applies to it.
             (_, CallKind::Order(0)) => outcome,
             (InjectedFault::ReportAppliedAsRefused, CallKind::Order(_)) if is_done => stale_base(),
             (InjectedFault::RefuseResent, CallKind::Order(order)) if is_done => {
--- a/fleet-simulator/src/model/world/faults.rs
+++ b/fleet-simulator/src/model/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what ends, stands still or is cut.
+//! Faults: killed and frozen processes, lost and stalled disks, blocked links.
 
 use super::World;
 use crate::model::InjectedFault;
@@ -33,12 +33,12 @@
         for number in 0..self.nodes.len() {
             self.kill(number, kept.get(number).copied().unwrap_or(0));
         }
-        // What was under way is gone with the machines.
+        // Messages in flight are lost with the machines.
         self.envelopes.retain(|envelope| !matches!(envelope.from, crate::model::Party::Node(_)));
         true
     }
 
-    /// Whether another disk may be lost: no more at once than the fleet bears.
+    /// Whether another disk may be lost without exceeding what the fleet tolerates.
     pub fn may_lose_disk(&self) -> bool {
         let ignores_limit = self.settings.injected_fault == Some(InjectedFault::ExceedDiskLosses);
         ignores_limit || self.lost_disks < self.settings.losses
@@ -105,8 +105,8 @@
         was_cut
     }
 
-    /// Notes for each node since when nothing of the others can reach it: all links to it are cut,
-    /// nothing is under way to it, and it waits for no sync.
+    /// Records for each node since when no message of another node can reach it: all links to it
+    /// are blocked, no message to it is in flight, and it waits for no sync.
     pub(super) fn update_isolation(&mut self) {
         for number in 0..self.nodes.len() {
             let others = (0..self.nodes.len()).filter(|other| *other != number);
--- a/fleet-simulator/src/model_command.rs
+++ b/fleet-simulator/src/model_command.rs
@@ -1,46 +1,47 @@
-//! The command that searches the model of the control side.
+//! The `model` command: searches the model of the control plane.
 
 use fleet_simulator::model::search::{Bounds, search};
 use fleet_simulator::model::walk::{Walk, walk};
 use fleet_simulator::model::{Action, Settings, Violation, describe_run, shrink};
 use std::process::ExitCode;
 
-/// Searches the orders of events that the control side may meet; prints a short run that crosses an
-/// invariant, if it finds one
+/// Explores the orders of events that the control plane may encounter; prints a short run that
+/// violates an invariant, if it finds one
 #[derive(clap::Args)]
 pub struct ModelFlags {
-    /// Control nodes
+    /// Number of control nodes
     #[arg(long, default_value_t = 3)]
     nodes: usize,
-    /// How many of them may lose their disks at once; by default one, or two of five nodes
+    /// How many of them may lose their disks at once [default: 1, or 2 of five or more nodes]
     #[arg(long)]
     losses: Option<u16>,
-    /// Steps of each run of the exhaustive search; 0 for none [default: 8 without --walks, else 0]
+    /// Maximum steps per run of the exhaustive search; 0 for no search [default: 8 without --walks,
+    /// else 0]
     #[arg(long)]
     depth: Option<usize>,
-    /// Deviations in each of its runs, each of another kind
+    /// Maximum deviations per run of the search, each of a different kind
     #[arg(long, default_value_t = 2)]
     deviations: usize,
-    /// Random walks [default: 100 without --depth, else 0]
+    /// Number of random walks [default: 100 without --depth, else 0]
     #[arg(long)]
     walks: Option<u64>,
-    /// Steps of each walk
+    /// Steps per walk
     #[arg(long, default_value_t = 2_000)]
     steps: usize,
     /// The seed of the first walk
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Whether ticks between core nodes are messages like all others
+    /// Treat heartbeats between core nodes as messages in flight
     #[arg(long)]
     ticks_under_way: bool,
-    /// How many at a time
+    /// Number of threads
     #[arg(long, default_value_t = 3)]
     threads: usize,
 }
 
-/// How deep is searched where nothing is said.
+/// Search depth if neither `--depth` nor `--walks` is given.
 const DEFAULT_DEPTH: usize = 8;
-/// How many walks are made where nothing is said.
+/// Number of walks if neither `--depth` nor `--walks` is given.
 const DEFAULT_WALKS: u64 = 100;
 
 impl ModelFlags {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Searches as the flags say.
+/// Runs the search and the walks that the flags request.
 pub fn run(flags: &ModelFlags) -> ExitCode {
     if flags.depth() == 0 && flags.walks() == 0 {
         eprintln!("nothing to search: --depth and --walks are both 0");
@@ -67,8 +68,8 @@
     let from_search = if flags.depth() > 0 { run_search(flags, settings) } else { None };
     let from_walks = if flags.walks() > 0 { run_walks(flags, settings) } else { None };
     match from_search.or(from_walks) {
-        Some(violating) => {
-            print_counterexample(settings, &violating.0, &violating.1);
+        Some(counterexample) => {
+            print_counterexample(settings, &counterexample.0, &counterexample.1);
             ExitCode::FAILURE
         }
         None => ExitCode::SUCCESS,
@@ -76,14 +77,14 @@
 }
 
 fn print_counterexample(settings: Settings, actions: &[Action], violation: &Violation) {
-    println!("CROSSED {violation}");
+    println!("VIOLATION: {violation}");
     let short = shrink::shrink(settings, actions, violation.invariant);
     println!("the shortest run found has {} actions of {}:", short.len(), actions.len());
     describe_run(settings, &short).iter().for_each(|line| println!("  {line}"));
     println!("as actions: {short:?}");
 }
 
-/// Searches; gives the shortest run that crossed an invariant.
+/// Runs the search; returns the shortest run that violated an invariant.
 fn run_search(flags: &ModelFlags, settings: Settings) -> Option<(Vec<Action>, Violation)> {
     let started_at = std::time::Instant::now();
     let bounds = Bounds { depth: flags.depth(), deviations: flags.deviations };
@@ -104,13 +105,13 @@
     found.counterexample
 }
 
-/// Walks; gives the run of the lowest seed that crossed an invariant.
+/// Runs the walks; returns the run of the lowest seed that violated an invariant.
 fn run_walks(flags: &ModelFlags, settings: Settings) -> Option<(Vec<Action>, Violation)> {
     let started_at = std::time::Instant::now();
     let (sender, receiver) = std::sync::mpsc::channel();
     let threads = flags.threads.max(1) as u64;
     let mut violating: Vec<Walk> = Vec::new();
-    let (mut walks, mut steps, mut epochs, mut versions, mut stuck) = (0_u64, 0, 0, 0, 0_u64);
+    let (mut walks, mut steps, mut epochs, mut versions, mut unrecovered) = (0_u64, 0, 0, 0, 0_u64);
     std::thread::scope(|scope| {
         for worker in 0..threads {
             let sender = sender.clone();
@@ -130,7 +131,7 @@
             steps += walk.actions.len();
             epochs += walk.newest_epoch;
             versions += walk.newest_version;
-            stuck += u64::from(walk.unrecovered_calms);
+            unrecovered += u64::from(walk.unrecovered_calms);
             if let Some(violation) = &walk.violation {
                 println!("seed {} after {} actions: {violation}", walk.seed, walk.actions.len());
                 violating.push(walk);
@@ -139,7 +140,7 @@
     });
     println!(
         "{walks} walks of {} nodes, {} losses: {steps} actions, {epochs} epochs, {versions} versions, \
-         {stuck} calms after which nobody served, {} crossed an invariant, {:.1} s",
+         {unrecovered} calms after which nobody served, {} violated an invariant, {:.1} s",
         settings.nodes,
         settings.losses,
         violating.len(),
--- a/fleet-simulator/tests/model.rs
+++ b/fleet-simulator/tests/model.rs
@@ -1,104 +1,106 @@
-//! The control side under chosen and random orders of events, and each invariant gone red by a
-//! planted fault.
+//! The model checker on the control plane: no invariant is violated in chosen and random orders of
+//! events, and each invariant detects an injected fault.
 
 use fleet_simulator::model::search::{Bounds, search_from, starting_points};
 use fleet_simulator::model::walk::walk;
 use fleet_simulator::model::{Action, InjectedFault, Invariant, Party, Settings, World, network};
 use fleet_simulator::model::{replay, shrink};
 
-/// Steps of a walk.
+/// Steps per walk.
 const STEPS: usize = 1_500;
-/// Seeds tried until a planted fault shows.
+/// Seeds tried until the violation of an injected fault is found.
 const INJECTED_FAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=400;
-/// Seeds tried for forgotten votes, which other guards nearly always make harmless.
+/// Seeds tried for lost votes, which other safeguards nearly always make harmless.
 const RARE_FAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=4_000;
 
-fn cross_nothing(settings: Settings, seeds: std::ops::RangeInclusive<u64>) {
+fn assert_no_violation(settings: Settings, seeds: std::ops::RangeInclusive<u64>) {
     for seed in seeds {
         let walk = walk(settings, seed, STEPS);
         assert_eq!(walk.violation, None, "seed {seed} of {settings:?}");
     }
 }
 
-fn goes_red(injected_fault: InjectedFault, invariant: Invariant) {
-    goes_red_within(INJECTED_FAULT_SEEDS, injected_fault, invariant);
+fn assert_detected(injected_fault: InjectedFault, invariant: Invariant) {
+    assert_detected_within(INJECTED_FAULT_SEEDS, injected_fault, invariant);
 }
 
-fn goes_red_within(
+fn assert_detected_within(
     mut seeds: std::ops::RangeInclusive<u64>,
     injected_fault: InjectedFault,
     invariant: Invariant,
 ) {
     let clean = Settings::for_nodes(3);
-    let planted =
+    let faulty =
         Settings { injected_fault: Some(injected_fault), only_invariant: Some(invariant), ..clean };
-    let shows = |seed: &u64| walk(planted, *seed, STEPS).violation.is_some();
-    let seed = seeds.find(shows);
-    let seed = seed.unwrap_or_else(|| panic!("{injected_fault:?} was not seen as {invariant:?}"));
+    let is_detected = |seed: &u64| walk(faulty, *seed, STEPS).violation.is_some();
+    let seed = seeds.find(is_detected);
+    let seed =
+        seed.unwrap_or_else(|| panic!("{injected_fault:?} was not detected as {invariant:?}"));
     let violation = walk(clean, seed, STEPS).violation;
-    assert_eq!(violation, None, "seed {seed} crosses an invariant without any injected_fault");
+    assert_eq!(violation, None, "seed {seed} violates an invariant without the injected fault");
 }
 
 #[test]
-fn a_founded_fleet_takes_orders_at_every_node() {
+fn new_fleet_applies_orders_at_every_node() {
     for nodes in 2..=5 {
         for node in 0..nodes {
             let order = Action::Order { operator: 0, node, skip: 0 };
             let actions = [vec![order], vec![Action::Next; 40]].concat();
             let world = replay(Settings::for_nodes(nodes), &actions);
             assert_eq!(world.violation(), None);
-            assert_eq!(world.newest_acknowledged().0, 2, "{nodes} nodes, asked at {node}");
+            assert_eq!(world.newest_acknowledged().0, 2, "{nodes} nodes, ordered at {node}");
         }
     }
 }
 
 #[test]
-fn walks_of_three_nodes_cross_nothing() {
-    cross_nothing(Settings::for_nodes(3), 1..=250);
+fn walks_of_three_nodes() {
+    assert_no_violation(Settings::for_nodes(3), 1..=250);
 }
 
 #[test]
-fn walks_of_two_four_and_five_nodes_cross_nothing() {
-    cross_nothing(Settings::for_nodes(2), 1..=60);
-    cross_nothing(Settings::for_nodes(4), 1..=60);
-    cross_nothing(Settings::for_nodes(5), 1..=100);
+fn walks_of_two_four_and_five_nodes() {
+    assert_no_violation(Settings::for_nodes(2), 1..=60);
+    assert_no_violation(Settings::for_nodes(4), 1..=60);
+    assert_no_violation(Settings::for_nodes(5), 1..=100);
 }
 
 #[test]
-fn walks_with_ticks_under_way_cross_nothing() {
-    cross_nothing(Settings { instant_ticks: false, ..Settings::for_nodes(3) }, 1..=60);
+fn walks_with_heartbeats_in_flight() {
+    assert_no_violation(Settings { instant_ticks: false, ..Settings::for_nodes(3) }, 1..=60);
 }
 
 #[test]
-fn a_seed_gives_the_same_walk_again() {
+fn seed_determines_the_walk() {
     let settings = Settings::for_nodes(3);
     assert_eq!(walk(settings, 7, STEPS).actions, walk(settings, 7, STEPS).actions);
     assert_ne!(walk(settings, 7, STEPS).actions, walk(settings, 8, STEPS).actions);
 }
 
 #[test]
-fn a_walk_that_crosses_is_shortened() {
+fn violating_walk_is_shortened() {
     let settings = Settings {
         injected_fault: Some(InjectedFault::ReportAppliedAsRefused),
         ..Settings::for_nodes(3)
     };
     let mut walks = INJECTED_FAULT_SEEDS.map(|seed| walk(settings, seed, STEPS));
-    let walked = walks.find(|walk| walk.violation.is_some()).expect("a refusal of what was taken");
-    let violation = walked.violation.expect("a violation");
-    let short = shrink::shrink(settings, &walked.actions, violation.invariant);
-    assert!(short.len() < 40, "{} of {} actions", short.len(), walked.actions.len());
+    let violating =
+        walks.find(|walk| walk.violation.is_some()).expect("a refusal of an applied order");
+    let violation = violating.violation.expect("a violation");
+    let short = shrink::shrink(settings, &violating.actions, violation.invariant);
+    assert!(short.len() < 40, "{} of {} actions", short.len(), violating.actions.len());
     let seen = replay(settings, &short).violation().map(|violation| violation.invariant);
     assert_eq!(seen, Some(violation.invariant));
 }
 
 #[test]
-fn a_witness_that_forgets_its_vote_is_seen() {
-    goes_red_within(RARE_FAULT_SEEDS, InjectedFault::ForgetVotes, Invariant::OneRecord);
+fn witness_that_loses_its_vote_is_detected() {
+    assert_detected_within(RARE_FAULT_SEEDS, InjectedFault::ForgetVotes, Invariant::OneRecord);
 }
 
 #[test]
-fn two_primaries_of_an_epoch_are_seen() {
-    goes_red_within(
+fn two_primaries_in_one_epoch_are_detected() {
+    assert_detected_within(
         RARE_FAULT_SEEDS,
         InjectedFault::ForgetVotesAndForgeInSync,
         Invariant::OnePrimary,
@@ -106,71 +108,73 @@
 }
 
 #[test]
-fn a_record_without_backups_is_seen() {
-    goes_red(InjectedFault::DropBackups, Invariant::EnoughCopies);
+fn record_without_backups_is_detected() {
+    assert_detected(InjectedFault::DropBackups, Invariant::EnoughCopies);
 }
 
 #[test]
-fn a_fleet_that_stays_down_is_seen() {
-    goes_red(InjectedFault::ExceedDiskLosses, Invariant::Recovers);
+fn fleet_that_does_not_recover_is_detected() {
+    assert_detected(InjectedFault::ExceedDiskLosses, Invariant::Recovers);
 }
 
 #[test]
-fn an_acknowledgement_before_the_sync_is_seen() {
-    goes_red(InjectedFault::ReportSyncEarly, Invariant::Kept);
+fn acknowledgement_before_sync_is_detected() {
+    assert_detected(InjectedFault::ReportSyncEarly, Invariant::Kept);
 }
 
 #[test]
-fn half_a_configuration_is_seen() {
-    goes_red(InjectedFault::TornWrite, Invariant::Whole);
+fn partially_written_configuration_is_detected() {
+    assert_detected(InjectedFault::TornWrite, Invariant::Whole);
 }
 
 #[test]
-fn a_refused_order_in_force_is_seen() {
-    goes_red(InjectedFault::ReportAppliedAsRefused, Invariant::RefusedStays);
+fn refused_order_in_force_is_detected() {
+    assert_detected(InjectedFault::ReportAppliedAsRefused, Invariant::RefusedStays);
 }
 
 #[test]
-fn a_refusal_of_a_taken_order_is_seen() {
-    goes_red(InjectedFault::RefuseResent, Invariant::TakenStays);
+fn refusal_of_applied_order_is_detected() {
+    assert_detected(InjectedFault::RefuseResent, Invariant::TakenStays);
 }
 
 #[test]
-fn two_contents_of_a_number_are_seen() {
-    goes_red(InjectedFault::ReportRefusedAsApplied, Invariant::OneContent);
+fn two_contents_of_one_version_are_detected() {
+    assert_detected(InjectedFault::ReportRefusedAsApplied, Invariant::OneContent);
 }
 
 #[test]
-fn a_reader_that_is_shown_the_past_is_seen() {
-    goes_red(InjectedFault::StaleSnapshot, Invariant::NeverBack);
+fn reader_that_reverts_is_detected() {
+    assert_detected(InjectedFault::StaleSnapshot, Invariant::NeverBack);
 }
 
 #[test]
-fn an_old_answer_to_a_read_is_seen() {
-    goes_red(InjectedFault::StaleRead, Invariant::Fresh);
+fn stale_read_is_detected() {
+    assert_detected(InjectedFault::StaleRead, Invariant::Fresh);
 }
 
 #[test]
-fn a_decision_of_a_node_alone_is_seen() {
-    goes_red(InjectedFault::ForgeConfirmations, Invariant::AloneDecidesNothing);
+fn decision_of_isolated_node_is_detected() {
+    assert_detected(InjectedFault::ForgeConfirmations, Invariant::AloneDecidesNothing);
 }
 
 #[test]
-fn every_deviation_at_every_point_crosses_nothing() {
+fn single_deviations_at_every_point() {
     let settings = Settings::for_nodes(3);
     let bounds = Bounds { depth: 24, deviations: 1 };
-    // Both operators ask the primary; one asks the backup and the other the node that is neither.
+    // In one, both operators send their orders to the primary; in the other, one sends it to the
+    // backup and the other to the node that is neither.
     for starting_point in [0, 5] {
         let found = search_from(settings, bounds, &starting_points(settings)[starting_point]);
         assert!(found.counterexample.is_none(), "{:?}", found.counterexample);
-        // All but uneven clocks, which only the walks have; no order is sent again before silence.
+        // All kinds but uneven clocks, which only the walks have, and resent orders, which need
+        // silence.
         assert!(found.kinds.len() >= 12, "{:?}", found.kinds);
         assert!(found.states > 1_000, "{} states", found.states);
     }
 }
 
 #[test]
-fn the_search_sees_a_planted_fault() {
+fn search_detects_an_injected_fault() {
     let settings = Settings {
         injected_fault: Some(InjectedFault::ForgeConfirmations),
         ..Settings::for_nodes(3)
@@ -182,36 +186,36 @@
     assert_eq!(invariant, Some(Invariant::AloneDecidesNothing));
 }
 
-/// Lets what happens by itself go on until something holds, for so long at most.
-fn until(world: &mut World, most_ms: u64, holds: impl Fn(&World) -> bool) {
-    let end = world.now().0 + most_ms;
-    while !holds(world) && world.now().0 < end {
+/// Performs pending events until a condition holds, for at most this long.
+fn run_until(world: &mut World, max_ms: u64, condition: impl Fn(&World) -> bool) {
+    let deadline = world.now().0 + max_ms;
+    while !condition(world) && world.now().0 < deadline {
         world.apply(&Action::Next);
     }
 }
 
-fn pass(world: &mut World, ms: u64) {
-    until(world, ms, |_| false);
+fn run_for(world: &mut World, ms: u64) {
+    run_until(world, ms, |_| false);
 }
 
-fn under_way(world: &World, label: &str) -> Vec<fleet_simulator::model::MessageRef> {
+fn in_flight(world: &World, label: &str) -> Vec<fleet_simulator::model::MessageRef> {
     let message_refs = network::message_refs(world.envelopes());
     message_refs.into_iter().filter(|message| message.label == label).collect()
 }
 
 #[test]
-fn a_primary_that_let_a_claim_copy_to_it_asks_again() {
+fn primary_requests_again_after_a_takeover_copied_to_it() {
     let mut world = World::bootstrapped(Settings::for_nodes(3));
     world.apply(&Action::PowerLoss { kept: vec![0; 3] });
     world.apply(&Action::Restart(1));
-    pass(&mut world, 750);
+    run_for(&mut world, 750);
     world.apply(&Action::Restart(0));
-    // The backup hears that the node is back, but not yet as its primary.
-    for message in under_way(&world, "Digests") {
+    // The backup learns that the node is back, but not yet that it is its primary.
+    for message in in_flight(&world, "Digests") {
         world.apply(&Action::Lose(message));
     }
-    until(&mut world, 3_000, |world| {
-        let digests = under_way(world, "Digests");
+    run_until(&mut world, 3_000, |world| {
+        let digests = in_flight(world, "Digests");
         digests.iter().any(|message| message.to == Party::Node(0))
     });
     world.apply(&Action::Replace(1));
@@ -219,71 +223,72 @@
     assert_eq!(world.violation(), None);
 }
 
-/// An order is acknowledged by a primary and a backup that was not told yet which record was
-/// decided; the primary loses its disk, and the backup of the epoch before asks for the same epoch.
-fn a_backup_that_confirmed_is_copied_over() -> World {
+/// An order is acknowledged by a primary and a backup that does not know yet which record was
+/// decided. Then the primary loses its disk, and the backup of the previous epoch proposes the same
+/// epoch.
+fn backup_that_confirmed_is_overwritten() -> World {
     let mut world = World::bootstrapped(Settings::for_nodes(3));
     world.apply(&Action::Kill { node: 1, kept: 0 });
     world.apply(&Action::Order { operator: 0, node: 0, skip: 0 });
-    until(&mut world, 5_000, |world| world.newest_acknowledged().0 == 2);
+    run_until(&mut world, 5_000, |world| world.newest_acknowledged().0 == 2);
     world.apply(&Action::Wipe(0));
     world.apply(&Action::Calm);
     world
 }
 
-/// A primary that claims copies to its old backup, which has taken so many ranges when both end.
-/// The backup starts again, with the third node.
-fn a_copy_is_left_half_in_step(ranges: usize) -> World {
+/// A primary that proposes a new epoch is copying to its old backup, which has received this many
+/// ranges when both processes end. The backup restarts together with the third node.
+fn copy_left_partly_synchronized(ranges: usize) -> World {
     let mut world = World::bootstrapped(Settings::for_nodes(3));
     world.apply(&Action::Kill { node: 2, kept: 0 });
     world.apply(&Action::Order { operator: 0, node: 0, skip: 0 });
-    // The backup never takes the batch, and is heard to run.
+    // The backup never receives the batch, but its heartbeats arrive.
     world.apply(&Action::Cut(0, 1));
-    until(&mut world, 5_000, |world| world.now().0 > 86_400_000 + 2_400);
+    run_until(&mut world, 5_000, |world| world.now().0 > 86_400_000 + 2_400);
     world.apply(&Action::Heal);
-    until(&mut world, 5_000, |world| !under_way(world, "Range").is_empty());
-    let copied = under_way(&world, "Range");
+    run_until(&mut world, 5_000, |world| !in_flight(world, "Range").is_empty());
+    let copied = in_flight(&world, "Range");
     for message in copied.iter().rev().take(copied.len().saturating_sub(ranges)) {
         assert_eq!(message.to, Party::Node(1));
         world.apply(&Action::Lose(*message));
     }
-    until(&mut world, 100, |world| under_way(world, "Range").is_empty());
+    run_until(&mut world, 100, |world| in_flight(world, "Range").is_empty());
     let kept = world.nodes()[1].disk.unsynced.len();
     world.apply(&Action::Kill { node: 1, kept });
     world.apply(&Action::Kill { node: 0, kept: 0 });
     world.apply(&Action::Restart(1));
     world.apply(&Action::Restart(2));
-    pass(&mut world, 8_000);
+    run_for(&mut world, 8_000);
     world
 }
 
-/// A primary that claims hears nobody, and then again the node that it was copying to; it loses its
-/// disk once the witnesses decided.
+/// A primary that proposes a new epoch loses contact to all nodes, and then reaches the node to
+/// which it was copying. It loses its disk once the witnesses have decided.
 #[test]
-fn a_claim_that_heard_nobody_names_its_backups() {
+fn takeover_after_isolation_names_its_backups() {
     let mut world = World::bootstrapped(Settings::for_nodes(3));
     let epoch = world.newest_epoch();
     world.apply(&Action::Kill { node: 1, kept: 0 });
-    until(&mut world, 3_000, |world| !under_way(world, "Digests").is_empty());
+    run_until(&mut world, 3_000, |world| !in_flight(world, "Digests").is_empty());
     world.apply(&Action::Kill { node: 2, kept: 0 });
-    pass(&mut world, 3_500);
+    run_for(&mut world, 3_500);
     world.apply(&Action::Restart(2));
-    until(&mut world, 3_000, |world| world.newest_epoch() > epoch);
+    run_until(&mut world, 3_000, |world| world.newest_epoch() > epoch);
     world.apply(&Action::Wipe(0));
     world.apply(&Action::Calm);
     assert_eq!(world.violation(), None);
 }
 
 #[test]
-fn runs_that_crossed_an_invariant_cross_none() {
-    let mut crossed = Vec::new();
-    let mut look = |name: &str, world: World| {
-        crossed.extend(world.violation().map(|violation| format!("{name}: {violation}")));
+fn runs_that_once_violated_an_invariant() {
+    let mut violations = Vec::new();
+    let mut check = |name: &str, world: World| {
+        violations.extend(world.violation().map(|violation| format!("{name}: {violation}")));
     };
-    look("a backup that confirmed is copied over", a_backup_that_confirmed_is_copied_over());
+    check("a backup that confirmed is overwritten", backup_that_confirmed_is_overwritten());
     for ranges in 1..6 {
-        let name = format!("a copy is left in step in {ranges} ranges");
-        look(&name, a_copy_is_left_half_in_step(ranges));
+        let name = format!("a copy is left synchronized in {ranges} ranges");
+        check(&name, copy_left_partly_synchronized(ranges));
     }
-    assert!(crossed.is_empty(), "{crossed:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
