--- a/programs/topazyard-relay/src/front/dialect.rs
+++ b/programs/topazyard-relay/src/front/adapter.rs
@@ -6,11 +6,11 @@
 
 /// What a request's head says, whatever the names.
 #[derive(Debug, Clone)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// How its client tells its requests apart; the engine's response carries it back.
     pub request_id: hyper::header::HeaderValue,
     /// How long the client waits, if it says so.
-    pub wait: Option<DurationMs>,
+    pub timeout: Option<DurationMs>,
     /// Prompt tokens and most tokens out, if stated.
     pub cost: Option<Tokens>,
     /// The parts of its prompt, in order.
@@ -21,18 +21,18 @@
 
 /// What is said to an engine beside what the client said.
 #[derive(Debug)]
-pub struct Addressed<'a> {
+pub struct EngineHeaders<'a> {
     /// The engine that is meant; any other turns the request away.
     pub engine: &'a EngineName,
     /// How long the response is waited for.
-    pub left: DurationMs,
+    pub time_remaining: DurationMs,
     /// The last event that is there already, if a stream is taken up.
     pub last_event: Option<u64>,
 }
 
 /// What the head of an engine's response says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseKind {
     /// The request did not run and never will, at that engine.
     TurnedAway,
     /// It is the response to that request.
@@ -40,7 +40,7 @@
     /// It is a failure, and the request may have run.
     Failure,
     /// It belongs to no request that was sent here.
-    Foreign,
+    Mismatched,
 }
 
 /// what an engine says of its load can't be read
@@ -50,46 +50,53 @@
 impl std::error::Error for MalformedLoad {}
 
 /// An outer adapter's names for requests on routes. It translates and decides nothing.
-pub trait Dialect: Send + Sync + 'static {
+pub trait HttpAdapter: Send + Sync + 'static {
     /// Reads a request's head.
     ///
     /// # Errors
     /// The header that is malformed, by name.
-    fn read(
+    fn request_metadata(
         &self,
         head: &hyper::http::request::Parts,
-    ) -> Result<RequestFacts, topazyard_wire::ApiError>;
+    ) -> Result<RequestMetadata, topazyard_wire::ApiError>;
 
     /// Says in the head whose request it is, where no client said it: that of a batch's item.
-    fn identify(&self, headers: &mut hyper::HeaderMap, request_id: &hyper::header::HeaderValue);
+    fn set_request_id(
+        &self,
+        headers: &mut hyper::HeaderMap,
+        request_id: &hyper::header::HeaderValue,
+    );
 
     /// Says in the head what is said to an engine.
-    fn address(&self, headers: &mut hyper::HeaderMap, to: &Addressed<'_>);
+    fn set_engine_headers(&self, headers: &mut hyper::HeaderMap, to: &EngineHeaders<'_>);
 
     /// What the head of a response says that came where the response to that request is due. Only
     /// one that carries the request's id speaks of it: on a connection that is used again, what is
     /// read may have been sent before the request was.
-    fn judge(
+    fn classify_response(
         &self,
         head: &hyper::http::response::Parts,
         request_id: &hyper::header::HeaderValue,
-    ) -> Verdict;
+    ) -> ResponseKind;
 
     /// What the head of an engine's response says of its load, if anything.
     ///
     /// # Errors
     /// It says something that is no load.
-    fn load(&self, headers: &hyper::HeaderMap) -> Result<Option<EngineLoad>, MalformedLoad>;
+    fn reported_load(
+        &self,
+        headers: &hyper::HeaderMap,
+    ) -> Result<Option<EngineLoad>, MalformedLoad>;
 
     /// A refusal as the client gets it.
-    fn refuse(
+    fn refusal_response(
         &self,
         error: &topazyard_wire::ApiError,
     ) -> hyper::Response<topazyard_wire::http::Body>;
 
     /// Answers calls that are not requests on routes: handed-in batches and what is asked of them.
     /// `route` is set where the call's path is that of a batch route.
-    fn batch_call<'a>(
+    fn serve_batch_call<'a>(
         &'a self,
         handle: &'a super::Handle,
         route: Option<topazyard_types::RouteName>,
--- a/programs/topazyard-relay/src/front/batches.rs
+++ b/programs/topazyard-relay/src/front/batches.rs
@@ -46,7 +46,7 @@
     let call = match (head.method.as_str(), &parts[1..]) {
         ("POST", []) => {
             let batch = id_for(&head.headers)?;
-            let items = items_of(&body)?;
+            let items = parse_items(&body)?;
             return answer(handle.call(RelayCall::SubmitBatch(batch, items)).await);
         }
         ("GET", [id]) => BatchCall::Read(batch_of(id)?),
@@ -89,7 +89,7 @@
 /// The items of a batch as it is handed in.
 ///
 /// ```
-/// let items = topazyard_relay::front::batches::items_of(
+/// let items = topazyard_relay::front::batches::parse_items(
 ///     br#"{"items":[{"model":"m","body":{"inputs":"one two"}}]}"#).unwrap();
 /// assert_eq!(items[0].body.as_ref(), br#"{"inputs":"one two"}"#);
 /// assert!(!items[0].repeatable);
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// The field at fault.
-pub fn items_of(body: &[u8]) -> Result<Vec<Item>, ApiError> {
+pub fn parse_items(body: &[u8]) -> Result<Vec<Item>, ApiError> {
     let batch: BatchBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let place = format!("line {} column {}", error.line(), error.column());
         ApiError { message: error.to_string(), ..ApiError::not_run(Code::Malformed).at(place) }
@@ -105,7 +105,7 @@
     let items = batch.items.iter().enumerate();
     let items = items.map(|(index, item)| {
         let text = item.body.get().as_bytes();
-        let cost = super::read::cost_of(text, item.token_count.map(Tokens))
+        let cost = super::prompt_request::estimate_cost(text, item.token_count.map(Tokens))
             .map_err(|error| ApiError { field: Some(format!("items[{index}].body")), ..error })?;
         Ok(Item {
             model: item.model.clone(),
--- a/programs/topazyard-relay/src/front/connections.rs
+++ b/programs/topazyard-relay/src/front/connections.rs
@@ -15,17 +15,17 @@
 /// that is closed while a request is on its way costs that request.
 const USED_PERCENT: u64 = 60;
 /// How long an engine may take to accept a connection.
-pub const CONNECT_LIMIT: DurationMs = DurationMs(300);
+pub const CONNECT_TIMEOUT: DurationMs = DurationMs(300);
 
 /// A connection that is ready for a request.
-pub struct Kept {
+pub struct EngineConnection {
     sender: hyper::client::conn::http1::SendRequest<Body>,
     engine: EngineName,
     address: std::net::SocketAddr,
 }
 
 struct Idle {
-    kept: Kept,
+    kept: EngineConnection,
     until: std::time::Instant,
 }
 
@@ -38,15 +38,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum SendError {
     /// nothing of it was sent
-    Unsent,
+    NotSent,
     /// the connection broke after it may have been sent
-    Broken,
+    ConnectionLost,
 }
 
 impl std::error::Error for SendError {}
 
 /// A kept connection to an engine, if there is one that still works.
-pub fn take(target: &Target) -> Option<Kept> {
+pub fn take_idle(target: &Target) -> Option<EngineConnection> {
     let now = std::time::Instant::now();
     IDLE.with_borrow_mut(|idle| {
         let of_engine = idle.get_mut(&target.engine)?;
@@ -62,12 +62,12 @@
 }
 
 /// Lets all idle connections to an engine go.
-pub fn forget(engine: &EngineName) {
+pub fn close_idle(engine: &EngineName) {
     IDLE.with_borrow_mut(|idle| drop(idle.remove(engine)));
 }
 
 /// Lets idle connections go whose time is over.
-pub fn sweep() {
+pub fn close_expired() {
     let now = std::time::Instant::now();
     IDLE.with_borrow_mut(|idle| {
         for of_engine in idle.values_mut() {
@@ -81,22 +81,22 @@
 ///
 /// # Errors
 /// No connection in time.
-pub async fn connect(target: &Target, limit: DurationMs) -> Result<Kept, SendError> {
-    let limit = std::time::Duration::from_millis(limit.0.min(CONNECT_LIMIT.0));
+pub async fn connect(target: &Target, limit: DurationMs) -> Result<EngineConnection, SendError> {
+    let limit = std::time::Duration::from_millis(limit.0.min(CONNECT_TIMEOUT.0));
     let connected = tokio::time::timeout(limit, tokio::net::TcpStream::connect(target.address));
-    let stream = connected.await.ok().and_then(Result::ok).ok_or(SendError::Unsent)?;
+    let stream = connected.await.ok().and_then(Result::ok).ok_or(SendError::NotSent)?;
     let _ = stream.set_nodelay(true);
     let io = hyper_util::rt::TokioIo::new(stream);
     let handshake = hyper::client::conn::http1::handshake(io).await;
-    let (sender, connection) = handshake.map_err(|_| SendError::Unsent)?;
+    let (sender, connection) = handshake.map_err(|_| SendError::NotSent)?;
     // How the connection ends shows in the outcome of its request.
     tokio::spawn(async move { drop(connection.await) });
-    Ok(Kept { sender, engine: target.engine.clone(), address: target.address })
+    Ok(EngineConnection { sender, engine: target.engine.clone(), address: target.address })
 }
 
 /// Makes a connection and keeps it; says whether there is one.
-pub async fn reach(target: &Target) -> bool {
-    match connect(target, CONNECT_LIMIT).await {
+pub async fn probe(target: &Target) -> bool {
+    match connect(target, CONNECT_TIMEOUT).await {
         Ok(kept) => {
             keep_for(kept, UNSAID_IDLE);
             true
@@ -105,7 +105,7 @@
     }
 }
 
-impl Kept {
+impl EngineConnection {
     /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
@@ -116,16 +116,16 @@
     ) -> Result<hyper::Response<hyper::body::Incoming>, SendError> {
         self.sender.try_send_request(request).await.map_err(|mut error| {
             match error.take_message() {
-                Some(_) => SendError::Unsent,
-                None => SendError::Broken,
+                Some(_) => SendError::NotSent,
+                None => SendError::ConnectionLost,
             }
         })
     }
 }
 
 /// Keeps a connection whose response was whole, unless its head said that it is not kept.
-pub fn keep(kept: Kept, head: &hyper::HeaderMap) {
-    if let Some(idle) = kept_idle(head) {
+pub fn keep_idle(kept: EngineConnection, head: &hyper::HeaderMap) {
+    if let Some(idle) = idle_timeout(head) {
         keep_for(kept, idle);
     }
 }
@@ -133,14 +133,14 @@
 /// For how long an idle connection may be used by what a response's head says; none if not at all.
 ///
 /// ```
-/// use topazyard_relay::front::connections::kept_idle;
+/// use topazyard_relay::front::connections::idle_timeout;
 /// let mut head = hyper::HeaderMap::new();
 /// head.insert("keep-alive", "timeout=5".parse().unwrap());
-/// assert_eq!(kept_idle(&head), Some(topazyard_types::DurationMs(3_000)));
+/// assert_eq!(idle_timeout(&head), Some(topazyard_types::DurationMs(3_000)));
 /// head.insert("connection", "close".parse().unwrap());
-/// assert_eq!(kept_idle(&head), None);
+/// assert_eq!(idle_timeout(&head), None);
 /// ```
-pub fn kept_idle(head: &hyper::HeaderMap) -> Option<DurationMs> {
+pub fn idle_timeout(head: &hyper::HeaderMap) -> Option<DurationMs> {
     let text = |name| {
         head.get_all(name).iter().filter_map(|v: &hyper::header::HeaderValue| v.to_str().ok())
     };
@@ -153,7 +153,7 @@
     Some(said.map_or(UNSAID_IDLE, |s| DurationMs(s.saturating_mul(10 * USED_PERCENT))))
 }
 
-fn keep_for(kept: Kept, idle: DurationMs) {
+fn keep_for(kept: EngineConnection, idle: DurationMs) {
     if kept.sender.is_closed() || idle.0 == 0 {
         return;
     }
--- a/programs/topazyard-relay/src/front/engine.rs
+++ b/programs/topazyard-relay/src/front/engine.rs
@@ -4,11 +4,11 @@
 use topazyard_wire::http::outbound::{Connection, OutboundError};
 
 /// How long an engine may take to accept a connection.
-pub const CONNECT_LIMIT: DurationMs = DurationMs(400);
+pub const CONNECT_TIMEOUT: DurationMs = DurationMs(400);
 const LOOK_LIMIT: DurationMs = DurationMs(800);
 
 /// A span for the runtime's timers.
-pub fn span(limit: DurationMs) -> std::time::Duration {
+pub fn std_duration(limit: DurationMs) -> std::time::Duration {
     std::time::Duration::from_millis(limit.0)
 }
 
@@ -20,8 +20,8 @@
     address: std::net::SocketAddr,
     limit: DurationMs,
 ) -> Result<Connection, OutboundError> {
-    let limit = DurationMs(limit.0.min(CONNECT_LIMIT.0));
-    topazyard_wire::http::outbound::connect(address, span(limit)).await
+    let limit = DurationMs(limit.0.min(CONNECT_TIMEOUT.0));
+    topazyard_wire::http::outbound::connect(address, std_duration(limit)).await
 }
 
 /// The request that carries a body to an engine, byte for byte.
@@ -64,13 +64,13 @@
 }
 
 /// Looks whether an engine is well.
-pub async fn is_well(address: std::net::SocketAddr) -> bool {
+pub async fn is_healthy(address: std::net::SocketAddr) -> bool {
     let asked = topazyard_wire::http::outbound::exchange(
         address,
         hyper::Method::GET,
         "/health",
         bytes::Bytes::new(),
-        span(LOOK_LIMIT),
+        std_duration(LOOK_LIMIT),
     );
     matches!(asked.await, Ok((200, _)))
 }
--- a/programs/topazyard-relay/src/front/events.rs
+++ b/programs/topazyard-relay/src/front/events.rs
@@ -1,8 +1,8 @@
-//! Events of a stream as they come in pieces: whole ones go on, and their ids are told.
+//! EventSplitter of a stream as they come in pieces: whole ones go on, and their ids are told.
 
 /// Finds the ends of events in a body that comes in pieces.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     /// What came after the last whole event.
     rest: Vec<u8>,
     /// The id of the last whole event, if it has one.
@@ -11,7 +11,7 @@
 
 /// The events that a piece completed.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: bytes::Bytes,
     /// The id of the first.
@@ -25,12 +25,12 @@
 
 /// an event is longer than any should be
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-impl std::error::Error for TooLong {}
+impl std::error::Error for EventTooLong {}
 
-impl Events {
-    /// Events of a stream of which the event with that id is there already.
+impl EventSplitter {
+    /// EventSplitter of a stream of which the event with that id is there already.
     pub fn after(last_id: Option<u64>) -> Self {
         Self { rest: Vec::new(), last_id }
     }
@@ -41,31 +41,31 @@
     }
 
     /// Whether an event was begun and not ended.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 
     /// Takes a piece and gives the events that it completes, if any.
     ///
     /// ```
-    /// use topazyard_relay::front::events::Events;
-    /// let mut events = Events::after(None);
-    /// assert_eq!(events.take(b"id: 1\ndata: a").unwrap(), None);
-    /// let whole = events.take(b"b\n\nid: 2\n").unwrap().unwrap();
+    /// use topazyard_relay::front::events::EventSplitter;
+    /// let mut events = EventSplitter::after(None);
+    /// assert_eq!(events.push(b"id: 1\ndata: a").unwrap(), None);
+    /// let whole = events.push(b"b\n\nid: 2\n").unwrap().unwrap();
     /// assert_eq!(&whole.bytes[..], b"id: 1\ndata: ab\n\n");
     /// assert_eq!((whole.first_id, events.last_id()), (Some(1), Some(1)));
-    /// assert!(events.is_within());
+    /// assert!(events.has_partial_event());
     /// ```
     ///
     /// # Errors
     /// An event grows too long.
-    pub fn take(&mut self, piece: &[u8]) -> Result<Option<Whole>, TooLong> {
+    pub fn push(&mut self, piece: &[u8]) -> Result<Option<CompleteEvents>, EventTooLong> {
         // The end of an event may lie across two pieces.
         let from = self.rest.len().saturating_sub(3);
         self.rest.extend_from_slice(piece);
         let end = last_end(&self.rest[from..]).map(|end| from + end);
         let Some(end) = end else {
-            return if self.rest.len() > MOST_BYTES { Err(TooLong) } else { Ok(None) };
+            return if self.rest.len() > MOST_BYTES { Err(EventTooLong) } else { Ok(None) };
         };
         let rest = self.rest.split_off(end);
         let whole = std::mem::replace(&mut self.rest, rest);
@@ -76,7 +76,7 @@
             first_id.get_or_insert(id);
             self.last_id = Some(id);
         }
-        Ok(Some(Whole { bytes: whole.into(), first_id, in_order }))
+        Ok(Some(CompleteEvents { bytes: whole.into(), first_id, in_order }))
     }
 }
 
@@ -96,10 +96,10 @@
 /// The data of all events in order, each event's lines joined by a line feed.
 ///
 /// ```
-/// use topazyard_relay::front::events::data;
-/// assert_eq!(data(b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n"), ["a", "b\nc"]);
+/// use topazyard_relay::front::events::event_data;
+/// assert_eq!(event_data(b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n"), ["a", "b\nc"]);
 /// ```
-pub fn data(events: &[u8]) -> Vec<String> {
+pub fn event_data(events: &[u8]) -> Vec<String> {
     let mut all = Vec::new();
     let mut lines: Vec<String> = Vec::new();
     for line in events.split(|byte| *byte == b'\n') {
--- a/programs/topazyard-relay/src/front/mod.rs
+++ b/programs/topazyard-relay/src/front/mod.rs
@@ -1,15 +1,15 @@
 //! HTTP for clients.
 
+pub mod adapter;
 pub mod batches;
 pub mod connections;
-pub mod dialect;
-pub mod ended;
-mod ending;
 pub mod engine;
+pub mod engine_loads;
 pub mod events;
 pub mod items;
-pub mod loads;
-pub mod read;
+pub mod outcomes;
+pub mod prompt_request;
+mod request_guard;
 pub mod routed;
 mod routed_stream;
 pub mod session;
@@ -23,13 +23,13 @@
 
 /// Answers one client's request. When the relay's time to serve is over, one without a response gets
 /// its final answer at once.
-pub async fn answer(
+pub async fn serve_request(
     handle: Handle,
     mut drain: topazyard_wire::http::inbound::Drain,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
     use topazyard_wire::http::inbound;
-    let _unanswered = ended::Unanswered::begin();
+    let _unanswered = outcomes::UnansweredRequest::start();
     tokio::select! {
         biased;
         response = respond(handle, request) => response,
@@ -68,7 +68,7 @@
 }
 
 /// Headers that speak of one connection only, or that the library sets anew.
-const OF_ONE_LINK: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -81,29 +81,32 @@
 
 /// Lets the connection send what it was given before its body breaks off: an error that follows a
 /// piece at once would abort it with the piece still in its buffer.
-pub(crate) async fn let_flush() {
+pub(crate) async fn yield_for_flush() {
     tokio::task::yield_now().await;
 }
 
 /// Copies all headers that go from end to end.
-pub(crate) fn copy_end_to_end(from: &hyper::HeaderMap, to: &mut hyper::HeaderMap) {
+pub(crate) fn copy_end_to_end_headers(from: &hyper::HeaderMap, to: &mut hyper::HeaderMap) {
     let named = from.get_all(hyper::header::CONNECTION).iter();
     let named: Vec<String> = named
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
     for (name, value) in from {
-        let of_one_link = OF_ONE_LINK.contains(&name.as_str());
-        if !of_one_link && !named.iter().any(|named| named == name.as_str()) {
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str());
+        if !is_hop_by_hop && !named.iter().any(|named| named == name.as_str()) {
             to.append(name, value.clone());
         }
     }
 }
 
 /// The engine's status and all its end-to-end headers, with the body as it came.
-pub(crate) fn passed_on(head: &hyper::http::response::Parts, body: Body) -> hyper::Response<Body> {
+pub(crate) fn forward_response(
+    head: &hyper::http::response::Parts,
+    body: Body,
+) -> hyper::Response<Body> {
     let mut response = hyper::Response::new(body);
     *response.status_mut() = head.status;
-    copy_end_to_end(&head.headers, response.headers_mut());
+    copy_end_to_end_headers(&head.headers, response.headers_mut());
     response
 }
--- a/programs/topazyard-relay/src/front/ended.rs
+++ b/programs/topazyard-relay/src/front/outcomes.rs
@@ -14,17 +14,17 @@
 /// A request without a response, for as long as this value stands. It goes with the response, and
 /// also when the client leaves.
 #[derive(Debug)]
-pub struct Unanswered(());
+pub struct UnansweredRequest(());
 
-impl Unanswered {
+impl UnansweredRequest {
     /// Counts one more.
-    pub fn begin() -> Self {
+    pub fn start() -> Self {
         UNANSWERED.fetch_add(1, Ordering::Relaxed);
         Self(())
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredRequest {
     fn drop(&mut self) {
         UNANSWERED.fetch_sub(1, Ordering::Relaxed);
     }
--- a/programs/topazyard-relay/src/front/read.rs
+++ b/programs/topazyard-relay/src/front/prompt_request.rs
@@ -4,7 +4,7 @@
 use topazyard_wire::api::{ApiError, Code};
 
 /// The largest prompt taken, in bytes.
-pub const MOST_BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// How long a client waits that doesn't say.
 const DEFAULT_WAIT: DurationMs = DurationMs(30_000);
 /// The longest wait that is believed.
@@ -12,13 +12,13 @@
 
 /// What a prompt's headers and body say.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PromptFacts {
+pub struct PromptMetadata {
     /// The model it wants.
     pub model: ModelName,
     /// Its estimated cost.
     pub cost: Tokens,
     /// How long its client waits.
-    pub wait: DurationMs,
+    pub timeout: DurationMs,
     /// The shared prefix parts it is built from, in order.
     pub prefix: Vec<String>,
     /// Whether it may run again.
@@ -61,16 +61,16 @@
 /// The cost of a body in the text-generation form.
 ///
 /// ```
-/// use topazyard_relay::front::read::cost_of;
+/// use topazyard_relay::front::prompt_request::estimate_cost;
 /// use topazyard_types::Tokens;
 /// let body = br#"{"inputs":"is this cue late","parameters":{"max_new_tokens":10}}"#;
-/// assert_eq!(cost_of(body, None), Ok(Tokens(15)));
-/// assert!(cost_of(b"{}", None).is_err());
+/// assert_eq!(estimate_cost(body, None), Ok(Tokens(15)));
+/// assert!(estimate_cost(b"{}", None).is_err());
 /// ```
 ///
 /// # Errors
 /// A body that is not of that form.
-pub fn cost_of(body: &[u8], declared: Option<Tokens>) -> Result<Tokens, ApiError> {
+pub fn estimate_cost(body: &[u8], declared: Option<Tokens>) -> Result<Tokens, ApiError> {
     let prompt: PromptBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let message = error.to_string();
         ApiError { message, ..ApiError::not_run(Code::Malformed).at("body") }
@@ -83,16 +83,16 @@
 ///
 /// # Errors
 /// The first part that is malformed, by name.
-pub fn read(head: &hyper::HeaderMap, body: &[u8]) -> Result<PromptFacts, ApiError> {
+pub fn parse(head: &hyper::HeaderMap, body: &[u8]) -> Result<PromptMetadata, ApiError> {
     let model = header(head, "Topazyard-Model")?.filter(|model| !model.is_empty());
     let model = model.ok_or_else(|| ApiError::not_run(Code::Malformed).at("Topazyard-Model"))?;
     let declared = number(head, "Topazyard-Token-Count")?.map(Tokens);
     let wait_ms = number(head, "Topazyard-Time-Remaining")?.unwrap_or(DEFAULT_WAIT.0);
     let prefix = header(head, "Topazyard-Prefix")?.unwrap_or("");
-    Ok(PromptFacts {
+    Ok(PromptMetadata {
         model: model.into(),
-        cost: cost_of(body, declared)?,
-        wait: DurationMs(wait_ms.min(LONGEST_WAIT_MS)),
+        cost: estimate_cost(body, declared)?,
+        timeout: DurationMs(wait_ms.min(LONGEST_WAIT_MS)),
         prefix: prefix
             .split(',')
             .map(str::trim)
--- a/programs/topazyard-relay/src/front/ending.rs
+++ b/programs/topazyard-relay/src/front/request_guard.rs
@@ -4,7 +4,7 @@
 use crate::machine::{EngineOutcome, PromptId, RelayCall};
 
 /// Tells the machine that a request ended, whichever way this value goes out of use.
-pub(super) struct Ending {
+pub(super) struct RequestGuard {
     /// How the machine is reached.
     pub handle: Handle,
     /// What ends.
@@ -15,14 +15,14 @@
     told: fn(PromptId, EngineOutcome) -> RelayCall,
 }
 
-impl Ending {
+impl RequestGuard {
     /// Of something new, which the machine hears of under a name that nothing else has.
-    pub fn of_new(handle: Handle, told: fn(PromptId, EngineOutcome) -> RelayCall) -> Self {
+    pub fn new(handle: Handle, told: fn(PromptId, EngineOutcome) -> RelayCall) -> Self {
         Self { handle, id: PromptId::next(), engine_outcome: EngineOutcome::Aborted, told }
     }
 }
 
-impl Drop for Ending {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.handle.notify((self.told)(self.id, self.engine_outcome));
     }
--- a/programs/topazyard-relay/src/front/routed.rs
+++ b/programs/topazyard-relay/src/front/routed.rs
@@ -1,12 +1,12 @@
 //! One request on a route, from its arrival to its end, led by its state chart.
 
-use super::connections::{self, Kept, SendError};
-use super::dialect::{Addressed, Dialect, RequestFacts, Verdict};
-use super::ended::Unanswered;
-use super::ending::Ending;
-use super::engine::span;
+use super::adapter::{EngineHeaders, HttpAdapter, RequestMetadata, ResponseKind};
+use super::connections::{self, EngineConnection, SendError};
+use super::engine::std_duration;
+use super::outcomes::UnansweredRequest;
+use super::request_guard::RequestGuard;
 use super::routed_stream::Stream;
-use super::{Handle, passed_on};
+use super::{Handle, forward_response};
 use crate::machine::requests::{Admitted, Arrival, Chosen};
 use crate::machine::{EngineOutcome, RelayCall, RelayResponse};
 use crate::prompt::{Failure, FailureAction, RequestStateMachine};
@@ -26,13 +26,13 @@
 const TIMER_SLACK: DurationMs = DurationMs(2);
 
 /// The outer adapter's names.
-pub type Names = std::sync::Arc<dyn Dialect>;
+pub type SharedAdapter = std::sync::Arc<dyn HttpAdapter>;
 
 /// A request on its way.
 pub(super) struct Session {
-    pub(super) ending: Ending,
-    names: Names,
-    facts: RequestFacts,
+    pub(super) guard: RequestGuard,
+    adapter: SharedAdapter,
+    metadata: RequestMetadata,
     pub(super) state_machine: RequestStateMachine,
     pub(super) terms: Admitted,
     /// Whether the response is passed on piece by piece.
@@ -47,7 +47,7 @@
 
 /// An engine's response whose head is here.
 pub(super) struct Begun {
-    pub(super) connection: Kept,
+    pub(super) connection: EngineConnection,
     pub(super) head: hyper::http::response::Parts,
     pub(super) body: hyper::body::Incoming,
     /// How long its first word took.
@@ -64,41 +64,41 @@
 
 /// Answers one request of a client of the routes. When the relay's time to serve is over, a request
 /// without a response gets its final answer at once.
-pub async fn answer(
+pub async fn serve_request(
     handle: Handle,
-    names: Names,
+    adapter: SharedAdapter,
     mut drain: inbound::Drain,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> hyper::Response<Body> {
-    let _unanswered = Unanswered::begin();
+    let _unanswered = UnansweredRequest::start();
     let (head, body) = request.into_parts();
-    match serve(handle, &names, &mut drain, head, body).await {
+    match serve(handle, &adapter, &mut drain, head, body).await {
         Ok(response) => response,
-        Err(error) => names.refuse(&error),
+        Err(error) => adapter.refusal_response(&error),
     }
 }
 
 async fn serve(
     handle: Handle,
-    names: &Names,
+    adapter: &SharedAdapter,
     drain: &mut inbound::Drain,
     head: hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
     let path = head.uri.path();
-    if names.is_ready_path(path) {
+    if adapter.is_ready_path(path) {
         return ready(&handle).await;
     }
-    if names.is_batch_path(path) {
-        let called = batch_call(&handle, names, &head, body);
+    if adapter.is_batch_path(path) {
+        let called = batch_call(&handle, adapter, &head, body);
         let outcome = before_overdue(drain, called).await;
         return outcome.unwrap_or_else(|| Err(ApiError::may_have_run(Code::OutcomeUnknown)));
     }
-    let admitted = before_overdue(drain, admit(handle, names, head, body)).await;
+    let admitted = before_overdue(drain, admit(handle, adapter, head, body)).await;
     match admitted.unwrap_or_else(|| Err(ApiError::not_run(Code::Draining)))? {
         Admission::Live(session) => session.serve(drain).await,
         Admission::Batch(submission) => {
-            let outcome = before_overdue(drain, submission.hand_in(names)).await;
+            let outcome = before_overdue(drain, submission.hand_in(adapter)).await;
             outcome.ok_or_else(|| ApiError::may_have_run(Code::OutcomeUnknown))
         }
     }
@@ -115,12 +115,12 @@
 
 async fn batch_call(
     handle: &Handle,
-    names: &Names,
+    adapter: &SharedAdapter,
     head: &hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<hyper::Response<Body>, ApiError> {
     let body = inbound::read_body(body, MOST_BODY).await?;
-    Ok(names.batch_call(handle, None, head, body).await)
+    Ok(adapter.serve_batch_call(handle, None, head, body).await)
 }
 
 /// A request that was let in.
@@ -133,45 +133,45 @@
 
 /// A batch as a client hands it in.
 struct Submission {
-    ending: Ending,
+    guard: RequestGuard,
     route: topazyard_types::RouteName,
     head: hyper::http::request::Parts,
     body: bytes::Bytes,
 }
 
 impl Submission {
-    async fn hand_in(self, names: &Names) -> hyper::Response<Body> {
-        names.batch_call(&self.ending.handle, Some(self.route), &self.head, self.body).await
+    async fn hand_in(self, adapter: &SharedAdapter) -> hyper::Response<Body> {
+        adapter.serve_batch_call(&self.guard.handle, Some(self.route), &self.head, self.body).await
     }
 }
 
 /// Reads a request and asks the machine to let it in.
 async fn admit(
     handle: Handle,
-    names: &Names,
+    adapter: &SharedAdapter,
     head: hyper::http::request::Parts,
     body: hyper::body::Incoming,
 ) -> Result<Admission, ApiError> {
     let arrived_at = handle.clock().now();
-    let facts = names.read(&head)?;
+    let metadata = adapter.request_metadata(&head)?;
     let body = inbound::read_body(body, MOST_BODY).await?;
-    let ending = Ending::of_new(handle, RelayCall::RequestEnded);
+    let guard = RequestGuard::new(handle, RelayCall::RequestEnded);
     let arrival = Arrival {
-        id: ending.id,
+        id: guard.id,
         host: host_of(&head).to_owned(),
         path: head.uri.path().to_owned(),
-        cost: facts.cost,
+        cost: metadata.cost,
         arrived_at,
-        wait: facts.wait.unwrap_or(DEFAULT_WAIT),
-        prefix: facts.prefix.clone(),
+        wait: metadata.timeout.unwrap_or(DEFAULT_WAIT),
+        prefix: metadata.prefix.clone(),
     };
-    match ending.handle.call(RelayCall::AdmitRequest(arrival)).await {
+    match guard.handle.call(RelayCall::AdmitRequest(arrival)).await {
         Ok(RelayResponse::Admitted(terms)) => {
-            let session = Session::new(ending, names.clone(), facts, *terms, head, body);
+            let session = Session::new(guard, adapter.clone(), metadata, *terms, head, body);
             Ok(Admission::Live(Box::new(session)))
         }
         Ok(RelayResponse::OnBatchRoute(route)) => {
-            Ok(Admission::Batch(Box::new(Submission { ending, route, head, body })))
+            Ok(Admission::Batch(Box::new(Submission { guard, route, head, body })))
         }
         Ok(RelayResponse::Refused(error)) => Err(error),
         _ => Err(ApiError::not_run(Code::StaleFeed)),
@@ -196,9 +196,9 @@
 }
 
 /// The headers that go on to an engine; what concerns one connection stays here.
-pub(super) fn of_both_sides(headers: hyper::HeaderMap) -> hyper::HeaderMap {
+pub(super) fn forwarded_headers(headers: hyper::HeaderMap) -> hyper::HeaderMap {
     let mut kept = hyper::HeaderMap::with_capacity(headers.len() + 2);
-    super::copy_end_to_end(&headers, &mut kept);
+    super::copy_end_to_end_headers(&headers, &mut kept);
     kept.remove(hyper::header::EXPECT);
     kept.remove(hyper::header::CONTENT_LENGTH);
     kept
@@ -207,19 +207,19 @@
 /// Counts how it ended.
 impl Drop for Session {
     fn drop(&mut self) {
-        super::ended::count(self.state_machine.state());
+        super::outcomes::count(self.state_machine.state());
     }
 }
 
 impl Session {
     fn now(&self) -> MonotonicMs {
-        self.ending.handle.clock().now()
+        self.guard.handle.clock().now()
     }
 
     fn new(
-        ending: Ending,
-        names: Names,
-        facts: RequestFacts,
+        guard: RequestGuard,
+        adapter: SharedAdapter,
+        metadata: RequestMetadata,
         terms: Admitted,
         head: hyper::http::request::Parts,
         body: bytes::Bytes,
@@ -233,17 +233,17 @@
         state_machine.enqueue();
         state_machine.hold();
         Self {
-            ending,
-            names,
-            last_event: facts.last_event,
-            facts,
+            guard,
+            adapter,
+            last_event: metadata.last_event,
+            metadata,
             state_machine,
             // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
             stream: terms.stream && head.version >= hyper::Version::HTTP_11,
             terms,
             method: head.method,
             uri: head.uri,
-            headers: of_both_sides(head.headers),
+            headers: forwarded_headers(head.headers),
             body,
         }
     }
@@ -279,16 +279,16 @@
                 FailureAction::CloseConnection => {
                     return Err(ApiError::may_have_run(Code::EngineFailed));
                 }
-                FailureAction::TryAnotherEngine => self.ask_for_another().await?,
+                FailureAction::TryAnotherEngine => self.request_another_engine().await?,
             }
         }
     }
 
     /// Asks the machine for another engine, saying how the last one's use ended.
-    pub(super) async fn ask_for_another(&mut self) -> Result<(), ApiError> {
-        let call = RelayCall::RetryRequest(self.ending.id, self.ending.engine_outcome);
-        self.ending.engine_outcome = EngineOutcome::Aborted;
-        match self.ending.handle.call(call).await {
+    pub(super) async fn request_another_engine(&mut self) -> Result<(), ApiError> {
+        let call = RelayCall::RetryRequest(self.guard.id, self.guard.engine_outcome);
+        self.guard.engine_outcome = EngineOutcome::Aborted;
+        match self.guard.handle.call(call).await {
             Ok(RelayResponse::Chosen(chosen)) => {
                 self.terms.chosen = *chosen;
                 self.state_machine.hold();
@@ -308,26 +308,26 @@
         failure: Failure,
         engine_outcome: EngineOutcome,
     ) -> FailureAction {
-        self.ending.engine_outcome = engine_outcome;
+        self.guard.engine_outcome = engine_outcome;
         if engine_outcome == EngineOutcome::Failed {
-            self.tell_failure(failure);
+            self.report_failure(failure);
         }
         if matches!(engine_outcome, EngineOutcome::Failed | EngineOutcome::Unreachable) {
-            connections::forget(&self.terms.chosen.target.engine);
+            connections::close_idle(&self.terms.chosen.target.engine);
         }
         self.state_machine.fail(failure, self.now())
     }
 
     /// Says what went wrong with the request's engine.
-    fn tell_failure(&self, failure: Failure) {
+    fn report_failure(&self, failure: Failure) {
         let engine = self.terms.chosen.target.engine.clone();
-        self.ending.handle.notify(RelayCall::EngineFailed(engine, failure));
+        self.guard.handle.notify(RelayCall::EngineFailed(engine, failure));
     }
 
     /// Connects, looks a last time whether it may be sent, sends, and judges the response's head.
     pub(super) async fn try_engine(&mut self) -> Result<Begun, FailureAction> {
         let chosen = self.terms.chosen.clone();
-        let mut connection = match connections::take(&chosen.target) {
+        let mut connection = match connections::take_idle(&chosen.target) {
             Some(kept) => kept,
             None => {
                 let left = self.terms.deadline.since(self.now());
@@ -348,11 +348,11 @@
         let sent_at = self.now();
         let response = match self.head_of(&mut connection, request, &chosen, sent_at).await {
             Ok(response) => response,
-            Err((SendError::Unsent, _)) => {
+            Err((SendError::NotSent, _)) => {
                 self.state_machine.undo_dispatch();
                 return Err(self.failed(Failure::NotConnected, EngineOutcome::NotSent));
             }
-            Err((SendError::Broken, failure)) => {
+            Err((SendError::ConnectionLost, failure)) => {
                 return Err(self.failed(failure, EngineOutcome::Failed));
             }
         };
@@ -362,22 +362,29 @@
             // Its end could not be told from a cut.
             return Err(self.failed(Failure::ConnectionLost, EngineOutcome::Failed));
         }
-        let verdict = self.names.judge(&head, &self.facts.request_id);
-        if verdict != Verdict::Foreign {
+        let verdict = self.adapter.classify_response(&head, &self.metadata.request_id);
+        if verdict != ResponseKind::Mismatched {
             let engine = &chosen.target.engine;
-            super::loads::tell(&self.ending.handle, self.names.as_ref(), engine, &head.headers);
+            super::engine_loads::report(
+                &self.guard.handle,
+                self.adapter.as_ref(),
+                engine,
+                &head.headers,
+            );
         }
         match verdict {
-            Verdict::Response => Ok(Begun { connection, head, body, first }),
-            Verdict::TurnedAway => {
+            ResponseKind::Response => Ok(Begun { connection, head, body, first }),
+            ResponseKind::TurnedAway => {
                 tokio::spawn(keep_after(connection, head, body));
                 Err(self.failed(Failure::TurnedAway, EngineOutcome::TurnedAway))
             }
-            Verdict::Failure if self.terms.repeatable && !self.state_machine.is_last_attempt() => {
+            ResponseKind::Failure
+                if self.terms.repeatable && !self.state_machine.is_last_attempt() =>
+            {
                 Err(self.failed(Failure::EngineError, EngineOutcome::Failed))
             }
-            Verdict::Failure => Ok(Begun { connection, head, body, first }),
-            Verdict::Foreign => {
+            ResponseKind::Failure => Ok(Begun { connection, head, body, first }),
+            ResponseKind::Mismatched => {
                 Err(self.failed(Failure::MismatchedResponse, EngineOutcome::Failed))
             }
         }
@@ -386,7 +393,7 @@
     /// Sends and waits for the head, doubting the engine aloud if it takes too long.
     async fn head_of(
         &self,
-        connection: &mut Kept,
+        connection: &mut EngineConnection,
         request: hyper::Request<Body>,
         chosen: &Chosen,
         sent_at: MonotonicMs,
@@ -394,20 +401,20 @@
         let timeout = self.state_machine.timeout(sent_at);
         let response = connection.send(request);
         tokio::pin!(response);
-        let doubt_after = span(DurationMs(chosen.suspect_after.0.min(timeout.0)));
+        let doubt_after = std_duration(DurationMs(chosen.suspect_after.0.min(timeout.0)));
         let early = tokio::time::timeout(doubt_after, &mut response).await;
         let outcome = match early {
             Ok(outcome) => Ok(outcome),
             Err(_) => {
-                self.ending.handle.notify(RelayCall::SuspectEngine(chosen.target.engine.clone()));
+                self.guard.handle.notify(RelayCall::SuspectEngine(chosen.target.engine.clone()));
                 let left = DurationMs(timeout.0.saturating_sub(chosen.suspect_after.0));
-                tokio::time::timeout(span(left), &mut response).await
+                tokio::time::timeout(std_duration(left), &mut response).await
             }
         };
         match outcome {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err((error, Failure::ConnectionLost)),
-            Err(_) => Err((SendError::Broken, Failure::TimedOut)),
+            Err(_) => Err((SendError::ConnectionLost, Failure::TimedOut)),
         }
     }
 
@@ -416,19 +423,19 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = origin_form(&self.uri);
         *request.headers_mut() = self.headers.clone();
-        let to = Addressed {
+        let to = EngineHeaders {
             engine: &chosen.target.engine,
-            left: self.terms.deadline.since(self.now()),
+            time_remaining: self.terms.deadline.since(self.now()),
             last_event: self.last_event,
         };
-        self.names.address(request.headers_mut(), &to);
+        self.adapter.set_engine_headers(request.headers_mut(), &to);
         request
     }
 
     /// Holds a response back until it is whole, so that a cut one is an error and nothing else.
     async fn relay_whole(&mut self, begun: Begun) -> Result<hyper::Response<Body>, FailureAction> {
         let Begun { connection, head, body, first } = begun;
-        let limit = span(self.terms.deadline.since(self.now()));
+        let limit = std_duration(self.terms.deadline.since(self.now()));
         let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
         let body = match tokio::time::timeout(limit, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -437,14 +444,14 @@
         };
         self.state_machine.start_relaying();
         self.state_machine.complete();
-        self.ending.engine_outcome = if head.status.is_success() {
+        self.guard.engine_outcome = if head.status.is_success() {
             EngineOutcome::Completed(first)
         } else {
-            self.tell_failure(Failure::EngineError);
+            self.report_failure(Failure::EngineError);
             EngineOutcome::Failed
         };
-        connections::keep(connection, &head.headers);
-        Ok(passed_on(&head, topazyard_wire::http::full_body(body)))
+        connections::keep_idle(connection, &head.headers);
+        Ok(forward_response(&head, topazyard_wire::http::full_body(body)))
     }
 
     /// Relays a stream event by event. One that can be resumed goes on from another engine when
@@ -454,20 +461,20 @@
         let mut head = begun.head.clone();
         // Its length is known only where it ends with the first engine.
         head.headers.remove(hyper::header::CONTENT_LENGTH);
-        passed_on(&head, Stream::of(self, begun).into_body())
+        forward_response(&head, Stream::of(self, begun).into_body())
     }
 }
 
 /// Reads the rest of a short response, so that its connection can be kept.
 async fn keep_after(
-    connection: Kept,
+    connection: EngineConnection,
     head: hyper::http::response::Parts,
     body: hyper::body::Incoming,
 ) {
-    let limit = std::time::Duration::from_millis(connections::CONNECT_LIMIT.0);
+    let limit = std::time::Duration::from_millis(connections::CONNECT_TIMEOUT.0);
     let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
     if let Ok(Ok(_)) = tokio::time::timeout(limit, collect).await {
-        connections::keep(connection, &head.headers);
+        connections::keep_idle(connection, &head.headers);
     }
 }
 
--- a/programs/topazyard-relay/src/front/routed_stream.rs
+++ b/programs/topazyard-relay/src/front/routed_stream.rs
@@ -1,8 +1,8 @@
 //! A stream on a route, relayed event by event.
 
 use super::connections;
-use super::engine::span;
-use super::events::Events;
+use super::engine::std_duration;
+use super::events::EventSplitter;
 use super::routed::{Begun, Session};
 use crate::machine::EngineOutcome;
 use crate::prompt::{Failure, FailureAction};
@@ -14,7 +14,7 @@
 pub(super) struct Stream {
     session: Box<Session>,
     begun: Option<Begun>,
-    events: Events,
+    events: EventSplitter,
     first: DurationMs,
     resumable: bool,
 }
@@ -39,7 +39,7 @@
         Self {
             resumable: session.terms.resumable,
             first: begun.first,
-            events: Events::after(session.last_event),
+            events: EventSplitter::after(session.last_event),
             session,
             begun: Some(begun),
         }
@@ -62,7 +62,7 @@
                 Step::Nothing => {}
                 Step::End => return None,
                 Step::Cut => {
-                    super::let_flush().await;
+                    super::yield_for_flush().await;
                     return Some((Err(BodyError), None));
                 }
             }
@@ -73,8 +73,8 @@
         let Some(begun) = &mut self.begun else {
             return self.go_on_elsewhere().await;
         };
-        let left = self.session.terms.deadline.since(self.session.ending.handle.clock().now());
-        let failure = match tokio::time::timeout(span(left), begun.body.frame()).await {
+        let left = self.session.terms.deadline.since(self.session.guard.handle.clock().now());
+        let failure = match tokio::time::timeout(std_duration(left), begun.body.frame()).await {
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(bytes) => match self.take(bytes) {
                     Ok(step) => return step,
@@ -83,13 +83,13 @@
                 // Trailers say nothing that a client needs.
                 Err(_) => return Step::Nothing,
             },
-            Ok(None) if !self.events.is_within() => return self.end(),
+            Ok(None) if !self.events.has_partial_event() => return self.end(),
             Ok(None) | Ok(Some(Err(_))) => Failure::ConnectionLost,
             Err(_) => Failure::TimedOut,
         };
         self.begun = None;
         match self.session.failed(failure, EngineOutcome::Failed) {
-            FailureAction::TryAnotherEngine => match self.session.ask_for_another().await {
+            FailureAction::TryAnotherEngine => match self.session.request_another_engine().await {
                 Ok(()) => Step::Nothing,
                 Err(_) => Step::Cut,
             },
@@ -102,7 +102,7 @@
         if !self.resumable {
             return Ok(Step::Bytes(bytes));
         }
-        let whole = self.events.take(&bytes).map_err(|_| Failure::ConnectionLost)?;
+        let whole = self.events.push(&bytes).map_err(|_| Failure::ConnectionLost)?;
         let Some(whole) = whole else { return Ok(Step::Nothing) };
         if !whole.in_order {
             return Err(Failure::ConnectionLost);
@@ -113,16 +113,16 @@
 
     fn end(&mut self) -> Step {
         self.session.state_machine.complete();
-        self.session.ending.engine_outcome = EngineOutcome::Completed(self.first);
+        self.session.guard.engine_outcome = EngineOutcome::Completed(self.first);
         if let Some(begun) = self.begun.take() {
-            connections::keep(begun.connection, &begun.head.headers);
+            connections::keep_idle(begun.connection, &begun.head.headers);
         }
         Step::End
     }
 
     /// Takes the stream up at another engine, after the last event that the client has.
     async fn go_on_elsewhere(&mut self) -> Step {
-        self.events = Events::after(self.session.last_event);
+        self.events = EventSplitter::after(self.session.last_event);
         match self.session.try_engine().await {
             Ok(begun) if begun.head.status.is_success() => {
                 self.session.state_machine.start_relaying();
@@ -131,10 +131,12 @@
                 Step::Nothing
             }
             Ok(_) | Err(FailureAction::Respond(_) | FailureAction::CloseConnection) => Step::Cut,
-            Err(FailureAction::TryAnotherEngine) => match self.session.ask_for_another().await {
-                Ok(()) => Step::Nothing,
-                Err(_) => Step::Cut,
-            },
+            Err(FailureAction::TryAnotherEngine) => {
+                match self.session.request_another_engine().await {
+                    Ok(()) => Step::Nothing,
+                    Err(_) => Step::Cut,
+                }
+            }
         }
     }
 }
--- a/programs/topazyard-relay/src/front/session.rs
+++ b/programs/topazyard-relay/src/front/session.rs
@@ -1,8 +1,8 @@
 //! One prompt, from its arrival to its end, led by its state chart.
 
-use super::ending::Ending;
-use super::engine::span;
-use super::{Handle, passed_on, read};
+use super::engine::std_duration;
+use super::request_guard::RequestGuard;
+use super::{Handle, forward_response, prompt_request};
 use crate::machine::{EngineOutcome, Prompt, RelayCall, RelayResponse, Target};
 use crate::prompt::{Failure, FailureAction, RequestStateMachine};
 use http_body_util::BodyExt as _;
@@ -15,7 +15,7 @@
 
 /// A prompt on its way.
 struct Session {
-    ending: Ending,
+    guard: RequestGuard,
     state_machine: RequestStateMachine,
     deadline: MonotonicMs,
     path: &'static str,
@@ -43,22 +43,28 @@
     stream: bool,
 ) -> Result<hyper::Response<Body>, ApiError> {
     let arrived = handle.clock().now();
-    let body = topazyard_wire::http::inbound::read_body(body, read::MOST_BYTES).await?;
-    let facts = read::read(&head.headers, &body)?;
-    let deadline = arrived.plus(facts.wait);
-    let ending = Ending::of_new(handle, RelayCall::PromptEnded);
-    let id = ending.id;
+    let body =
+        topazyard_wire::http::inbound::read_body(body, prompt_request::MAX_BODY_BYTES).await?;
+    let metadata = prompt_request::parse(&head.headers, &body)?;
+    let deadline = arrived.plus(metadata.timeout);
+    let guard = RequestGuard::new(handle, RelayCall::PromptEnded);
+    let id = guard.id;
     let mut session = Session {
-        ending,
-        state_machine: RequestStateMachine::arrived(facts.repeatable, deadline),
+        guard,
+        state_machine: RequestStateMachine::arrived(metadata.repeatable, deadline),
         deadline,
         path: if stream { "/generate_stream" } else { "/generate" },
         // A client of HTTP/1.0 could not tell a cut stream from a whole one: it gets it whole.
         stream: stream && head.version >= hyper::Version::HTTP_11,
         body,
     };
-    let prompt =
-        Prompt { id, model: facts.model, cost: facts.cost, deadline, prefix: facts.prefix };
+    let prompt = Prompt {
+        id,
+        model: metadata.model,
+        cost: metadata.cost,
+        deadline,
+        prefix: metadata.prefix,
+    };
     session.state_machine.enqueue();
     let mut target = session.ask(RelayCall::AdmitPrompt(prompt)).await?;
     loop {
@@ -80,18 +86,18 @@
 /// Counts how it ended.
 impl Drop for Session {
     fn drop(&mut self) {
-        super::ended::count(self.state_machine.state());
+        super::outcomes::count(self.state_machine.state());
     }
 }
 
 impl Session {
     fn now(&self) -> MonotonicMs {
-        self.ending.handle.clock().now()
+        self.guard.handle.clock().now()
     }
 
     /// Asks the machine for an engine.
     async fn ask(&mut self, call: RelayCall) -> Result<Target, ApiError> {
-        match self.ending.handle.call(call).await {
+        match self.guard.handle.call(call).await {
             Ok(RelayResponse::SendTo(target)) => {
                 self.state_machine.hold();
                 Ok(target)
@@ -112,8 +118,8 @@
         let Ok(request) = request else {
             return Err(self.state_machine.fail(Failure::NotConnected, self.now()));
         };
-        let call = RelayCall::DispatchPrompt(self.ending.id, target.engine.clone());
-        match self.ending.handle.call(call).await {
+        let call = RelayCall::DispatchPrompt(self.guard.id, target.engine.clone());
+        match self.guard.handle.call(call).await {
             Ok(RelayResponse::SendBefore(until)) if self.now() < until => {}
             Ok(RelayResponse::Refused(error)) if error.code == Code::NoEngine => {
                 return Err(self.state_machine.fail(Failure::NotConnected, self.now()));
@@ -129,7 +135,7 @@
         }
         self.state_machine.dispatch();
         let sent_at = self.now();
-        let timeout = span(self.state_machine.timeout(sent_at));
+        let timeout = std_duration(self.state_machine.timeout(sent_at));
         let response = match tokio::time::timeout(timeout, connection.send(request)).await {
             Ok(Ok(response)) => response,
             Ok(Err(_)) => return Err(self.engine_failed(Failure::ConnectionLost)),
@@ -146,7 +152,7 @@
     }
 
     fn engine_failed(&mut self, failure: Failure) -> FailureAction {
-        self.ending.engine_outcome = EngineOutcome::Failed;
+        self.guard.engine_outcome = EngineOutcome::Failed;
         self.state_machine.fail(failure, self.now())
     }
 
@@ -157,7 +163,7 @@
         sent_at: MonotonicMs,
     ) -> Result<hyper::Response<Body>, FailureAction> {
         let (head, body) = response.into_parts();
-        let limit = span(self.deadline.since(self.now()));
+        let limit = std_duration(self.deadline.since(self.now()));
         let collect = http_body_util::Limited::new(body, MOST_HELD_BACK).collect();
         let body = match tokio::time::timeout(limit, collect).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -166,8 +172,8 @@
         };
         self.state_machine.start_relaying();
         self.state_machine.complete();
-        self.ending.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
-        Ok(passed_on(&head, topazyard_wire::http::full_body(body)))
+        self.guard.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
+        Ok(forward_response(&head, topazyard_wire::http::full_body(body)))
     }
 
     /// Relays a stream piece by piece. A cut breaks the client's connection.
@@ -181,7 +187,7 @@
         let (sender, receiver) = tokio::sync::mpsc::channel(PIECES);
         tokio::spawn(self.pump(body, sent_at, sender));
         let frames = futures_util::stream::unfold(Some(receiver), next_piece);
-        passed_on(&head, http_body_util::StreamBody::new(frames).boxed_unsync())
+        forward_response(&head, http_body_util::StreamBody::new(frames).boxed_unsync())
     }
 
     /// Takes pieces from the engine and hands them to the client's connection, until the stream
@@ -193,7 +199,7 @@
         sender: tokio::sync::mpsc::Sender<Piece>,
     ) {
         loop {
-            let limit = span(self.deadline.since(self.now()));
+            let limit = std_duration(self.deadline.since(self.now()));
             let got = tokio::select! {
                 biased;
                 () = sender.closed() => return,
@@ -203,15 +209,14 @@
                 Ok(Some(Ok(frame))) => Piece::Frame(frame),
                 Ok(None) => {
                     self.state_machine.complete();
-                    self.ending.engine_outcome =
-                        EngineOutcome::Completed(self.now().since(sent_at));
+                    self.guard.engine_outcome = EngineOutcome::Completed(self.now().since(sent_at));
                     Piece::End
                 }
                 Ok(Some(Err(_))) => return drop(self.engine_failed(Failure::ConnectionLost)),
                 Err(_) => return drop(self.engine_failed(Failure::TimedOut)),
             };
             let is_end = matches!(piece, Piece::End);
-            let limit = span(self.deadline.since(self.now()));
+            let limit = std_duration(self.deadline.since(self.now()));
             let taken = tokio::time::timeout(limit, sender.send(piece)).await;
             if is_end || !matches!(taken, Ok(Ok(()))) {
                 return;
@@ -242,7 +247,7 @@
         Some(Piece::Frame(frame)) => Some((Ok(frame), Some(pieces))),
         Some(Piece::End) => None,
         None => {
-            super::let_flush().await;
+            super::yield_for_flush().await;
             Some((Err(BodyError), None))
         }
     }
--- a/programs/topazyard-relay/src/front/tasks.rs
+++ b/programs/topazyard-relay/src/front/tasks.rs
@@ -1,7 +1,7 @@
 //! What the machine has begun outside: item runs and looks at engines' health.
 
 use super::Handle;
-use super::engine::span;
+use super::engine::std_duration;
 use crate::machine::{EngineOutcome, RelayCall, RelayResponse, RelayTask, Target};
 use http_body_util::BodyExt as _;
 use topazyard_wire::message::batch::{Run, RunEnd};
@@ -13,9 +13,9 @@
 pub async fn run(
     handle: Handle,
     mut tasks: tokio::sync::mpsc::Receiver<RelayTask>,
-    names: Option<super::routed::Names>,
+    adapter: Option<super::routed::SharedAdapter>,
 ) {
-    let (break_off, breaks_off) = tokio::sync::watch::channel(false);
+    let (abort, abort_signal) = tokio::sync::watch::channel(false);
     while let Some(task) = tasks.recv().await {
         let handle = handle.clone();
         match task {
@@ -26,28 +26,29 @@
                 });
             }
             RelayTask::RunRoutedItem(run) => {
-                let names = names.clone();
-                let breaks_off = breaks_off.clone();
+                let adapter = adapter.clone();
+                let abort_signal = abort_signal.clone();
                 tokio::spawn(async move {
-                    let (end, engine_outcome) = match &names {
-                        Some(names) => {
-                            super::items::run_routed(&handle, &run, &**names, breaks_off).await
+                    let (end, engine_outcome) = match &adapter {
+                        Some(adapter) => {
+                            super::items::run_routed_item(&handle, &run, &**adapter, abort_signal)
+                                .await
                         }
                         None => (RunEnd::NotRun, EngineOutcome::NotSent),
                     };
                     handle.notify(RelayCall::RoutedItemEnded(run.run, end, engine_outcome));
                 });
             }
-            RelayTask::AbortRoutedRuns => drop(break_off.send_replace(true)),
+            RelayTask::AbortRoutedRuns => drop(abort.send_replace(true)),
             RelayTask::ProbeConnection(target) => {
                 tokio::spawn(async move {
-                    let reached = super::connections::reach(&target).await;
+                    let reached = super::connections::probe(&target).await;
                     handle.notify(RelayCall::ConnectionProbed(target.engine, reached));
                 });
             }
             RelayTask::CheckHealth(target) => {
                 tokio::spawn(async move {
-                    let is_well = super::engine::is_well(target.address).await;
+                    let is_well = super::engine::is_healthy(target.address).await;
                     handle.notify(RelayCall::HealthChecked(target.engine, is_well));
                 });
             }
@@ -56,7 +57,7 @@
 }
 
 async fn run_item(handle: &Handle, run: Run, target: &Target, body: bytes::Bytes) -> RunEnd {
-    let limit = super::engine::CONNECT_LIMIT;
+    let limit = super::engine::CONNECT_TIMEOUT;
     let Ok(connection) = super::engine::connect(target.address, limit).await else {
         return RunEnd::NotRun;
     };
@@ -77,6 +78,6 @@
         let body = body.collect().await.ok()?.to_bytes();
         Some(RunEnd::Complete { status, body })
     };
-    let ended = tokio::time::timeout(span(crate::machine::items::RUN_TIMEOUT), work).await;
+    let ended = tokio::time::timeout(std_duration(crate::machine::items::RUN_TIMEOUT), work).await;
     ended.ok().flatten().unwrap_or(RunEnd::Unknown)
 }
--- a/programs/topazyard-relay/src/metrics.rs
+++ b/programs/topazyard-relay/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What a relay tells of itself to whoever fetches its metrics.
 
-use crate::front::{Handle, ended, loads};
+use crate::front::{Handle, engine_loads, outcomes};
 use crate::machine::RelayHealth;
 use crate::{RelayCall, RelayResponse};
 use topazyard_wire::http::inbound::{Drain, Stage};
@@ -33,7 +33,12 @@
 impl RelayFigures {
     /// The figures of a relay that fares so.
     pub fn new(health: RelayHealth, stage: Stage) -> Self {
-        Self { health, stage, ended: ended::counts(), malformed_loads: loads::malformed() }
+        Self {
+            health,
+            stage,
+            ended: outcomes::counts(),
+            malformed_loads: engine_loads::malformed_count(),
+        }
     }
 }
 
--- a/programs/topazyard-relay/src/run.rs
+++ b/programs/topazyard-relay/src/run.rs
@@ -1,7 +1,7 @@
 //! The program as a whole: its machine, its links and its HTTP.
 
 use crate::drain::DrainTimes;
-use crate::front::engine::span;
+use crate::front::engine::std_duration;
 use crate::front::{Handle, connections, routed};
 use crate::{RelayCall, RelayResponse};
 use topazyard_types::DurationMs;
@@ -23,7 +23,7 @@
     /// With the routes of the spec, in an outer adapter's names.
     Routes {
         /// The names.
-        names: routed::Names,
+        adapter: routed::SharedAdapter,
         /// For how long clients may still be sent here after the relay said that it isn't ready.
         deregistration_delay: DurationMs,
     },
@@ -54,11 +54,11 @@
         let make = move |_| (crate::RelayMachine::new(&start), Vec::new());
         let handle =
             topazyard_wire::driver::spawn_at(settings.listen_address(), make, place, None, tasks)?;
-        let names = match &front {
+        let adapter = match &front {
             Front::Own => None,
-            Front::Routes { names, .. } => Some(names.clone()),
+            Front::Routes { adapter, .. } => Some(adapter.clone()),
         };
-        tokio::spawn(crate::front::tasks::run(handle.clone(), begun, names));
+        tokio::spawn(crate::front::tasks::run(handle.clone(), begun, adapter));
         tokio::spawn(sweep());
         let (drain, drains) = tokio::sync::watch::channel(inbound::Stage::Serving);
         crate::metrics::serve(settings.metrics, &handle, &drains).await;
@@ -76,7 +76,7 @@
             () = served => spdlog::info!("ended in order"),
             () = drained(&handle, &drain, times) => note_given_up(&handle).await,
         }
-        crate::front::ended::check_all_answered();
+        crate::front::outcomes::check_all_answered();
         Ok(())
     })
 }
@@ -90,13 +90,15 @@
     match front {
         Front::Own => {
             let told = drains.clone();
-            let answer = move |request| crate::front::answer(handle.clone(), told.clone(), request);
+            let answer =
+                move |request| crate::front::serve_request(handle.clone(), told.clone(), request);
             inbound::serve_draining(listener, answer, drains).await;
         }
-        Front::Routes { names, .. } => {
+        Front::Routes { adapter, .. } => {
             let told = drains.clone();
-            let answer =
-                move |request| routed::answer(handle.clone(), names.clone(), told.clone(), request);
+            let answer = move |request| {
+                routed::serve_request(handle.clone(), adapter.clone(), told.clone(), request)
+            };
             inbound::serve_draining(listener, answer, drains).await;
         }
     }
@@ -106,7 +108,7 @@
     let mut every = tokio::time::interval(std::time::Duration::from_millis(SWEEP_MS));
     loop {
         every.tick().await;
-        connections::sweep();
+        connections::close_expired();
     }
 }
 
@@ -124,7 +126,7 @@
     };
     while clock.now() < draining.exit_at() {
         // A machine that is behind may have anything under way, and must not put the end off.
-        let limit = span(draining.next_check_delay(DRAIN_LOOK, clock.now()));
+        let limit = std_duration(draining.next_check_delay(DRAIN_LOOK, clock.now()));
         let looked = tokio::time::timeout(limit, handle.call(RelayCall::Health)).await;
         let health = match &looked {
             Ok(Ok(RelayResponse::Health(health))) => Some(health),
@@ -138,7 +140,7 @@
             spdlog::info!("drain stage {stage:?} {counts}");
             drain.send_replace(stage);
         }
-        tokio::time::sleep(span(draining.next_check_delay(DRAIN_LOOK, clock.now()))).await;
+        tokio::time::sleep(std_duration(draining.next_check_delay(DRAIN_LOOK, clock.now()))).await;
     }
     give_last_answers(drain).await;
 }
--- a/programs/topazyard-relay/tests/edge.rs
+++ b/programs/topazyard-relay/tests/edge.rs
@@ -26,7 +26,7 @@
 
 /// What an engine does with a connection once it has read the request.
 #[derive(Clone, Copy)]
-enum Then {
+enum EngineAction {
     /// Sends this and closes.
     Close(&'static str),
     /// Sends this and resets the connection.
@@ -48,14 +48,14 @@
     Left,
 }
 
-struct Edge {
+struct TestRelay {
     relay: Address,
     saw: tokio::sync::mpsc::UnboundedReceiver<Saw>,
 }
 
-impl Edge {
+impl TestRelay {
     /// A relay that is ready, beside a stand-in agent and counter, with one engine.
-    async fn ready(then: Then) -> Self {
+    async fn ready(then: EngineAction) -> Self {
         let (tell, saw) = tokio::sync::mpsc::unbounded_channel();
         let engine = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let engine_at = engine.local_addr().expect("its address");
@@ -79,7 +79,7 @@
         let serving = topazyard_wire::http::inbound::Stage::Serving;
         let (_, told) = tokio::sync::watch::channel(serving);
         tokio::spawn(topazyard_wire::http::inbound::serve(http, move |request| {
-            topazyard_relay::front::answer(handle.clone(), told.clone(), request)
+            topazyard_relay::front::serve_request(handle.clone(), told.clone(), request)
         }));
         while !matches!(
             asked.call(topazyard_relay::RelayCall::Ready).await,
@@ -95,7 +95,7 @@
     }
 
     /// Sends a prompt and reads until the relay closes.
-    async fn ask(&self, request: &str) -> String {
+    async fn send(&self, request: &str) -> String {
         let mut client = self.connect().await;
         client.write_all(request.as_bytes()).await.expect("the relay takes it");
         let mut got = Vec::new();
@@ -133,7 +133,7 @@
 
 async fn be_engine(
     listener: tokio::net::TcpListener,
-    then: Then,
+    then: EngineAction,
     tell: tokio::sync::mpsc::UnboundedSender<Saw>,
 ) {
     loop {
@@ -144,7 +144,7 @@
 
 async fn serve_once(
     mut stream: tokio::net::TcpStream,
-    then: Then,
+    then: EngineAction,
     tell: tokio::sync::mpsc::UnboundedSender<Saw>,
 ) {
     let mut request = Vec::new();
@@ -165,19 +165,22 @@
     }
     let body = String::from_utf8_lossy(&request[end..end + length]).into_owned();
     let _ = tell.send(Saw::Ran(body));
-    let (Then::Close(text) | Then::Reset(text) | Then::Hang(text) | Then::Flood(text)) = then;
+    let (EngineAction::Close(text)
+    | EngineAction::Reset(text)
+    | EngineAction::Hang(text)
+    | EngineAction::Flood(text)) = then;
     let _ = stream.write_all(text.as_bytes()).await;
     match then {
-        Then::Close(_) => {}
-        Then::Reset(_) => {
+        EngineAction::Close(_) => {}
+        EngineAction::Reset(_) => {
             let _ = stream.set_zero_linger();
         }
-        Then::Hang(_) => {
+        EngineAction::Hang(_) => {
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest).await;
             let _ = tell.send(Saw::Left);
         }
-        Then::Flood(_) => {
+        EngineAction::Flood(_) => {
             let piece = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
             while stream.write_all(piece.as_bytes()).await.is_ok() {}
             let _ = tell.send(Saw::Left);
@@ -277,9 +280,9 @@
 }
 
 /// Asks once and checks that one hold was added, one body ran unaltered, and one hold released.
-async fn ends(then: Then, path: &str, wait_ms: u64) -> String {
-    let mut edge = Edge::ready(then).await;
-    let got = edge.ask(&request(path, "1.1", wait_ms)).await;
+async fn ends(then: EngineAction, path: &str, wait_ms: u64) -> String {
+    let mut edge = TestRelay::ready(then).await;
+    let got = edge.send(&request(path, "1.1", wait_ms)).await;
     let saw = edge.until_released().await;
     let count = |what: fn(&Saw) -> bool| saw.iter().filter(|saw| what(saw)).count();
     assert_eq!(count(|saw| matches!(saw, Saw::Added(_))), 1, "{saw:?}");
@@ -302,14 +305,16 @@
 fn a_return_cut_anywhere_is_an_error_and_nothing_else() {
     runtime().block_on(async {
         for then in [
-            Then::Close(""),
-            Then::Close("HTTP/1.1 200 OK\r\ncontent-le"),
-            Then::Close("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"generated"),
-            Then::Close("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"gen\r\n"),
-            Then::Close("HTTP/1.1 200 OK\r\n\r\n{\"generated_text\":\"till the end\"}"),
-            Then::Reset("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"generated"),
-            Then::Reset(""),
-            Then::Close("SSH-2.0-nothing of ours\r\n"),
+            EngineAction::Close(""),
+            EngineAction::Close("HTTP/1.1 200 OK\r\ncontent-le"),
+            EngineAction::Close("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"generated"),
+            EngineAction::Close(
+                "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"gen\r\n",
+            ),
+            EngineAction::Close("HTTP/1.1 200 OK\r\n\r\n{\"generated_text\":\"till the end\"}"),
+            EngineAction::Reset("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n{\"generated"),
+            EngineAction::Reset(""),
+            EngineAction::Close("SSH-2.0-nothing of ours\r\n"),
         ] {
             gave_up(&ends(then, "/generate", 5_000).await, "502");
         }
@@ -320,8 +325,8 @@
 fn an_engine_that_says_nothing_is_given_up_at_the_deadline() {
     runtime().block_on(async {
         for text in ["", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"] {
-            let mut edge = Edge::ready(Then::Hang(text)).await;
-            gave_up(&edge.ask(&request("/generate", "1.1", 250)).await, "504");
+            let mut edge = TestRelay::ready(EngineAction::Hang(text)).await;
+            gave_up(&edge.send(&request("/generate", "1.1", 250)).await, "504");
             // The run is broken off: its engine sees the connection end.
             let mut saw = edge.until_released().await;
             while !saw.contains(&Saw::Left) {
@@ -338,7 +343,7 @@
                 x-one: a\r\nx-one: b\r\nx-link: c\r\nconnection: x-link\r\n\
                 content-length: 4\r\n\r\nabcdHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nnot";
         for path in ["/generate", "/generate_stream"] {
-            let got = ends(Then::Close(text), path, 5_000).await;
+            let got = ends(EngineAction::Close(text), path, 5_000).await;
             assert_eq!(status(&got), "429", "{got}");
             for header in ["retry-after: 7", "content-encoding: gzip", "x-one: a", "x-one: b"] {
                 assert!(got.contains(header), "{header} in {got}");
@@ -350,7 +355,7 @@
         for code in ["500", "503"] {
             let text: &'static str =
                 Box::leak(format!("HTTP/1.1 {code} X\r\ncontent-length: 1\r\n\r\n!").into());
-            assert_eq!(status(&ends(Then::Close(text), "/generate", 5_000).await), code);
+            assert_eq!(status(&ends(EngineAction::Close(text), "/generate", 5_000).await), code);
         }
     });
 }
@@ -361,16 +366,16 @@
 #[test]
 fn a_stream_never_looks_complete_when_it_is_cut() {
     runtime().block_on(async {
-    for then in [Then::Close(STREAM), Then::Reset(STREAM), Then::Hang(STREAM)] {
+    for then in [EngineAction::Close(STREAM), EngineAction::Reset(STREAM), EngineAction::Hang(STREAM)] {
         let got = ends(then, "/generate_stream", 400).await;
         assert!(!got.contains("\r\n0\r\n"), "{got}");
     }
     let text = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf";
-    let got = ends(Then::Close(text), "/generate_stream", 5_000).await;
+    let got = ends(EngineAction::Close(text), "/generate_stream", 5_000).await;
     assert!(got.contains("content-length: 9") && got.ends_with("half"), "{got}");
     let whole =
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\none \r\n3\r\ntwo\r\n0\r\n\r\n";
-    let got = ends(Then::Close(whole), "/generate_stream", 5_000).await;
+    let got = ends(EngineAction::Close(whole), "/generate_stream", 5_000).await;
     assert!(got.contains("one ") && got.ends_with("two\r\n0\r\n\r\n"), "{got}");
     });
 }
@@ -378,11 +383,11 @@
 #[test]
 fn a_client_of_http_1_0_gets_a_stream_whole_or_an_error() {
     runtime().block_on(async {
-        let edge = Edge::ready(Then::Close(STREAM)).await;
-        gave_up(&edge.ask(&request("/generate_stream", "1.0", 5_000)).await, "502");
+        let edge = TestRelay::ready(EngineAction::Close(STREAM)).await;
+        gave_up(&edge.send(&request("/generate_stream", "1.0", 5_000)).await, "502");
         let whole = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n";
-        let edge = Edge::ready(Then::Close(whole)).await;
-        let got = edge.ask(&request("/generate_stream", "1.0", 5_000)).await;
+        let edge = TestRelay::ready(EngineAction::Close(whole)).await;
+        let got = edge.send(&request("/generate_stream", "1.0", 5_000)).await;
         assert!(got.contains("content-length: 3") && got.ends_with("\r\n\r\ntwo"), "{got}");
     });
 }
@@ -391,7 +396,7 @@
 fn a_client_that_leaves_ends_its_run() {
     runtime().block_on(async {
         for (path, text) in [("/generate", ""), ("/generate_stream", STREAM)] {
-            let mut edge = Edge::ready(Then::Hang(text)).await;
+            let mut edge = TestRelay::ready(EngineAction::Hang(text)).await;
             let mut client = edge.connect().await;
             let request = request(path, "1.1", 60_000);
             client.write_all(request.as_bytes()).await.expect("the relay takes it");
@@ -408,7 +413,7 @@
 #[test]
 fn a_client_that_never_reads_keeps_nothing_beyond_its_time() {
     runtime().block_on(async {
-        let mut edge = Edge::ready(Then::Flood(STREAM)).await;
+        let mut edge = TestRelay::ready(EngineAction::Flood(STREAM)).await;
         let mut client = edge.connect().await;
         let request = request("/generate_stream", "1.1", 700);
         client.write_all(request.as_bytes()).await.expect("the relay takes it");
@@ -423,7 +428,7 @@
 fn a_client_that_sends_in_pieces_is_served_and_one_that_stops_runs_nothing() {
     runtime().block_on(async {
         let whole = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-        let mut edge = Edge::ready(Then::Close(whole)).await;
+        let mut edge = TestRelay::ready(EngineAction::Close(whole)).await;
         let mut gone = edge.connect().await;
         let text = request("/generate", "1.1", 5_000);
         let (first, second) = text.split_at(text.len() - 7);
--- a/programs/topazyard-relay/tests/invariants.rs
+++ b/programs/topazyard-relay/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! Each invariant that the relay checks is violated once.
 
-use topazyard_relay::front::ended::{Unanswered, check_all_answered};
+use topazyard_relay::front::outcomes::{UnansweredRequest, check_all_answered};
 use topazyard_relay::prompt::{RequestStateMachine, State};
 use topazyard_types::MonotonicMs;
 use topazyard_wire::invariants::{Invariant, violations};
@@ -26,7 +26,7 @@
 
 #[test]
 fn request_without_a_response_at_exit_is_a_violation() {
-    let unanswered = Unanswered::begin();
+    let unanswered = UnansweredRequest::start();
     check_all_answered();
     assert_eq!(violations(Invariant::AnsweredBeforeEnd), 1);
     drop(unanswered);
--- a/programs/topazyard-relay/tests/loopback/core.rs
+++ b/programs/topazyard-relay/tests/loopback/core.rs
@@ -27,25 +27,25 @@
 }
 
 /// The primary of the shard with that batch: it leases what was handed in, and tells how it ended.
-pub struct Shard {
+pub struct ShardStub {
     /// The ids of items that are handed in.
-    pub handed_in: tokio::sync::mpsc::UnboundedReceiver<String>,
+    pub submitted: tokio::sync::mpsc::UnboundedReceiver<String>,
     /// Where the end of each run is told.
-    pub tell_end: tokio::sync::mpsc::UnboundedSender<RunEnd>,
+    pub run_ends: tokio::sync::mpsc::UnboundedSender<RunEnd>,
     /// The last lease.
-    pub leases: u64,
+    pub last_lease: u64,
 }
 
-impl Shard {
+impl ShardStub {
     fn answer(&mut self, call: BatchCall) -> BatchResponse {
         match call {
             BatchCall::Lease { .. } => {
-                let handed_in = std::iter::from_fn(|| self.handed_in.try_recv().ok());
-                let ids: Vec<String> = handed_in.collect();
+                let submitted = std::iter::from_fn(|| self.submitted.try_recv().ok());
+                let ids: Vec<String> = submitted.collect();
                 BatchResponse::Leased(ids.into_iter().map(|id| self.lease(id)).collect())
             }
             BatchCall::Finish(_, end) => {
-                let _ = self.tell_end.send(end);
+                let _ = self.run_ends.send(end);
                 BatchResponse::Acknowledged
             }
             _ => BatchResponse::Acknowledged,
@@ -53,7 +53,7 @@
     }
 
     fn lease(&mut self, id: String) -> LeasedItem {
-        self.leases += 1;
+        self.last_lease += 1;
         let routing = ItemRouting {
             id,
             path: "/batch/1".to_owned(),
@@ -67,18 +67,18 @@
             cost: Tokens(1),
             routing: Some(routing),
         };
-        let run = Run { batch: batch(), item: ItemNumber(0), lease: self.leases };
+        let run = Run { batch: batch(), item: ItemNumber(0), lease: self.last_lease };
         let route = Some(("batch".into(), HOST.to_owned()));
         LeasedItem { run, item, route, progress: Progress::default() }
     }
 }
 
 /// The agent beside the relay, the counter's primary, which grants all, and a shard's.
-pub async fn be_core(
+pub async fn run_core(
     listener: tokio::net::TcpListener,
     address: Address,
     engines: Vec<(EngineName, Address)>,
-    mut shard: Shard,
+    mut shard: ShardStub,
 ) {
     let (sender, mut frames) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(topazyard_wire::link::inbound::listen(listener, FLEET, move |frame| {
--- a/programs/topazyard-relay/tests/loopback/mod.rs
+++ b/programs/topazyard-relay/tests/loopback/mod.rs
@@ -5,9 +5,9 @@
 
 mod core;
 
-use self::core::{FLEET, HOST, Shard, be_core};
+use self::core::{FLEET, HOST, ShardStub, run_core};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-use topazyard_relay::front::routed::Names;
+use topazyard_relay::front::routed::SharedAdapter;
 use topazyard_types::{DurationMs, EngineName, NodeId};
 use topazyard_wire::api::{ApiError, Execution};
 use topazyard_wire::http::inbound;
@@ -45,51 +45,52 @@
 
 /// An outer adapter, and the headers of requests that engines and clients need to know.
 #[derive(Clone)]
-pub struct Adapter {
-    pub names: Names,
+pub struct TestAdapter {
+    pub adapter: SharedAdapter,
     /// The header with a request's id.
-    pub id: &'static str,
+    pub id_header: &'static str,
     /// The header with the engine that is meant.
-    pub engine: &'static str,
+    pub engine_header: &'static str,
     /// The header with the last event that is there already.
-    pub last_event: &'static str,
+    pub last_event_header: &'static str,
 }
 
 /// What the engine that is asked next does. `{id}` stands for the request's id.
 #[derive(Clone)]
-pub enum Then {
+pub enum EngineAction {
     /// Sends this and keeps the connection.
-    Keep(String),
+    KeepAlive(String),
     /// Sends this and closes.
     Close(String),
     /// Sends this and resets the connection.
     Reset(String),
     /// Sends this, and resets the connection when the next request arrives, without reading it.
-    Forget(String),
+    ResetOnNextRequest(String),
     /// Sends this and says nothing more until the other side closes.
     Hang(String),
 }
 
 /// A request as an engine got it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seen {
+pub struct EngineRequest {
     pub engine: usize,
     /// The how manieth connection of all engines it came on.
     pub connection: usize,
     pub id: String,
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     pub body: String,
 }
 
 /// Asks for what comes next in the script.
-type Script = tokio::sync::mpsc::UnboundedSender<tokio::sync::oneshot::Sender<Then>>;
+type Script = tokio::sync::mpsc::UnboundedSender<tokio::sync::oneshot::Sender<EngineAction>>;
 
 /// Owns a script until nobody asks any more.
-fn read_out(script: Vec<Then>) -> Script {
+fn read_out(script: Vec<EngineAction>) -> Script {
     let (sender, mut askings) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(async move {
         for then in script {
-            let Some(asking): Option<tokio::sync::oneshot::Sender<Then>> = askings.recv().await
+            let Some(asking): Option<tokio::sync::oneshot::Sender<EngineAction>> =
+                askings.recv().await
             else {
                 return;
             };
@@ -100,22 +101,22 @@
 }
 
 /// A relay with its engines.
-pub struct Edge {
-    adapter: Adapter,
+pub struct TestRelay {
+    adapter: TestAdapter,
     handle: topazyard_relay::front::Handle,
     relay: Address,
-    saw: tokio::sync::mpsc::UnboundedReceiver<Seen>,
+    saw: tokio::sync::mpsc::UnboundedReceiver<EngineRequest>,
     stage: tokio::sync::watch::Sender<inbound::Stage>,
     items: tokio::sync::mpsc::UnboundedSender<String>,
     ended: tokio::sync::mpsc::UnboundedReceiver<RunEnd>,
 }
 
-impl Edge {
+impl TestRelay {
     /// A relay that is ready, beside a stand-in agent and counter, with so many engines.
     pub async fn ready(
-        adapter: Adapter,
+        adapter: TestAdapter,
         engines: usize,
-        script: impl IntoIterator<Item = Then>,
+        script: impl IntoIterator<Item = EngineAction>,
     ) -> Self {
         static LAST: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
         let script = read_out(script.into_iter().collect());
@@ -140,12 +141,12 @@
         }
         let core = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let agent = core.local_addr().expect("its address");
-        let (items, handed_in) = tokio::sync::mpsc::unbounded_channel();
-        let (tell_end, ended) = tokio::sync::mpsc::unbounded_channel();
-        let shard = Shard { handed_in, tell_end, leases: 0 };
-        tokio::spawn(be_core(core, agent, listed, shard));
+        let (items, submitted) = tokio::sync::mpsc::unbounded_channel();
+        let (run_ends, ended) = tokio::sync::mpsc::unbounded_channel();
+        let shard = ShardStub { submitted, run_ends, last_lease: 0 };
+        tokio::spawn(run_core(core, agent, listed, shard));
         let (handle, begun) = spawn_relay(agent);
-        let names = adapter.names.clone();
+        let names = adapter.adapter.clone();
         let tasks = topazyard_relay::front::tasks::run(handle.clone(), begun, Some(names.clone()));
         tokio::spawn(tasks);
         let http = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -155,7 +156,7 @@
         let told = drain.clone();
         let answer = move |request| {
             let (handle, names, told) = (handle.clone(), names.clone(), told.clone());
-            topazyard_relay::front::routed::answer(handle, names, told, request)
+            topazyard_relay::front::routed::serve_request(handle, names, told, request)
         };
         tokio::spawn(inbound::serve_draining(http, answer, drain));
         while !matches!(
@@ -168,12 +169,12 @@
     }
 
     /// Sends a request and reads until the relay closes.
-    pub async fn ask(&self, path: &str, id: &str) -> Got {
-        self.ask_more(path, id, "").await
+    pub async fn send(&self, path: &str, id: &str) -> ReceivedResponse {
+        self.send_with_headers(path, id, "").await
     }
 
     /// The same with more headers.
-    pub async fn ask_more(&self, path: &str, id: &str, more: &str) -> Got {
+    pub async fn send_with_headers(&self, path: &str, id: &str, more: &str) -> ReceivedResponse {
         let request = self.request(path, id, &format!("connection: close\r\n{more}"));
         let mut client = self.connect().await;
         client.write_all(request.as_bytes()).await.expect("the relay takes it");
@@ -182,7 +183,7 @@
 
     /// A request as a client writes it; its body is its id, in three letters.
     pub fn request(&self, path: &str, id: &str, more: &str) -> String {
-        let id_header = self.adapter.id;
+        let id_header = self.adapter.id_header;
         format!(
             "POST {path} HTTP/1.1\r\nhost: {HOST}\r\n{id_header}: {id}\r\n\
              {more}content-length: 3\r\n\r\n{id:0>3}"
@@ -196,17 +197,17 @@
 
     /// Hands in an item under that id, and waits for the end of its run.
     pub async fn run_item(&mut self, id: &str) -> RunEnd {
-        self.hand_in(id);
-        self.run_ended().await
+        self.submit_item(id);
+        self.next_run_end().await
     }
 
     /// Hands in an item under that id.
-    pub fn hand_in(&self, id: &str) {
+    pub fn submit_item(&self, id: &str) {
         self.items.send(id.to_owned()).expect("the shard outlives the relay");
     }
 
     /// The end of a run as its shard is told.
-    pub async fn run_ended(&mut self) -> RunEnd {
+    pub async fn next_run_end(&mut self) -> RunEnd {
         self.ended.recv().await.expect("the shard outlives the relay")
     }
 
@@ -218,33 +219,33 @@
     }
 
     /// The relay is about to end: it takes nothing new and answers what it has read.
-    pub fn end(&self) {
+    pub fn start_ending(&self) {
         self.stage.send(inbound::Stage::Ending).expect("it serves");
     }
 
     /// All that engines got so far.
-    pub fn ran(&mut self) -> Vec<Seen> {
+    pub fn engine_requests(&mut self) -> Vec<EngineRequest> {
         std::iter::from_fn(|| self.saw.try_recv().ok()).collect()
     }
 
     /// The next that an engine gets.
-    pub async fn runs(&mut self) -> Seen {
+    pub async fn next_engine_request(&mut self) -> EngineRequest {
         self.saw.recv().await.expect("engines outlive the relay")
     }
 }
 
 /// Reads until the relay closes; a connection that breaks ends the reading too.
-pub async fn read_all(client: &mut tokio::net::TcpStream) -> Got {
+pub async fn read_all(client: &mut tokio::net::TcpStream) -> ReceivedResponse {
     let mut got = Vec::new();
     let _ = client.read_to_end(&mut got).await;
-    Got(String::from_utf8(got).expect("text"))
+    ReceivedResponse(String::from_utf8(got).expect("text"))
 }
 
 /// What a client got.
 #[derive(Debug)]
-pub struct Got(pub String);
+pub struct ReceivedResponse(pub String);
 
-impl Got {
+impl ReceivedResponse {
     /// Its status.
     pub fn status(&self) -> &str {
         self.0.split(' ').nth(1).unwrap_or("")
@@ -272,7 +273,7 @@
     }
 
     /// A final answer that says whether the request may have run.
-    pub fn refused(&self, status: &str, ran: Execution) {
+    pub fn assert_refused(&self, status: &str, ran: Execution) {
         assert_eq!(self.status(), status, "{}", self.0);
         let error: ApiError = serde_json::from_str(self.body()).expect("an error");
         assert_eq!(error.ran, ran, "{}", self.0);
@@ -282,12 +283,12 @@
 /// An engine.
 #[derive(Clone)]
 struct Engine {
-    adapter: Adapter,
+    adapter: TestAdapter,
     index: usize,
     name: String,
     script: Script,
     connections: std::sync::Arc<std::sync::atomic::AtomicUsize>,
-    tell: tokio::sync::mpsc::UnboundedSender<Seen>,
+    tell: tokio::sync::mpsc::UnboundedSender<EngineRequest>,
 }
 
 impl Engine {
@@ -315,39 +316,39 @@
             let request: Vec<u8> = read.drain(..end + length).collect();
             let head = String::from_utf8_lossy(&request[..end]).into_owned();
             let said = |name| value(&head, name).unwrap_or("");
-            assert_eq!(said(self.adapter.engine), self.name, "it is meant");
+            assert_eq!(said(self.adapter.engine_header), self.name, "it is meant");
             let (asking, next) = tokio::sync::oneshot::channel();
             let _ = self.script.send(asking);
             let next = next.await.ok();
-            let ran = Seen {
+            let ran = EngineRequest {
                 engine: self.index,
                 connection,
-                id: said(self.adapter.id).to_owned(),
-                after: said(self.adapter.last_event).parse().ok(),
+                id: said(self.adapter.id_header).to_owned(),
+                last_event: said(self.adapter.last_event_header).parse().ok(),
                 body: String::from_utf8_lossy(&request[end..]).into_owned(),
             };
             let _ = self.tell.send(ran);
             let Some(next) = next else { return };
-            let (Then::Keep(text)
-            | Then::Close(text)
-            | Then::Reset(text)
-            | Then::Forget(text)
-            | Then::Hang(text)) = &next;
-            let text = text.replace("{id}", said(self.adapter.id));
+            let (EngineAction::KeepAlive(text)
+            | EngineAction::Close(text)
+            | EngineAction::Reset(text)
+            | EngineAction::ResetOnNextRequest(text)
+            | EngineAction::Hang(text)) = &next;
+            let text = text.replace("{id}", said(self.adapter.id_header));
             let _ = stream.write_all(text.as_bytes()).await;
             match next {
-                Then::Keep(_) => {}
-                Then::Close(_) => return,
-                Then::Reset(_) => {
+                EngineAction::KeepAlive(_) => {}
+                EngineAction::Close(_) => return,
+                EngineAction::Reset(_) => {
                     let _ = stream.set_zero_linger();
                     return;
                 }
-                Then::Forget(_) => {
+                EngineAction::ResetOnNextRequest(_) => {
                     let _ = stream.readable().await;
                     let _ = stream.set_zero_linger();
                     return;
                 }
-                Then::Hang(_) => {
+                EngineAction::Hang(_) => {
                     let _ = stream.read_to_end(&mut Vec::new()).await;
                     return;
                 }
--- a/programs/topazyard-relay/tests/reading.rs
+++ b/programs/topazyard-relay/tests/reading.rs
@@ -1,6 +1,6 @@
 //! Parsing of client requests: whatever they contain, the malformed field is named.
 
-use topazyard_relay::front::{batches::items_of, read::read};
+use topazyard_relay::front::{batches::parse_items, prompt_request::parse};
 use topazyard_types::{DurationMs, Tokens};
 use topazyard_wire::api::Code;
 
@@ -23,11 +23,11 @@
         ("topazyard-prefix", "house, checks"),
         ("topazyard-repeatable", "true"),
     ]);
-    let facts = read(&head, BODY).expect("a proper request");
-    assert_eq!(facts.cost, Tokens(98));
-    assert_eq!(facts.wait, DurationMs(1_500));
-    assert_eq!(facts.prefix, ["house", "checks"]);
-    assert!(facts.repeatable);
+    let metadata = parse(&head, BODY).expect("a proper request");
+    assert_eq!(metadata.cost, Tokens(98));
+    assert_eq!(metadata.timeout, DurationMs(1_500));
+    assert_eq!(metadata.prefix, ["house", "checks"]);
+    assert!(metadata.repeatable);
 }
 
 #[test]
@@ -37,13 +37,13 @@
         ("topazyard-time-remaining", "-1"),
         ("topazyard-repeatable", "yes"),
     ] {
-        let error = read(&head(&[("topazyard-model", "m"), (name, value)]), BODY).unwrap_err();
+        let error = parse(&head(&[("topazyard-model", "m"), (name, value)]), BODY).unwrap_err();
         assert_eq!(error.code, Code::Malformed);
         assert_eq!(error.field.map(|field| field.to_lowercase()).as_deref(), Some(name));
     }
-    let error = read(&head(&[]), BODY).unwrap_err();
+    let error = parse(&head(&[]), BODY).unwrap_err();
     assert_eq!(error.field.as_deref(), Some("Topazyard-Model"));
-    let error = read(&head(&[("topazyard-model", "m")]), b"not json").unwrap_err();
+    let error = parse(&head(&[("topazyard-model", "m")]), b"not json").unwrap_err();
     assert_eq!(error.field.as_deref(), Some("body"));
 }
 
@@ -58,11 +58,11 @@
             if let Ok(value) = hyper::header::HeaderValue::from_bytes(count) {
                 head.insert("topazyard-token-count", value);
             }
-            if let Err(error) = read(&head, body) {
+            if let Err(error) = parse(&head, body) {
                 assert_eq!(error.code.status(), 400);
                 assert!(error.field.is_some());
             }
-            if let Err(error) = items_of(body) {
+            if let Err(error) = parse_items(body) {
                 assert!(error.field.is_some());
             }
         },
@@ -72,5 +72,5 @@
 #[test]
 fn malformed_item_body_is_named_by_its_index() {
     let text = br#"{"items":[{"model":"m","body":{"inputs":"a"}},{"model":"m","body":{}}]}"#;
-    assert_eq!(items_of(text).unwrap_err().field.as_deref(), Some("items[1].body"));
+    assert_eq!(parse_items(text).unwrap_err().field.as_deref(), Some("items[1].body"));
 }
--- a/programs/topazyard-relay/tests/routed.rs
+++ b/programs/topazyard-relay/tests/routed.rs
@@ -3,10 +3,12 @@
 
 mod loopback;
 
-use loopback::{Adapter, Edge, Then, read_all, runtime};
+use loopback::{EngineAction, TestAdapter, TestRelay, read_all, runtime};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+use topazyard_relay::front::adapter::{
+    EngineHeaders, HttpAdapter, MalformedLoad, RequestMetadata, ResponseKind,
+};
 use topazyard_relay::front::connections::{self, SendError};
-use topazyard_relay::front::dialect::{Addressed, Dialect, MalformedLoad, RequestFacts, Verdict};
 use topazyard_relay::machine::EngineLoad;
 use topazyard_relay::machine::Target;
 use topazyard_types::{DurationMs, EngineName, RouteName, Tokens};
@@ -21,53 +23,56 @@
     head.get(name)?.to_str().ok()?.parse().ok()
 }
 
-impl Dialect for Plain {
-    fn read(&self, head: &hyper::http::request::Parts) -> Result<RequestFacts, ApiError> {
-        Ok(RequestFacts {
+impl HttpAdapter for Plain {
+    fn request_metadata(
+        &self,
+        head: &hyper::http::request::Parts,
+    ) -> Result<RequestMetadata, ApiError> {
+        Ok(RequestMetadata {
             request_id: head.headers.get("x-id").cloned().expect("an id"),
-            wait: number(&head.headers, "x-wait").map(DurationMs),
+            timeout: number(&head.headers, "x-wait").map(DurationMs),
             cost: Some(Tokens(1)),
             prefix: Vec::new(),
             last_event: number(&head.headers, "x-after"),
         })
     }
 
-    fn identify(&self, headers: &mut hyper::HeaderMap, id: &hyper::header::HeaderValue) {
+    fn set_request_id(&self, headers: &mut hyper::HeaderMap, id: &hyper::header::HeaderValue) {
         headers.insert("x-id", id.clone());
     }
 
-    fn address(&self, headers: &mut hyper::HeaderMap, to: &Addressed<'_>) {
+    fn set_engine_headers(&self, headers: &mut hyper::HeaderMap, to: &EngineHeaders<'_>) {
         headers.insert("x-to", to.engine.0.parse().expect("a name"));
         if let Some(last_event) = to.last_event {
             headers.insert("x-after", last_event.into());
         }
     }
 
-    fn judge(
+    fn classify_response(
         &self,
         head: &hyper::http::response::Parts,
         request_id: &hyper::header::HeaderValue,
-    ) -> Verdict {
+    ) -> ResponseKind {
         if head.headers.get("x-id") != Some(request_id) {
-            Verdict::Foreign
+            ResponseKind::Mismatched
         } else if head.headers.contains_key("x-turned-away") {
-            Verdict::TurnedAway
+            ResponseKind::TurnedAway
         } else if head.status.is_server_error() {
-            Verdict::Failure
+            ResponseKind::Failure
         } else {
-            Verdict::Response
+            ResponseKind::Response
         }
     }
 
-    fn load(&self, _: &hyper::HeaderMap) -> Result<Option<EngineLoad>, MalformedLoad> {
+    fn reported_load(&self, _: &hyper::HeaderMap) -> Result<Option<EngineLoad>, MalformedLoad> {
         Ok(None)
     }
 
-    fn refuse(&self, error: &ApiError) -> hyper::Response<Body> {
+    fn refusal_response(&self, error: &ApiError) -> hyper::Response<Body> {
         topazyard_wire::http::error(error)
     }
 
-    fn batch_call<'a>(
+    fn serve_batch_call<'a>(
         &'a self,
         _: &'a topazyard_relay::front::Handle,
         _: Option<RouteName>,
@@ -87,14 +92,14 @@
 }
 
 /// A relay that is ready, with so many engines, in these names.
-async fn ready(engines: usize, script: impl IntoIterator<Item = Then>) -> Edge {
-    let adapter = Adapter {
-        names: std::sync::Arc::new(Plain),
-        id: "x-id",
-        engine: "x-to",
-        last_event: "x-after",
+async fn ready(engines: usize, script: impl IntoIterator<Item = EngineAction>) -> TestRelay {
+    let adapter = TestAdapter {
+        adapter: std::sync::Arc::new(Plain),
+        id_header: "x-id",
+        engine_header: "x-to",
+        last_event_header: "x-after",
     };
-    Edge::ready(adapter, engines, script).await
+    TestRelay::ready(adapter, engines, script).await
 }
 
 fn whole(body: &str) -> String {
@@ -125,11 +130,11 @@
 fn a_whole_stream_is_passed_on_whole() {
     runtime().block_on(async {
         for path in ["/stream/1", "/resumable/1"] {
-            let mut edge = ready(2, [Then::Keep(stream(1..=5) + STREAM_END)]).await;
-            let got = edge.ask(path, "a").await;
+            let mut edge = ready(2, [EngineAction::KeepAlive(stream(1..=5) + STREAM_END)]).await;
+            let got = edge.send(path, "a").await;
             assert_eq!(got.status(), "200", "{got:?}");
             assert_eq!(got.chunks(), (events(1..=5), true));
-            let ran = edge.ran();
+            let ran = edge.engine_requests();
             assert_eq!((ran.len(), ran[0].body.as_str()), (1, "00a"));
         }
     });
@@ -141,17 +146,17 @@
     runtime().block_on(async {
         let half = "11\r\nid: 3\ndata: half\n\r\n";
         for cut in [
-            Then::Close(stream(1..=2)),
-            Then::Close(stream(1..=2) + half),
+            EngineAction::Close(stream(1..=2)),
+            EngineAction::Close(stream(1..=2) + half),
             // A stream that ends in order, but within an event, was cut by its engine.
-            Then::Close(stream(1..=2) + half + STREAM_END),
+            EngineAction::Close(stream(1..=2) + half + STREAM_END),
         ] {
-            let rest = Then::Keep(stream(3..=5) + STREAM_END);
+            let rest = EngineAction::KeepAlive(stream(3..=5) + STREAM_END);
             let mut edge = ready(3, [cut, rest]).await;
-            let got = edge.ask("/resumable/1", "a").await;
+            let got = edge.send("/resumable/1", "a").await;
             assert_eq!(got.chunks(), (events(1..=5), true), "{got:?}");
-            let ran = edge.ran();
-            assert_eq!(ran.iter().map(|ran| ran.after).collect::<Vec<_>>(), [None, Some(2)]);
+            let ran = edge.engine_requests();
+            assert_eq!(ran.iter().map(|ran| ran.last_event).collect::<Vec<_>>(), [None, Some(2)]);
             assert_ne!(ran[0].engine, ran[1].engine, "another engine");
             assert_eq!(ran[0].body, ran[1].body);
         }
@@ -162,11 +167,14 @@
 #[test]
 fn a_client_that_takes_a_stream_up_gets_what_comes_after_its_last_event() {
     runtime().block_on(async {
-        let script = [Then::Close(stream(5..=6)), Then::Keep(stream(7..=8) + STREAM_END)];
+        let script = [
+            EngineAction::Close(stream(5..=6)),
+            EngineAction::KeepAlive(stream(7..=8) + STREAM_END),
+        ];
         let mut edge = ready(3, script).await;
-        let got = edge.ask_more("/resumable/1", "a", "x-after: 4\r\n").await;
+        let got = edge.send_with_headers("/resumable/1", "a", "x-after: 4\r\n").await;
         assert_eq!(got.chunks(), (events(5..=8), true), "{got:?}");
-        let after: Vec<_> = edge.ran().iter().map(|ran| ran.after).collect();
+        let after: Vec<_> = edge.engine_requests().iter().map(|ran| ran.last_event).collect();
         assert_eq!(after, [Some(4), Some(6)]);
     });
 }
@@ -176,11 +184,14 @@
 fn a_stream_that_goes_on_with_a_wrong_event_is_cut() {
     runtime().block_on(async {
         for wrong in [1..=5, 2..=5, 4..=5] {
-            let script = [Then::Close(stream(1..=2)), Then::Keep(stream(wrong) + STREAM_END)];
+            let script = [
+                EngineAction::Close(stream(1..=2)),
+                EngineAction::KeepAlive(stream(wrong) + STREAM_END),
+            ];
             let mut edge = ready(3, script).await;
-            let got = edge.ask("/resumable/1", "a").await;
+            let got = edge.send("/resumable/1", "a").await;
             assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
-            assert_eq!(edge.ran().len(), 2, "two tries are all that its route allows");
+            assert_eq!(edge.engine_requests().len(), 2, "two tries are all that its route allows");
         }
     });
 }
@@ -189,11 +200,11 @@
 #[test]
 fn a_stream_that_is_not_resumable_breaks_its_clients_connection_when_cut() {
     runtime().block_on(async {
-        let mut edge = ready(3, [Then::Close(stream(1..=3))]).await;
-        let got = edge.ask("/stream/1", "a").await;
+        let mut edge = ready(3, [EngineAction::Close(stream(1..=3))]).await;
+        let got = edge.send("/stream/1", "a").await;
         assert_eq!(got.status(), "200");
         assert_eq!(got.chunks(), (events(1..=3), false), "what came before is passed on");
-        assert_eq!(edge.ran().len(), 1);
+        assert_eq!(edge.engine_requests().len(), 1);
     });
 }
 
@@ -201,24 +212,27 @@
 #[test]
 fn a_response_to_another_request_is_never_given_to_a_client() {
     runtime().block_on(async {
-        let foreign = || Then::Keep(whole("secret").replace("{id}", "b"));
+        let foreign = || EngineAction::KeepAlive(whole("secret").replace("{id}", "b"));
         for path in ["/unsafe/1", "/stream/1"] {
-            let mut edge = ready(3, [foreign(), Then::Keep(whole("own"))]).await;
-            let got = edge.ask(path, "a").await;
+            let mut edge = ready(3, [foreign(), EngineAction::KeepAlive(whole("own"))]).await;
+            let got = edge.send(path, "a").await;
             assert!(!got.0.contains("secret"), "{got:?}");
-            got.refused("502", Execution::MayHaveRun);
-            assert_eq!(edge.ran().len(), 1, "it may have run");
+            got.assert_refused("502", Execution::MayHaveRun);
+            assert_eq!(edge.engine_requests().len(), 1, "it may have run");
         }
-        let mut edge = ready(3, [foreign(), Then::Keep(whole("own"))]).await;
-        let got = edge.ask("/safe/1", "a").await;
+        let mut edge = ready(3, [foreign(), EngineAction::KeepAlive(whole("own"))]).await;
+        let got = edge.send("/safe/1", "a").await;
         assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
         // The connection on which it came is not used again, whatever else may still come there.
-        let ran = edge.ran();
+        let ran = edge.engine_requests();
         assert_ne!(ran[0].connection, ran[1].connection);
         // Midway in a stream it is the same.
-        let script = [Then::Close(stream(1..=2)), Then::Keep(stream(3..=5).replace("{id}", "b"))];
+        let script = [
+            EngineAction::Close(stream(1..=2)),
+            EngineAction::KeepAlive(stream(3..=5).replace("{id}", "b")),
+        ];
         let edge = ready(3, script).await;
-        let got = edge.ask("/resumable/1", "a").await;
+        let got = edge.send("/resumable/1", "a").await;
         assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
     });
 }
@@ -227,17 +241,17 @@
 #[test]
 fn a_request_turned_away_goes_to_other_engines_and_is_then_said_not_to_have_run() {
     runtime().block_on(async {
-        let away = || Then::Keep(TURNED_AWAY.to_owned());
+        let away = || EngineAction::KeepAlive(TURNED_AWAY.to_owned());
         for path in ["/safe/1", "/unsafe/1", "/stream/1"] {
-            let mut edge = ready(5, [away(), away(), Then::Keep(whole("own"))]).await;
-            let got = edge.ask(path, "a").await;
+            let mut edge = ready(5, [away(), away(), EngineAction::KeepAlive(whole("own"))]).await;
+            let got = edge.send(path, "a").await;
             assert!(got.status() == "200" && got.0.contains("own"), "{got:?}");
             let engines: std::collections::BTreeSet<usize> =
-                edge.ran().iter().map(|ran| ran.engine).collect();
+                edge.engine_requests().iter().map(|ran| ran.engine).collect();
             assert_eq!(engines.len(), 3, "each another one");
             let mut edge = ready(5, [away(), away(), away(), away()]).await;
-            edge.ask(path, "a").await.refused("503", Execution::NotRun);
-            assert_eq!(edge.ran().len(), 3, "its route allows three");
+            edge.send(path, "a").await.assert_refused("503", Execution::NotRun);
+            assert_eq!(edge.engine_requests().len(), 3, "its route allows three");
         }
     });
 }
@@ -248,25 +262,26 @@
     runtime().block_on(async {
         let cut = "HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 20\r\n\r\nhalf";
         for then in [
-            Then::Close(String::new()),
-            Then::Reset(String::new()),
-            Then::Close("HTTP/1.1 200 OK\r\nx-i".to_owned()),
-            Then::Close(cut.to_owned()),
-            Then::Close("no HTTP at all\r\n\r\n".to_owned()),
+            EngineAction::Close(String::new()),
+            EngineAction::Reset(String::new()),
+            EngineAction::Close("HTTP/1.1 200 OK\r\nx-i".to_owned()),
+            EngineAction::Close(cut.to_owned()),
+            EngineAction::Close("no HTTP at all\r\n\r\n".to_owned()),
         ] {
-            let mut edge = ready(3, [then.clone(), Then::Keep(whole("own"))]).await;
-            edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
-            assert_eq!(edge.ran().len(), 1);
+            let mut edge = ready(3, [then.clone(), EngineAction::KeepAlive(whole("own"))]).await;
+            edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
+            assert_eq!(edge.engine_requests().len(), 1);
             // One that may be repeated is, and its client doesn't notice.
-            let mut edge = ready(3, [then, Then::Keep(whole("own"))]).await;
-            let got = edge.ask("/safe/1", "a").await;
+            let mut edge = ready(3, [then, EngineAction::KeepAlive(whole("own"))]).await;
+            let got = edge.send("/safe/1", "a").await;
             assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-            assert_eq!(edge.ran().len(), 2);
+            assert_eq!(edge.engine_requests().len(), 2);
         }
         // Turned away first and lost then: that it did not run at the first says nothing.
-        let script = [Then::Keep(TURNED_AWAY.to_owned()), Then::Close(String::new())];
+        let script =
+            [EngineAction::KeepAlive(TURNED_AWAY.to_owned()), EngineAction::Close(String::new())];
         let edge = ready(3, script).await;
-        edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
+        edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
     });
 }
 
@@ -275,17 +290,18 @@
 fn a_connection_is_kept_and_used_again() {
     runtime().block_on(async {
         let script = [
-            Then::Keep(whole("1")),
-            Then::Keep(stream(1..=2) + STREAM_END),
-            Then::Keep(TURNED_AWAY.to_owned()),
-            Then::Keep(whole("4")),
+            EngineAction::KeepAlive(whole("1")),
+            EngineAction::KeepAlive(stream(1..=2) + STREAM_END),
+            EngineAction::KeepAlive(TURNED_AWAY.to_owned()),
+            EngineAction::KeepAlive(whole("4")),
         ];
         let mut edge = ready(1, script).await;
-        assert_eq!(edge.ask("/safe/1", "a").await.body(), "1");
-        assert!(edge.ask("/stream/1", "b").await.chunks().1);
-        edge.ask("/safe/1", "c").await.refused("503", Execution::NotRun);
-        assert_eq!(edge.ask("/unsafe/1", "d").await.body(), "4");
-        let connections: Vec<usize> = edge.ran().iter().map(|ran| ran.connection).collect();
+        assert_eq!(edge.send("/safe/1", "a").await.body(), "1");
+        assert!(edge.send("/stream/1", "b").await.chunks().1);
+        edge.send("/safe/1", "c").await.assert_refused("503", Execution::NotRun);
+        assert_eq!(edge.send("/unsafe/1", "d").await.body(), "4");
+        let connections: Vec<usize> =
+            edge.engine_requests().iter().map(|ran| ran.connection).collect();
         assert_eq!(connections, [0; 4]);
     });
 }
@@ -296,11 +312,13 @@
     runtime().block_on(async {
         let closes = |text: String| text.replace("\r\n\r\n", "\r\nconnection: close\r\n\r\n");
         // The engine says so and waits for the other side to close.
-        let script = [Then::Keep(closes(whole("1"))), Then::Keep(whole("2"))];
+        let script =
+            [EngineAction::KeepAlive(closes(whole("1"))), EngineAction::KeepAlive(whole("2"))];
         let mut edge = ready(1, script).await;
-        assert_eq!(edge.ask("/unsafe/1", "a").await.body(), "1");
-        assert_eq!(edge.ask("/unsafe/1", "b").await.body(), "2");
-        let connections: Vec<usize> = edge.ran().iter().map(|ran| ran.connection).collect();
+        assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
+        assert_eq!(edge.send("/unsafe/1", "b").await.body(), "2");
+        let connections: Vec<usize> =
+            edge.engine_requests().iter().map(|ran| ran.connection).collect();
         assert_eq!(connections, [0, 1]);
     });
 }
@@ -310,9 +328,9 @@
 fn requests_that_are_sent_ahead_are_answered_in_their_order() {
     runtime().block_on(async {
         let script = [
-            Then::Keep(whole("first")),
-            Then::Keep(stream(1..=2) + STREAM_END),
-            Then::Keep(whole("third")),
+            EngineAction::KeepAlive(whole("first")),
+            EngineAction::KeepAlive(stream(1..=2) + STREAM_END),
+            EngineAction::KeepAlive(whole("third")),
         ];
         let mut edge = ready(1, script).await;
         let mut client = edge.connect().await;
@@ -326,7 +344,7 @@
         let places: Vec<_> =
             ["first", "word 1", "word 2", "third"].map(|text| got.find(text)).into();
         assert!(places.is_sorted() && places.iter().all(Option::is_some), "{got}");
-        assert_eq!(edge.ran().len(), 3);
+        assert_eq!(edge.engine_requests().len(), 3);
     });
 }
 
@@ -334,14 +352,16 @@
 #[test]
 fn nothing_follows_on_a_connection_after_a_cut_answer() {
     runtime().block_on(async {
-        let mut edge = ready(1, [Then::Close(stream(1..=2)), Then::Keep(whole("next"))]).await;
+        let mut edge =
+            ready(1, [EngineAction::Close(stream(1..=2)), EngineAction::KeepAlive(whole("next"))])
+                .await;
         let mut client = edge.connect().await;
         let requests = edge.request("/stream/1", "a", "") + &edge.request("/unsafe/1", "b", "");
         client.write_all(requests.as_bytes()).await.expect("the relay takes it");
         let got = read_all(&mut client).await;
         assert_eq!(got.chunks(), (events(1..=2), false), "{got:?}");
         assert!(!got.0.contains("next"), "{got:?}");
-        assert_eq!(edge.ran().len(), 1);
+        assert_eq!(edge.engine_requests().len(), 1);
     });
 }
 
@@ -352,7 +372,10 @@
         for (path, status, body) in
             [("/stream/1", "502", None), ("/resumable/1", "200", Some(events(1..=5)))]
         {
-            let script = [Then::Close(stream(1..=2)), Then::Keep(stream(1..=5) + STREAM_END)];
+            let script = [
+                EngineAction::Close(stream(1..=2)),
+                EngineAction::KeepAlive(stream(1..=5) + STREAM_END),
+            ];
             let edge = ready(2, script).await;
             let mut client = edge.connect().await;
             let request = edge.request(path, "a", "").replace("HTTP/1.1", "HTTP/1.0");
@@ -370,12 +393,13 @@
     runtime().block_on(async {
         for (path, begun) in [("/unsafe/1", String::new()), ("/stream/1", stream(1..=2))] {
             for half in [false, true] {
-                let script = [Then::Hang(begun.clone()), Then::Keep(whole("own"))];
+                let script =
+                    [EngineAction::Hang(begun.clone()), EngineAction::KeepAlive(whole("own"))];
                 let mut edge = ready(1, script).await;
                 let mut client = edge.connect().await;
                 let request = edge.request(path, "a", "");
                 client.write_all(request.as_bytes()).await.expect("the relay takes it");
-                let first = edge.runs().await;
+                let first = edge.next_engine_request().await;
                 if half {
                     // It only says that it sends no more: the answer is its own, or there is none.
                     client.shutdown().await.expect("it is open");
@@ -385,12 +409,12 @@
                     client.set_zero_linger().expect("it is open");
                     drop(client);
                 }
-                let got = edge.ask("/unsafe/1", "b").await;
+                let got = edge.send("/unsafe/1", "b").await;
                 assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-                let second = edge.runs().await;
+                let second = edge.next_engine_request().await;
                 assert_eq!((first.id.as_str(), second.id.as_str()), ("a", "b"));
                 assert_ne!(first.connection, second.connection);
-                assert!(edge.ran().is_empty());
+                assert!(edge.engine_requests().is_empty());
             }
         }
     });
@@ -400,7 +424,7 @@
 #[test]
 fn the_body_of_a_refused_request_is_no_request() {
     runtime().block_on(async {
-        let mut edge = ready(1, [Then::Keep(whole("own"))]).await;
+        let mut edge = ready(1, [EngineAction::KeepAlive(whole("own"))]).await;
         let hidden = edge.request("/unsafe/1", "hidden", "");
         let head = "POST /nowhere/1 HTTP/1.1\r\nhost: a.example\r\nx-id: a\r\n";
         for framing in [
@@ -415,7 +439,7 @@
             let got = read_all(&mut client).await;
             assert!(got.0.matches("HTTP/1.1").count() <= 1, "{got:?}");
         }
-        assert!(edge.ran().is_empty());
+        assert!(edge.engine_requests().is_empty());
     });
 }
 
@@ -428,14 +452,14 @@
         let endless = "HTTP/1.1 200 OK\r\nx-id: {id}\r\n\r\nabc";
         for (text, closes) in [(two, false), (coded, false), (endless, true)] {
             let then = |text: &str| match closes {
-                true => Then::Close(text.to_owned()),
-                false => Then::Keep(text.to_owned()),
+                true => EngineAction::Close(text.to_owned()),
+                false => EngineAction::KeepAlive(text.to_owned()),
             };
-            let mut edge = ready(2, [then(text), Then::Keep(whole("own"))]).await;
-            edge.ask("/unsafe/1", "a").await.refused("502", Execution::MayHaveRun);
-            let got = edge.ask("/unsafe/1", "b").await;
+            let mut edge = ready(2, [then(text), EngineAction::KeepAlive(whole("own"))]).await;
+            edge.send("/unsafe/1", "a").await.assert_refused("502", Execution::MayHaveRun);
+            let got = edge.send("/unsafe/1", "b").await;
             assert_eq!((got.status(), got.body()), ("200", "own"), "{got:?}");
-            let ran = edge.ran();
+            let ran = edge.engine_requests();
             assert_eq!(ran.len(), 2);
             assert_ne!(ran[0].connection, ran[1].connection);
         }
@@ -448,23 +472,23 @@
 fn a_request_on_a_kept_connection_that_breaks_may_have_run() {
     runtime().block_on(async {
         for (first, second, read) in [
-            (Then::Forget(whole("1")), None, 0),
-            (Then::Keep(whole("1")), Some(Then::Reset(String::new())), 1),
-            (Then::Keep(whole("1")), Some(Then::Close(String::new())), 1),
-            (Then::Keep(whole("1")), Some(Then::Hang(String::new())), 1),
+            (EngineAction::ResetOnNextRequest(whole("1")), None, 0),
+            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Reset(String::new())), 1),
+            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Close(String::new())), 1),
+            (EngineAction::KeepAlive(whole("1")), Some(EngineAction::Hang(String::new())), 1),
         ] {
-            let last = Then::Keep(whole("3"));
-            let script: Vec<Then> =
+            let last = EngineAction::KeepAlive(whole("3"));
+            let script: Vec<EngineAction> =
                 [Some(first), second, Some(last)].into_iter().flatten().collect();
             let mut edge = ready(1, script).await;
-            assert_eq!(edge.ask("/unsafe/1", "a").await.body(), "1");
-            let got = edge.ask_more("/unsafe/1", "b", "x-wait: 300\r\n").await;
+            assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
+            let got = edge.send_with_headers("/unsafe/1", "b", "x-wait: 300\r\n").await;
             let error: ApiError = serde_json::from_str(got.body()).expect("an error");
             assert!(["502", "504"].contains(&got.status()), "{got:?}");
             assert_eq!(error.ran, Execution::MayHaveRun, "{got:?}");
             // What else was kept of that engine is not trusted either.
-            assert_eq!(edge.ask("/unsafe/1", "c").await.body(), "3");
-            let ran = edge.ran();
+            assert_eq!(edge.send("/unsafe/1", "c").await.body(), "3");
+            let ran = edge.engine_requests();
             assert_eq!(ran.iter().filter(|ran| ran.id == "b").count(), read);
             assert_eq!((ran[0].connection, ran.last().expect("c").connection), (0, 1));
         }
@@ -475,7 +499,7 @@
 #[test]
 fn a_relay_that_ends_closes_idle_connections_without_a_word() {
     runtime().block_on(async {
-        let mut edge = ready(1, [Then::Keep(whole("1"))]).await;
+        let mut edge = ready(1, [EngineAction::KeepAlive(whole("1"))]).await;
         let mut client = edge.connect().await;
         let request = edge.request("/unsafe/1", "a", "");
         client.write_all(request.as_bytes()).await.expect("the relay takes it");
@@ -483,9 +507,9 @@
         while !got.ends_with(b"\r\n\r\n1") {
             client.read_buf(&mut got).await.expect("a response");
         }
-        edge.end();
+        edge.start_ending();
         assert_eq!(read_all(&mut client).await.0, "");
-        assert_eq!(edge.ran().len(), 1);
+        assert_eq!(edge.engine_requests().len(), 1);
     });
 }
 
@@ -493,10 +517,12 @@
 #[test]
 fn a_connection_that_was_closed_while_idle_costs_no_request() {
     runtime().block_on(async {
-        let mut edge = ready(1, [Then::Close(whole("1")), Then::Keep(whole("2"))]).await;
-        assert_eq!(edge.ask("/unsafe/1", "a").await.body(), "1");
-        assert_eq!(edge.ask("/unsafe/1", "b").await.body(), "2");
-        let connections: Vec<usize> = edge.ran().iter().map(|ran| ran.connection).collect();
+        let mut edge =
+            ready(1, [EngineAction::Close(whole("1")), EngineAction::KeepAlive(whole("2"))]).await;
+        assert_eq!(edge.send("/unsafe/1", "a").await.body(), "1");
+        assert_eq!(edge.send("/unsafe/1", "b").await.body(), "2");
+        let connections: Vec<usize> =
+            edge.engine_requests().iter().map(|ran| ran.connection).collect();
         assert_eq!(connections, [0, 1]);
     });
 }
@@ -522,8 +548,8 @@
             let body = topazyard_wire::http::full_body(body);
             hyper::Request::post("/x").header("host", "a.example").body(body).expect("a request")
         };
-        assert_eq!(kept.send(request("00a")).await.err(), Some(SendError::Broken));
-        assert_eq!(kept.send(request("00b")).await.err(), Some(SendError::Unsent));
+        assert_eq!(kept.send(request("00a")).await.err(), Some(SendError::ConnectionLost));
+        assert_eq!(kept.send(request("00b")).await.err(), Some(SendError::NotSent));
         let read = String::from_utf8(engine.await.expect("it ends")).expect("text");
         assert_eq!(read.matches("POST /x").count(), 1, "{read}");
     });
@@ -535,16 +561,17 @@
     runtime().block_on(async {
         let within = "11\r\nid: 3\ndata: half\n\r\n";
         for cut in [
-            Then::Close(stream(1..=2)),
-            Then::Reset(String::new()),
-            Then::Keep(stream(1..=2) + within + STREAM_END),
+            EngineAction::Close(stream(1..=2)),
+            EngineAction::Reset(String::new()),
+            EngineAction::KeepAlive(stream(1..=2) + within + STREAM_END),
         ] {
-            let mut edge = ready(1, [cut, Then::Keep(stream(1..=3) + STREAM_END)]).await;
+            let mut edge =
+                ready(1, [cut, EngineAction::KeepAlive(stream(1..=3) + STREAM_END)]).await;
             let end = edge.run_item("a").await;
             assert!(matches!(end, RunEnd::Interrupted(_) | RunEnd::Unknown), "{end:?}");
             let text = "word 1\nword 2\nword 3".to_owned();
             assert_eq!(edge.run_item("a").await, RunEnd::StreamComplete { text });
-            let ran = edge.ran();
+            let ran = edge.engine_requests();
             assert_ne!(ran[0].connection, ran[1].connection);
         }
     });
@@ -554,13 +581,13 @@
 #[test]
 fn a_run_that_outlasts_a_draining_relay_is_handed_back_with_what_it_has() {
     runtime().block_on(async {
-        let mut edge = ready(1, [Then::Hang(stream(1..=2))]).await;
-        edge.hand_in("a");
-        edge.runs().await;
+        let mut edge = ready(1, [EngineAction::Hang(stream(1..=2))]).await;
+        edge.submit_item("a");
+        edge.next_engine_request().await;
         let told = tokio::time::Instant::now();
         edge.drain().await;
         let limit = std::time::Duration::from_millis(loopback::GRACE.0 * 7 / 8);
-        let end = tokio::time::timeout(limit, edge.run_ended()).await.expect("within the grace");
+        let end = tokio::time::timeout(limit, edge.next_run_end()).await.expect("within the grace");
         let so_far = Progress { last_event: Some(2), text: "word 1\nword 2".to_owned() };
         assert_eq!(end, RunEnd::Interrupted(so_far));
         // It had most of the time to end by itself.
--- a/programs/topazyard-relay/tests/routed_items.rs
+++ b/programs/topazyard-relay/tests/routed_items.rs
@@ -2,7 +2,7 @@
 //! the other nodes injected by the test.
 
 use topazyard_relay::drain::DrainTimes;
-use topazyard_relay::front::items::{Events, OutOfOrder};
+use topazyard_relay::front::items::{InvalidStream, ItemEvents};
 use topazyard_relay::machine::EngineOutcome;
 use topazyard_relay::machine::routed_items::RoutedRun;
 use topazyard_relay::{RelayCall, RelayMachine, RelayResponse, RelayTask, Start};
@@ -528,12 +528,12 @@
     assert_eq!(relay.last_code().map(Code::status), Some(504), "it may have been accepted");
 }
 
-fn events(pieces: &[&str], so_far: Progress) -> Result<Option<String>, OutOfOrder> {
-    let mut events = Events::after(so_far);
+fn events(pieces: &[&str], so_far: Progress) -> Result<Option<String>, InvalidStream> {
+    let mut events = ItemEvents::resume(so_far);
     for piece in pieces {
-        events.take(piece.as_bytes())?;
+        events.push(piece.as_bytes())?;
     }
-    Ok(events.whole())
+    Ok(events.into_text())
 }
 
 #[test]
@@ -546,10 +546,10 @@
         events(&["some-version: 4\nid: 1\ndata: a\ndata: b\n\n"], fresh()),
         complete("a\nb")
     );
-    assert_eq!(events(&["id: 1\ndata: a\n\nid: 3\ndata: b\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 1\ndata: a\n\nid: 1\ndata: a\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 2\ndata: a\n\n"], fresh()), Err(OutOfOrder));
-    assert_eq!(events(&["data: a\n\n"], fresh()), Err(OutOfOrder));
+    assert_eq!(events(&["id: 1\ndata: a\n\nid: 3\ndata: b\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["id: 1\ndata: a\n\nid: 1\ndata: a\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["id: 2\ndata: a\n\n"], fresh()), Err(InvalidStream));
+    assert_eq!(events(&["data: a\n\n"], fresh()), Err(InvalidStream));
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n"], fresh()), Ok(None));
     assert_eq!(events(&["id: 1\ndata: a\n\nid: 2\nda"], fresh()), Ok(None));
     assert_eq!(events(&[], fresh()), Ok(None));
@@ -559,8 +559,8 @@
 fn resumed_text_continues_at_the_event_after_the_last() {
     let so_far = || Progress { last_event: Some(2), text: "a\nb".to_owned() };
     assert_eq!(events(&["id: 3\ndata: c\n\n"], so_far()), Ok(Some("a\nb\nc".to_owned())));
-    assert_eq!(events(&["id: 1\ndata: a\n\n"], so_far()), Err(OutOfOrder));
-    assert_eq!(events(&["id: 4\ndata: d\n\n"], so_far()), Err(OutOfOrder));
+    assert_eq!(events(&["id: 1\ndata: a\n\n"], so_far()), Err(InvalidStream));
+    assert_eq!(events(&["id: 4\ndata: d\n\n"], so_far()), Err(InvalidStream));
 }
 
 // Guards against a relay that keeps items from other relays, and requests a hold for each in a
