--- a/fleet-simulator/src/check/batches.rs
+++ b/fleet-simulator/src/check/batches.rs
@@ -26,32 +26,32 @@
     violations: &mut Vec<Violation>,
     figures: &mut Figures,
 ) {
-    for (at, batch) in history.batches.iter().enumerate() {
+    for (index, batch) in history.batches.iter().enumerate() {
         if batch.accepted.is_some() {
             figures.items += batch.items as usize;
         }
-        check_reads(at, batch, history, bounds, violations, figures);
-        check_lists(at, batch, history, violations);
+        check_reads(index, batch, history, bounds, violations, figures);
+        check_lists(index, batch, history, violations);
     }
-    for (at, run) in history.runs.iter().enumerate() {
+    for (index, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else { continue };
         let Some(number) = history.works[work].batch else { continue };
         figures.items_done_ms = figures.items_done_ms.max(run.ended.unwrap_or(0) / 1_000);
         let batch = &history.batches[number];
         let item = (work - batch.first_work) as u32;
         if batch.ended.is_some_and(|ended| run.began > ended + START_AFTER_END_US) {
-            let text = format!("run {at}: item {item} of batch {number} started after its end");
+            let text = format!("run {index}: item {item} of batch {number} started after its end");
             add_violation(violations, Line::BatchEnded, text);
         }
         if batch.recalls.iter().any(|(_, recalled, never)| *recalled == item && *never) {
-            let text = format!("run {at}: item {item} of batch {number} was recalled and ran");
+            let text = format!("run {index}: item {item} of batch {number} was recalled and ran");
             add_violation(violations, Line::RanTwiceOrRefused, text);
         }
         let listed_not_run = batch.lists.iter().flat_map(|(_, list)| list).any(|listed| {
             listed.item == item && matches!(listed.text.as_str(), "recalled" | "ended")
         });
         if listed_not_run {
-            let text = format!("run {at}: item {item} of batch {number} is listed as not run");
+            let text = format!("run {index}: item {item} of batch {number} is listed as not run");
             add_violation(violations, Line::RanTwiceOrRefused, text);
         }
     }
@@ -61,7 +61,7 @@
 /// A refused, unanswered or late read is a violation unless the relay that received it was
 /// impaired, or more machines with a disk were out than the deployment tolerates.
 fn check_reads(
-    at: usize,
+    index: usize,
     batch: &BatchRecord,
     history: &History,
     bounds: &Bounds,
@@ -73,7 +73,7 @@
     {
         figures.reads += 1;
         if let Some((_, BatchReadOutcome::Unknown)) = read.outcome {
-            let text = format!("batch {at} was accepted and reported as unknown");
+            let text = format!("batch {index} was accepted and reported as unknown");
             add_violation(violations, Line::BatchList, text);
         }
         let until = read.requested_at + READ_TIMEOUT_US;
@@ -89,7 +89,7 @@
             figures.reads_failed += 1;
             let (requested_ms, relay) = (read.requested_at / 1_000, &read.relay);
             let text =
-                format!("reading batch {at} at {relay} at {requested_ms} ms failed: {read:?}");
+                format!("reading batch {index} at {relay} at {requested_ms} ms failed: {read:?}");
             add_violation(violations, Line::BatchList, text);
         }
     }
@@ -125,7 +125,7 @@
     if together.len() == count {
         return is_relevant(together);
     }
-    out.iter().enumerate().any(|(at, one)| {
+    out.iter().enumerate().any(|(index, one)| {
         let overlaps = |other: &&Impairment| {
             let began = one.from.max(other.from);
             let recovered_at = one.ends_at().min(other.ends_at()) + CATCH_UP_US;
@@ -135,18 +135,23 @@
             return false;
         }
         together.push(one);
-        let found = has_overlapping_outages(&out[at + 1..], together, count, is_relevant);
+        let found = has_overlapping_outages(&out[index + 1..], together, count, is_relevant);
         together.pop();
         found
     })
 }
 
-fn check_lists(at: usize, batch: &BatchRecord, history: &History, violations: &mut Vec<Violation>) {
+fn check_lists(
+    index: usize,
+    batch: &BatchRecord,
+    history: &History,
+    violations: &mut Vec<Violation>,
+) {
     let mut longest: &[ListedResult] = &[];
     for (_, list) in &batch.lists {
         let common = longest.len().min(list.len());
         if longest[..common] != list[..common] || list.len() < longest.len() {
-            let text = format!("batch {at}: a listed result changed, moved or disappeared");
+            let text = format!("batch {index}: a listed result changed, moved or disappeared");
             add_violation(violations, Line::BatchList, text);
         }
         let mut items: Vec<u32> = list.iter().map(|listed| listed.item).collect();
@@ -155,7 +160,7 @@
             add_violation(
                 violations,
                 Line::BatchList,
-                format!("batch {at}: an item is listed twice"),
+                format!("batch {index}: an item is listed twice"),
             );
         }
         let in_order = list.iter().zip(1..).all(|(listed, position)| listed.position == position);
@@ -163,14 +168,14 @@
             add_violation(
                 violations,
                 Line::BatchList,
-                format!("batch {at}: positions are not in order"),
+                format!("batch {index}: positions are not in order"),
             );
         }
         longest = list;
     }
     if batch.accepted.is_some() && longest.len() < batch.items as usize {
         let text =
-            format!("batch {at} lists {} of {} results at the end", longest.len(), batch.items);
+            format!("batch {index} lists {} of {} results at the end", longest.len(), batch.items);
         add_violation(violations, Line::BatchList, text);
     }
     for listed in longest {
@@ -181,7 +186,7 @@
                 && body.as_ref() == format!("return of work {work} run {run}").as_bytes()
         });
         if !own {
-            let text = format!("batch {at}: item {} has the result of other work", listed.item);
+            let text = format!("batch {index}: item {} has the result of other work", listed.item);
             add_violation(violations, Line::WrongReturn, text);
         }
     }
--- a/fleet-simulator/src/check/engines.rs
+++ b/fleet-simulator/src/check/engines.rs
@@ -17,14 +17,15 @@
     violations: &mut Vec<Violation>,
     figures: &mut Figures,
 ) {
-    for (at, run) in history.runs.iter().enumerate() {
+    for (index, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else {
-            let text = format!("run {at} at {} has a body that nobody sent", run.engine);
+            let text = format!("run {index} at {} has a body that nobody sent", run.engine);
             add_violation(violations, Line::Altered, text);
             continue;
         };
         if history.works[work].model == "unmapped" {
-            let text = format!("run {at} is of work {work}, whose model no configuration routes");
+            let text =
+                format!("run {index} is of work {work}, whose model no configuration routes");
             add_violation(violations, Line::Unmapped, text);
         }
         // The last list that certainly was acknowledged long enough before, unless a later list
@@ -37,7 +38,7 @@
             let candidates = later.iter().filter(|list| list.sent < run.began);
             if candidates.clone().all(|list| !list.ready.contains(&run.engine)) {
                 let text = format!(
-                    "run {at} started at {} long after the engine was last listed",
+                    "run {index} started at {} long after the engine was last listed",
                     run.engine
                 );
                 add_violation(violations, Line::EngineLeaving, text);
--- a/fleet-simulator/src/check/orders.rs
+++ b/fleet-simulator/src/check/orders.rs
@@ -15,12 +15,16 @@
     let applied: Vec<Option<Micros>> =
         history.orders.iter().map(|order| first_applied(history, order)).collect();
     check_races(history, &applied, violations);
-    for (at, order) in history.orders.iter().enumerate() {
-        check_refusals(history, at, &applied, violations);
-        if !order.is_valid() && applied[at].is_some() {
-            add_violation(violations, Line::SpecWrong, format!("invalid order {at} was applied"));
+    for (index, order) in history.orders.iter().enumerate() {
+        check_refusals(history, index, &applied, violations);
+        if !order.is_valid() && applied[index].is_some() {
+            add_violation(
+                violations,
+                Line::SpecWrong,
+                format!("invalid order {index} was applied"),
+            );
         }
-        check_outcome_known(history, at, violations);
+        check_outcome_known(history, index, violations);
     }
     check_read_backs(history, violations);
     check_in_force(history, violations);
@@ -46,13 +50,16 @@
 fn check_races(history: &History, applied: &[Option<Micros>], violations: &mut Vec<Violation>) {
     let mut by_number = std::collections::BTreeMap::new();
     let mut by_base = std::collections::BTreeMap::new();
-    for (at, order) in history.orders.iter().enumerate().filter(|(at, _)| applied[*at].is_some()) {
-        if let Some(other) = by_number.insert(order.number, at) {
-            let text = format!("orders {other} and {at} were both applied as {}", order.number);
+    for (index, order) in
+        history.orders.iter().enumerate().filter(|(index, _)| applied[*index].is_some())
+    {
+        if let Some(other) = by_number.insert(order.number, index) {
+            let text = format!("orders {other} and {index} were both applied as {}", order.number);
             add_violation(violations, Line::OrderRace, text);
         }
-        if let Some(other) = by_base.insert(order.base, at) {
-            let text = format!("orders {other} and {at} were both applied on base {}", order.base);
+        if let Some(other) = by_base.insert(order.base, index) {
+            let text =
+                format!("orders {other} and {index} were both applied on base {}", order.base);
             add_violation(violations, Line::OrderRace, text);
         }
     }
@@ -62,14 +69,14 @@
 /// again, nor before it turns out to be in force.
 fn check_refusals(
     history: &History,
-    at: usize,
+    index: usize,
     applied: &[Option<Micros>],
     violations: &mut Vec<Violation>,
 ) {
-    let order = &history.orders[at];
+    let order = &history.orders[index];
     let Some(refused) = order.first(OrderResponse::Refused) else { return };
-    let name = format!("order {at}, number {} on {},", order.number, order.base);
-    match applied[at] {
+    let name = format!("order {index}, number {} on {},", order.number, order.base);
+    match applied[index] {
         Some(applied) if applied <= refused => {
             let ms = (applied / 1_000, refused / 1_000);
             let text = format!("{name} applied by {} ms was refused at {} ms", ms.0, ms.1);
@@ -80,7 +87,7 @@
             let text = format!("{name} refused at {} ms was in force at {} ms", ms.0, ms.1);
             add_violation(violations, Line::SpecWrong, text);
         }
-        None if !is_justified(history, at, applied, refused) => {
+        None if !is_justified(history, index, applied, refused) => {
             let text = format!("{name} was refused at {} ms without a reason", refused / 1_000);
             add_violation(violations, Line::OrderRefused, text);
         }
@@ -90,32 +97,37 @@
 
 /// Whether an order may have been refused by then: it is invalid, its base was not certainly
 /// applied before, or another order may have been applied on that base or a later one.
-fn is_justified(history: &History, at: usize, applied: &[Option<Micros>], refused: Micros) -> bool {
-    let order = &history.orders[at];
+fn is_justified(
+    history: &History,
+    index: usize,
+    applied: &[Option<Micros>],
+    refused: Micros,
+) -> bool {
+    let order = &history.orders[index];
     let base_is_applied = order.base == 0
         || history.orders.iter().any(|other| {
             let acknowledged = other.first(OrderResponse::Acknowledged);
             other.number == order.base && acknowledged.is_some_and(|at| at <= order.sent())
         });
-    let overtaken = history.orders.iter().enumerate().any(|(number, other)| {
-        number != at
+    let overtaken = history.orders.iter().enumerate().any(|(other_index, other)| {
+        other_index != index
             && other.is_valid()
             && other.base >= order.base
             && other.sent() < refused
-            && (applied[number].is_some() || other.first(OrderResponse::Refused).is_none())
+            && (applied[other_index].is_some() || other.first(OrderResponse::Refused).is_none())
     });
     !order.is_valid() || !base_is_applied || overtaken
 }
 
 /// Enough attempts must get a response with the outcome of an order.
-fn check_outcome_known(history: &History, at: usize, violations: &mut Vec<Violation>) {
-    let order = &history.orders[at];
+fn check_outcome_known(history: &History, index: usize, violations: &mut Vec<Violation>) {
+    let order = &history.orders[index];
     let is_clear = order.attempts.iter().any(|attempt| {
         matches!(attempt.response, Some((_, OrderResponse::Acknowledged | OrderResponse::Refused)))
     });
     if !is_clear && !order.attempts.is_empty() {
         let attempts = order.attempts.len();
-        let text = format!("order {at} had no clear response in {attempts} attempts");
+        let text = format!("order {index} had no clear response in {attempts} attempts");
         add_violation(violations, Line::Recovery, text);
     }
 }
--- a/fleet-simulator/src/check/prompts.rs
+++ b/fleet-simulator/src/check/prompts.rs
@@ -17,39 +17,41 @@
             add_violation(violations, Line::RanTwiceOrRefused, text);
         }
     }
-    for (at, prompt) in history.prompts.iter().enumerate() {
-        check_pieces(at, prompt, violations);
+    for (prompt_index, prompt) in history.prompts.iter().enumerate() {
+        check_pieces(prompt_index, prompt, violations);
         let Some((ended, end)) = &prompt.end else { continue };
         if let PromptEnd::Refused { status, ran, has_retry_after } = end {
             if *ran == Execution::NotRun && run_counts.contains_key(&prompt.work) {
-                let text = format!("prompt {at} was reported as not run and ran");
+                let text = format!("prompt {prompt_index} was reported as not run and ran");
                 add_violation(violations, Line::RanTwiceOrRefused, text);
             }
             if matches!(status, 429 | 502..=504) && !has_retry_after || *status == 413 {
-                let text = format!("prompt {at} got {status} without saying when to retry");
+                let text =
+                    format!("prompt {prompt_index} got {status} without saying when to retry");
                 add_violation(violations, Line::Answer, text);
             }
             let took_ms = (ended - prompt.sent) / 1_000;
             let max_ms = (prompt.wait / 1_000).min(2_000) + 400;
             let was_impaired = || history.was_impaired(&prompt.relay, prompt.sent, *ended);
             if *status == 429 && took_ms > max_ms && !was_impaired() {
-                let text = format!("prompt {at} got its 429 after {took_ms} ms");
+                let text = format!("prompt {prompt_index} got its 429 after {took_ms} ms");
                 add_violation(violations, Line::Answer, text);
             }
         }
     }
 }
 
-fn check_pieces(at: usize, prompt: &PromptRecord, violations: &mut Vec<Violation>) {
+fn check_pieces(prompt_index: usize, prompt: &PromptRecord, violations: &mut Vec<Violation>) {
     let is_stream = prompt.pieces.first().is_some_and(|piece| piece.of > 1);
     let run = prompt.pieces.first().map(|piece| piece.run);
     for (index, piece) in prompt.pieces.iter().enumerate() {
         if piece.work != prompt.work {
-            let text = format!("prompt {at} got a piece of work {}", piece.work);
+            let text = format!("prompt {prompt_index} got a piece of work {}", piece.work);
             add_violation(violations, Line::WrongReturn, text);
         }
         if piece.index as usize != index || Some(piece.run) != run {
-            let text = format!("prompt {at} got piece {} of run {}", piece.index, piece.run);
+            let text =
+                format!("prompt {prompt_index} got piece {} of run {}", piece.index, piece.run);
             add_violation(violations, Line::StreamBroken, text);
         }
     }
@@ -60,12 +62,12 @@
             add_violation(
                 violations,
                 line,
-                format!("prompt {at} looked complete with pieces missing"),
+                format!("prompt {prompt_index} looked complete with pieces missing"),
             );
             add_violation(
                 violations,
                 Line::WrongReturn,
-                format!("prompt {at} looked complete when interrupted"),
+                format!("prompt {prompt_index} looked complete when interrupted"),
             );
         }
     }
--- a/fleet-simulator/src/check/rollouts.rs
+++ b/fleet-simulator/src/check/rollouts.rs
@@ -12,36 +12,40 @@
 
 pub(super) fn check(history: &History, violations: &mut Vec<Violation>) {
     let index_of = |model: &str| history.rollouts.iter().position(|rollout| rollout.model == model);
-    for (at, run) in history.runs.iter().enumerate() {
+    for (run_index, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else { continue };
         let Some(index) = index_of(&history.works[work].model) else { continue };
         let rollout = &history.rollouts[index];
         if rollout.refused && rollout.acknowledged.is_none() && rollout.requested_at.is_none() {
-            let text =
-                format!("run {at} used a model that only the refused configuration {index} routes");
+            let text = format!(
+                "run {run_index} used a model that only the refused configuration {index} routes"
+            );
             add_violation(violations, Line::SpecWrong, text);
         }
         if rollout.requested_at.is_none_or(|requested_at| run.began < requested_at) {
-            let text =
-                format!("run {at} used configuration {index} before its roll-out was requested");
+            let text = format!(
+                "run {run_index} used configuration {index} before its roll-out was requested"
+            );
             add_violation(violations, Line::Unmapped, text);
         }
         let overtaken = later(history, rollout).filter_map(|other| other.acknowledged).min();
         if overtaken.is_some_and(|since| since + IN_FORCE_DELAY_US < run.began) {
-            let text =
-                format!("run {at} used configuration {index} long after a later one was in force");
+            let text = format!(
+                "run {run_index} used configuration {index} long after a later one was in force"
+            );
             add_violation(violations, Line::SpecLate, text);
         }
     }
-    for (at, prompt) in history.prompts.iter().enumerate() {
+    for (prompt_index, prompt) in history.prompts.iter().enumerate() {
         let Some(index) = index_of(&prompt.model) else { continue };
         let rollout = &history.rollouts[index];
         let Some((ended, PromptEnd::Refused { status: 404, .. })) = &prompt.end else { continue };
         let due = rollout.acknowledged.is_some_and(|since| since + IN_FORCE_DELAY_US < prompt.sent);
         let overtaken = later(history, rollout).filter_map(|other| other.requested_at).min();
         if due && overtaken.is_none_or(|since| since > *ended) {
-            let text =
-                format!("prompt {at} had no route long after configuration {index} was in force");
+            let text = format!(
+                "prompt {prompt_index} had no route long after configuration {index} was in force"
+            );
             add_violation(violations, Line::SpecLate, text);
         }
     }
