--- a/fleet-simulator/src/model/invariants.rs
+++ b/fleet-simulator/src/model/invariants.rs
@@ -185,7 +185,8 @@
         });
         if let Some((version, acknowledged)) = lost {
             let text = format!(
-                "order {} ({version}) was acknowledged when epoch {} served; the primary of {epoch} has {in_force} in force",
+                "order {} ({version}) was acknowledged when epoch {} served; \
+                 the primary of {epoch} has {in_force} in force",
                 acknowledged.order, acknowledged.served_epoch
             );
             self.report(Invariant::Kept, text);
--- a/fleet-simulator/src/model_command.rs
+++ b/fleet-simulator/src/model_command.rs
@@ -139,8 +139,9 @@
         }
     });
     println!(
-        "{walks} walks of {} nodes, {} losses: {steps} actions, {epochs} epochs, {versions} versions, \
-         {unrecovered} calms after which nobody served, {} violated an invariant, {:.1} s",
+        "{walks} walks of {} nodes, {} losses: {steps} actions, {epochs} epochs, \
+         {versions} versions, {unrecovered} calms after which nobody served, \
+         {} violated an invariant, {:.1} s",
         settings.nodes,
         settings.losses,
         violating.len(),
