--- a/fleet-measure/src/simulated.rs
+++ b/fleet-measure/src/simulated.rs
@@ -39,7 +39,7 @@
                 "| {} | {} | {:.1} % | {:.0} | {:.0} | {:.0} | {:.0} |",
                 deployment.name,
                 scenario.name(),
-                median_of(&all, |f| 100.0 * f.whole as f64 / f.prompts as f64),
+                median_of(&all, |f| 100.0 * f.complete as f64 / f.prompts as f64),
                 median_of(&all, |f| f.p50_ms as f64),
                 median_of(&all, |f| f.p99_ms as f64),
                 median_of(&all, below_half_ms),
@@ -69,7 +69,7 @@
             println!(
                 "| {} | {name} | {:.1} % | {:.0} | {:.0} |",
                 deployment.name,
-                median_of(&all, |f| 100.0 * f.whole as f64 / f.prompts as f64),
+                median_of(&all, |f| 100.0 * f.complete as f64 / f.prompts as f64),
                 median_of(&all, |f| f.p99_ms as f64),
                 median_of(&all, |f| f.items_done_ms as f64),
             );
--- a/fleet-simulator/src/check/batches.rs
+++ b/fleet-simulator/src/check/batches.rs
@@ -1,21 +1,24 @@
-//! Batches: readable, listed for good, ended for good, within their ceiling.
+//! Checks batches: they are readable, their lists are stable, no item starts after the end, and
+//! waiting work stays within its ceiling.
 
-use super::specs::IN_FORCE_US;
-use super::{Bounds, Figures, Line, Violation, crossed};
-use crate::history::{BatchSeen, History, ListedReturn, ReadTold, SpecSeen, StruckSeen, Us};
+use super::rollouts::IN_FORCE_DELAY_US;
+use super::{Bounds, Figures, Line, Violation, add_violation};
+use crate::history::{
+    BatchReadOutcome, BatchRecord, History, Impairment, ListedResult, Micros, RolloutRecord,
+};
 
-/// How long after its acceptance a batch may not be readable yet.
-const READABLE_US: Us = 1_000_000;
-/// Within which time a read must then be answered.
-const READ_WITHIN_US: Us = 1_000_000;
-/// How long after a machine with a disk is back its copies may still be on one machine only.
-const MENDED_US: Us = 5_000_000;
-/// After how long several machines that are out count as gone.
-const FOR_LONG_US: Us = 30_000_000;
-/// How long after several machines were out a read may still fail.
-const AFTER_SEVERAL_US: Us = 12_000_000;
-/// How long after its end an item may still start.
-const ENDED_US: Us = 3_000_000;
+/// How long after its acceptance a batch may be unreadable.
+const READABLE_DELAY_US: Micros = 1_000_000;
+/// How long the response to a later read may take.
+const READ_TIMEOUT_US: Micros = 1_000_000;
+/// How long after a machine with a disk is back some data may have a copy on one machine only.
+const CATCH_UP_US: Micros = 5_000_000;
+/// Several machines that are out for longer than this count as lost.
+const LONG_OUTAGE_US: Micros = 30_000_000;
+/// How long reads may fail after several machines were out.
+const MULTIPLE_OUTAGES_RECOVERY_US: Micros = 12_000_000;
+/// How long after the end of a batch an item may still start.
+const START_AFTER_END_US: Micros = 3_000_000;
 
 pub(super) fn check(
     history: &History,
@@ -23,131 +26,157 @@
     violations: &mut Vec<Violation>,
     figures: &mut Figures,
 ) {
-    for (at, batch) in history.batches.iter().enumerate() {
+    for (index, batch) in history.batches.iter().enumerate() {
         if batch.accepted.is_some() {
             figures.items += batch.items as usize;
         }
-        check_reads(at, batch, history, bounds, violations, figures);
-        check_lists(at, batch, history, violations);
+        check_reads(index, batch, history, bounds, violations, figures);
+        check_lists(index, batch, history, violations);
     }
-    for (at, run) in history.runs.iter().enumerate() {
+    for (index, run) in history.runs.iter().enumerate() {
         let Some(work) = run.work else { continue };
         let Some(number) = history.works[work].batch else { continue };
         figures.items_done_ms = figures.items_done_ms.max(run.ended.unwrap_or(0) / 1_000);
         let batch = &history.batches[number];
         let item = (work - batch.first_work) as u32;
-        if batch.ended.is_some_and(|ended| run.began > ended + ENDED_US) {
-            let text = format!("run {at}: item {item} of batch {number} started after its end");
-            crossed(violations, Line::BatchEnded, text);
+        if batch.ended.is_some_and(|ended| run.began > ended + START_AFTER_END_US) {
+            let text = format!("run {index}: item {item} of batch {number} started after its end");
+            add_violation(violations, Line::BatchEnded, text);
         }
         if batch.recalls.iter().any(|(_, recalled, never)| *recalled == item && *never) {
-            let text = format!("run {at}: item {item} of batch {number} was recalled and ran");
-            crossed(violations, Line::RanTwiceOrRefused, text);
+            let text = format!("run {index}: item {item} of batch {number} was recalled and ran");
+            add_violation(violations, Line::RanTwiceOrRefused, text);
         }
-        let said_not_run = batch.lists.iter().flat_map(|(_, list)| list).any(|listed| {
+        let listed_not_run = batch.lists.iter().flat_map(|(_, list)| list).any(|listed| {
             listed.item == item && matches!(listed.text.as_str(), "recalled" | "ended")
         });
-        if said_not_run {
-            let text = format!("run {at}: item {item} of batch {number} is listed as not run");
-            crossed(violations, Line::RanTwiceOrRefused, text);
+        if listed_not_run {
+            let text = format!("run {index}: item {item} of batch {number} is listed as not run");
+            add_violation(violations, Line::RanTwiceOrRefused, text);
         }
     }
     check_ceiling(history, violations, figures);
 }
 
-/// A read that is refused, unanswered or late counts as one that can't be made, unless the relay
-/// that was asked was struck itself or more than one machine with a disk was out.
+/// A refused, unanswered or late read is a violation unless the relay that received it was
+/// impaired, or more machines with a disk were out than the deployment tolerates.
 fn check_reads(
-    at: usize,
-    batch: &BatchSeen,
+    index: usize,
+    batch: &BatchRecord,
     history: &History,
     bounds: &Bounds,
     violations: &mut Vec<Violation>,
     figures: &mut Figures,
 ) {
     let Some(accepted) = batch.accepted else { return };
-    for read in batch.reads.iter().filter(|read| read.asked >= accepted + READABLE_US) {
+    for read in batch.reads.iter().filter(|read| read.requested_at >= accepted + READABLE_DELAY_US)
+    {
         figures.reads += 1;
-        if let Some((_, ReadTold::Unknown)) = read.told {
-            let text = format!("batch {at} was accepted and is not known");
-            crossed(violations, Line::BatchList, text);
+        if let Some((_, BatchReadOutcome::Unknown)) = read.outcome {
+            let text = format!("batch {index} was accepted and reported as unknown");
+            add_violation(violations, Line::BatchList, text);
         }
-        let until = read.asked + READ_WITHIN_US;
-        let given = matches!(read.told, Some((told, ReadTold::Given)) if told <= until);
-        let excused = history.was_struck(&read.relay, read.asked, until);
-        if !given && !excused && !too_many_are_out(history, bounds.lost_machines, read.asked, until)
+        let until = read.requested_at + READ_TIMEOUT_US;
+        let succeeded = matches!(
+            read.outcome,
+            Some((responded_at, BatchReadOutcome::Given)) if responded_at <= until
+        );
+        let excused = history.was_impaired(&read.relay, read.requested_at, until);
+        if !succeeded
+            && !excused
+            && !exceeds_tolerated_outages(history, bounds.lost_machines, read.requested_at, until)
         {
             figures.reads_failed += 1;
-            let (asked, relay) = (read.asked / 1_000, &read.relay);
+            let (requested_ms, relay) = (read.requested_at / 1_000, &read.relay);
             let text =
-                format!("batch {at} asked of {relay} at {asked} ms could not be read: {read:?}");
-            crossed(violations, Line::BatchList, text);
+                format!("reading batch {index} at {relay} at {requested_ms} ms failed: {read:?}");
+            add_violation(violations, Line::BatchList, text);
         }
     }
 }
 
-/// Whether more machines with a disk were out at some time, or had just been, than may be, so that
-/// all copies of something may have been out of reach then.
-fn too_many_are_out(history: &History, lost_machines: u16, from: Us, until: Us) -> bool {
-    let out: Vec<_> = history.struck.iter().filter(|struck| struck.has_disk).collect();
-    are_out_together(&out, &mut Vec::new(), usize::from(lost_machines) + 1, &|together| {
-        let began = together.iter().map(|struck| struck.from).max().unwrap_or(0);
-        let mended = together.iter().map(|struck| struck.lasts_to() + MENDED_US).min();
-        let mended = mended.unwrap_or(0);
-        // What stays out for long is gone: the others must do without it.
-        let over = if mended > began + FOR_LONG_US { began } else { mended };
-        began < mended && began <= until && over + AFTER_SEVERAL_US >= from
+/// Whether more machines with a disk than tolerated were out at some time or had just been, so that
+/// all copies of some data may have been unreachable.
+fn exceeds_tolerated_outages(
+    history: &History,
+    lost_machines: u16,
+    from: Micros,
+    until: Micros,
+) -> bool {
+    let out: Vec<_> = history.impairments.iter().filter(|impairment| impairment.has_disk).collect();
+    has_overlapping_outages(&out, &mut Vec::new(), usize::from(lost_machines) + 1, &|together| {
+        let began = together.iter().map(|impairment| impairment.from).max().unwrap_or(0);
+        let recovered_at =
+            together.iter().map(|impairment| impairment.ends_at() + CATCH_UP_US).min();
+        let recovered_at = recovered_at.unwrap_or(0);
+        // Machines that are out for long count as lost: the others must serve without them.
+        let ended_at = if recovered_at > began + LONG_OUTAGE_US { began } else { recovered_at };
+        began < recovered_at && began <= until && ended_at + MULTIPLE_OUTAGES_RECOVERY_US >= from
     })
 }
 
-/// Whether so many machines, each another one, were out together in a way that counts.
-fn are_out_together<'a>(
-    out: &[&'a StruckSeen],
-    together: &mut Vec<&'a StruckSeen>,
-    many: usize,
-    counts: &impl Fn(&[&StruckSeen]) -> bool,
+/// Whether this many different machines had overlapping outages for which `is_relevant` holds.
+fn has_overlapping_outages<'a>(
+    out: &[&'a Impairment],
+    together: &mut Vec<&'a Impairment>,
+    count: usize,
+    is_relevant: &impl Fn(&[&Impairment]) -> bool,
 ) -> bool {
-    if together.len() == many {
-        return counts(together);
+    if together.len() == count {
+        return is_relevant(together);
     }
-    out.iter().enumerate().any(|(at, one)| {
-        let overlaps = |other: &&StruckSeen| {
+    out.iter().enumerate().any(|(index, one)| {
+        let overlaps = |other: &&Impairment| {
             let began = one.from.max(other.from);
-            let mended = one.lasts_to().min(other.lasts_to()) + MENDED_US;
-            one.name != other.name && began < mended
+            let recovered_at = one.ends_at().min(other.ends_at()) + CATCH_UP_US;
+            one.name != other.name && began < recovered_at
         };
         if !together.iter().all(overlaps) {
             return false;
         }
         together.push(one);
-        let counted = are_out_together(&out[at + 1..], together, many, counts);
+        let found = has_overlapping_outages(&out[index + 1..], together, count, is_relevant);
         together.pop();
-        counted
+        found
     })
 }
 
-fn check_lists(at: usize, batch: &BatchSeen, history: &History, violations: &mut Vec<Violation>) {
-    let mut longest: &[ListedReturn] = &[];
+fn check_lists(
+    index: usize,
+    batch: &BatchRecord,
+    history: &History,
+    violations: &mut Vec<Violation>,
+) {
+    let mut longest: &[ListedResult] = &[];
     for (_, list) in &batch.lists {
         let common = longest.len().min(list.len());
         if longest[..common] != list[..common] || list.len() < longest.len() {
-            let text = format!("batch {at}: a listed return changed, moved or went");
-            crossed(violations, Line::BatchList, text);
+            let text = format!("batch {index}: a listed result changed, moved or disappeared");
+            add_violation(violations, Line::BatchList, text);
         }
         let mut items: Vec<u32> = list.iter().map(|listed| listed.item).collect();
         items.sort_unstable();
         if items.windows(2).any(|two| two[0] == two[1]) {
-            crossed(violations, Line::BatchList, format!("batch {at}: an item is listed twice"));
+            add_violation(
+                violations,
+                Line::BatchList,
+                format!("batch {index}: an item is listed twice"),
+            );
         }
         let in_order = list.iter().zip(1..).all(|(listed, position)| listed.position == position);
         if !in_order {
-            crossed(violations, Line::BatchList, format!("batch {at}: positions are not in order"));
+            add_violation(
+                violations,
+                Line::BatchList,
+                format!("batch {index}: positions are not in order"),
+            );
         }
         longest = list;
     }
     if batch.accepted.is_some() && longest.len() < batch.items as usize {
-        let text = format!("batch {at} has {} of {} returns at rest", longest.len(), batch.items);
-        crossed(violations, Line::BatchList, text);
+        let text =
+            format!("batch {index} lists {} of {} results at the end", longest.len(), batch.items);
+        add_violation(violations, Line::BatchList, text);
     }
     for listed in longest {
         let Some(body) = &listed.body else { continue };
@@ -157,31 +186,35 @@
                 && body.as_ref() == format!("return of work {work} run {run}").as_bytes()
         });
         if !own {
-            let text = format!("batch {at}: item {} has a return not its own", listed.item);
-            crossed(violations, Line::WrongReturn, text);
+            let text = format!("batch {index}: item {} has the result of other work", listed.item);
+            add_violation(violations, Line::WrongReturn, text);
         }
     }
 }
 
-/// Holds what waits, as the copies have it, against the ceiling of the spec in force. What waits
-/// when a spec lowers the ceiling goes on waiting, but grows no more.
+/// Compares the waiting work, according to its copies, with the ceiling of the configuration in
+/// force. Work that already waits when a configuration lowers the ceiling keeps waiting, but must
+/// not grow.
 fn check_ceiling(history: &History, violations: &mut Vec<Violation>, figures: &mut Figures) {
     let mut before = 0;
     for (at, waiting) in &history.waiting {
-        // Any spec that may be in force: the last one acknowledged long enough ago, and all that
-        // were asked for since.
-        let known = |spec: &&SpecSeen| spec.acknowledged.is_some_and(|a| a + IN_FORCE_US < *at);
-        let surely = history.specs.iter().filter(known).max_by_key(|spec| spec.version);
-        let Some(surely) = surely else { continue };
-        let may_be = history.specs.iter().filter(|spec| {
-            spec.version > surely.version && spec.asked.is_some_and(|asked| asked <= *at)
+        // Any configuration that may be in force: the last one acknowledged long enough ago, and
+        // all later ones whose roll-out was requested.
+        let known = |rollout: &&RolloutRecord| {
+            rollout.acknowledged.is_some_and(|a| a + IN_FORCE_DELAY_US < *at)
+        };
+        let confirmed = history.rollouts.iter().filter(known).max_by_key(|rollout| rollout.version);
+        let Some(confirmed) = confirmed else { continue };
+        let possible = history.rollouts.iter().filter(|rollout| {
+            rollout.version > confirmed.version
+                && rollout.requested_at.is_some_and(|requested_at| requested_at <= *at)
         });
-        let ceiling = may_be.map(|spec| spec.ceiling).fold(surely.ceiling, u64::max);
+        let ceiling = possible.map(|rollout| rollout.ceiling).fold(confirmed.ceiling, u64::max);
         if *waiting > ceiling * 11 / 10 && *waiting > before {
-            let text = format!("{waiting} waits at {} ms, ceiling {ceiling}", at / 1_000);
-            crossed(violations, Line::Ceiling, text);
+            let text = format!("{waiting} waiting at {} ms, ceiling {ceiling}", at / 1_000);
+            add_violation(violations, Line::Ceiling, text);
         }
         before = *waiting;
-        figures.most_waiting = figures.most_waiting.max((*waiting, ceiling));
+        figures.max_waiting = figures.max_waiting.max((*waiting, ceiling));
     }
 }
--- a/fleet-simulator/src/model/search.rs
+++ b/fleet-simulator/src/model/search.rs
@@ -1,37 +1,39 @@
-//! The exhaustive search: from a founded fleet with both operators' orders under way, what happens
-//! by itself, and at every point of it every deviation that the bounds still allow.
+//! The exhaustive search. It starts from a bootstrapped fleet with an order of each operator in
+//! flight, performs the pending events in order, and tries every deviation within the bounds at
+//! every point.
 //!
-//! States are counted by hash; one that was met with as many steps left is not gone into again.
+//! States are identified by hash; a state reached before with at least as many steps left is not
+//! explored again.
 
 use super::world::{OPERATORS, World};
 use super::{Action, Settings, Violation, network};
 use std::collections::{BTreeSet, HashMap};
 
-/// How far the search goes.
+/// Limits of the search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Steps of each run.
+    /// Maximum steps per run.
     pub depth: usize,
-    /// Deviations of each run, each of another kind.
+    /// Maximum deviations per run, each of a different kind.
     pub deviations: usize,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// States that differ.
+pub struct SearchResult {
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps taken.
+    /// Number of steps performed.
     pub steps: u64,
-    /// Kinds of deviations that took place.
+    /// Kinds of deviations performed.
     pub kinds: BTreeSet<&'static str>,
-    /// The newest epoch that any state reached.
+    /// The newest epoch reached in any state.
     pub newest_epoch: u64,
-    /// A run that crosses an invariant.
-    pub crossed: Option<(Vec<Action>, Violation)>,
+    /// The shortest run found that violates an invariant, with the violation.
+    pub counterexample: Option<(Vec<Action>, Violation)>,
 }
 
-impl Found {
+impl SearchResult {
     fn add(&mut self, other: Self) {
         self.states += other.states;
         self.steps += other.steps;
@@ -40,38 +42,39 @@
         let shorter = |a: &Option<(Vec<Action>, Violation)>, b: &(Vec<Action>, Violation)| {
             a.as_ref().is_none_or(|a| b.0.len() < a.0.len())
         };
-        if let Some(crossed) = other.crossed
-            && shorter(&self.crossed, &crossed)
+        if let Some(counterexample) = other.counterexample
+            && shorter(&self.counterexample, &counterexample)
         {
-            self.crossed = Some(crossed);
+            self.counterexample = Some(counterexample);
         }
     }
 }
 
-/// The runs that a search begins with: who orders where.
-pub fn beginnings(settings: Settings) -> Vec<Vec<Action>> {
-    let replicas = (0..settings.nodes).flat_map(|a| (0..settings.nodes).map(move |b| (a, b)));
+/// The runs from which the search starts: which operator sends its order to which node.
+pub fn starting_points(settings: Settings) -> Vec<Vec<Action>> {
+    let pairs = (0..settings.nodes).flat_map(|a| (0..settings.nodes).map(move |b| (a, b)));
     let both = |(first, second)| {
         vec![
             Action::Order { operator: 0, node: first, skip: 0 },
             Action::Order { operator: 1, node: second, skip: 0 },
         ]
     };
-    replicas.map(both).collect()
+    pairs.map(both).collect()
 }
 
-/// Searches from every beginning, so many at a time. Each counts its own states.
-pub fn search(settings: Settings, bounds: Bounds, threads: usize) -> Found {
-    let beginnings = beginnings(settings);
+/// Searches from every starting point on several threads. Each starting point counts its own
+/// states.
+pub fn search(settings: Settings, bounds: Bounds, threads: usize) -> SearchResult {
+    let starting_points = starting_points(settings);
     let threads = threads.max(1);
-    let mut found = Found::default();
+    let mut found = SearchResult::default();
     std::thread::scope(|scope| {
-        let beginnings = &beginnings;
+        let starting_points = &starting_points;
         let share = |first: usize| {
             move || {
-                let mut found = Found::default();
-                for beginning in beginnings.iter().skip(first).step_by(threads) {
-                    found.add(search_from(settings, bounds, beginning));
+                let mut found = SearchResult::default();
+                for starting_point in starting_points.iter().skip(first).step_by(threads) {
+                    found.add(search_from(settings, bounds, starting_point));
                 }
                 found
             }
@@ -82,106 +85,119 @@
     found
 }
 
-/// Searches from one beginning.
-pub fn search_from(settings: Settings, bounds: Bounds, beginning: &[Action]) -> Found {
-    let mut world = World::founded(settings);
-    for action in beginning {
+/// Searches from one starting point.
+pub fn search_from(settings: Settings, bounds: Bounds, starting_point: &[Action]) -> SearchResult {
+    let mut world = World::bootstrapped(settings);
+    for action in starting_point {
         world.apply(action);
     }
-    let trace = beginning.to_vec();
-    let mut search = Search { bounds, seen: HashMap::new(), trace, found: Found::default() };
-    search.go(world, bounds.depth, &mut Vec::new());
-    search.found.states = search.seen.len();
+    let trace = starting_point.to_vec();
+    let mut search =
+        Search { bounds, visited: HashMap::new(), trace, found: SearchResult::default() };
+    search.explore(world, bounds.depth, &mut Vec::new());
+    search.found.states = search.visited.len();
     search.found
 }
 
-/// A search that is under way.
+/// A search in progress.
 struct Search {
     bounds: Bounds,
-    /// The states met, each with the most steps that were left there.
-    seen: HashMap<u64, usize>,
+    /// States reached, each with the highest number of steps left there.
+    visited: HashMap<u64, usize>,
     trace: Vec<Action>,
-    found: Found,
+    found: SearchResult,
 }
 
 impl Search {
-    /// Goes on by itself to the end, and into each deviation on the way.
-    fn go(&mut self, mut world: World, mut left: usize, spent: &mut Vec<&'static str>) {
+    /// Performs pending events until the steps are used up, and branches into each possible
+    /// deviation on the way.
+    fn explore(
+        &mut self,
+        mut world: World,
+        mut steps_left: usize,
+        used_kinds: &mut Vec<&'static str>,
+    ) {
         let before = self.trace.len();
-        while self.is_worth_going(&world, left, spent) {
-            for action in deviations(&world, spent, self.bounds.deviations) {
+        while self.should_explore(&world, steps_left, used_kinds) {
+            for action in deviations(&world, used_kinds, self.bounds.deviations) {
                 let mut other = world.clone();
                 if other.apply(&action) {
-                    self.turn_off(other, action, left - 1, spent);
+                    self.branch(other, action, steps_left - 1, used_kinds);
                 }
             }
             world.apply(&Action::Next);
             self.trace.push(Action::Next);
             self.found.steps += 1;
-            left -= 1;
+            steps_left -= 1;
         }
         self.trace.truncate(before);
     }
 
-    fn turn_off(
+    fn branch(
         &mut self,
         world: World,
         action: Action,
-        left: usize,
-        spent: &mut Vec<&'static str>,
+        steps_left: usize,
+        used_kinds: &mut Vec<&'static str>,
     ) {
         let kind = action.kind();
         self.found.steps += 1;
         self.found.kinds.extend(kind);
-        spent.extend(kind);
+        used_kinds.extend(kind);
         self.trace.push(action);
-        self.go(world, left, spent);
+        self.explore(world, steps_left, used_kinds);
         self.trace.pop();
         if kind.is_some() {
-            spent.pop();
+            used_kinds.pop();
         }
     }
 
-    /// Whether a state is new, has steps left and crosses nothing.
-    fn is_worth_going(&mut self, world: &World, left: usize, spent: &[&'static str]) -> bool {
+    /// Whether a state is new, has steps left and violates no invariant.
+    fn should_explore(
+        &mut self,
+        world: &World,
+        steps_left: usize,
+        used_kinds: &[&'static str],
+    ) -> bool {
         if let Some(violation) = world.violation() {
-            let known = self.found.crossed.as_ref().map_or(usize::MAX, |(trace, _)| trace.len());
+            let known =
+                self.found.counterexample.as_ref().map_or(usize::MAX, |(trace, _)| trace.len());
             if self.trace.len() < known {
-                self.found.crossed = Some((self.trace.clone(), violation.clone()));
+                self.found.counterexample = Some((self.trace.clone(), violation.clone()));
             }
             return false;
         }
-        if left == 0 {
+        if steps_left == 0 {
             return false;
         }
         self.found.newest_epoch = self.found.newest_epoch.max(world.newest_epoch());
-        let mut kinds = spent.to_vec();
+        let mut kinds = used_kinds.to_vec();
         kinds.sort_unstable();
         let state = super::fingerprint::hash_of(world.now(), &[&world.fingerprint(), &kinds]);
-        let known = self.seen.entry(state).or_insert(0);
-        if *known >= left {
+        let known = self.visited.entry(state).or_insert(0);
+        if *known >= steps_left {
             return false;
         }
-        *known = left;
+        *known = steps_left;
         true
     }
 }
 
-/// All that may happen in a state besides what happens by itself.
-fn deviations(world: &World, spent: &[&'static str], most: usize) -> Vec<Action> {
-    let mut actions = mends(world);
-    if spent.len() < most {
-        actions.extend(on_messages(world));
-        actions.extend(troubles(world));
-        actions.extend(askings(world));
+/// All deviations and repairs possible in a state.
+fn deviations(world: &World, used_kinds: &[&'static str], max_deviations: usize) -> Vec<Action> {
+    let mut actions = repairs(world);
+    if used_kinds.len() < max_deviations {
+        actions.extend(message_deviations(world));
+        actions.extend(faults(world));
+        actions.extend(operator_calls(world));
     }
-    actions.retain(|action| action.kind().is_none_or(|kind| !spent.contains(&kind)));
+    actions.retain(|action| action.kind().is_none_or(|kind| !used_kinds.contains(&kind)));
     actions
 }
 
-/// What mends; only while nothing else is under way, as in between it makes no difference that a
-/// late message does not make.
-fn mends(world: &World) -> Vec<Action> {
+/// Actions that end a fault. They are only tried when no event is pending: earlier ones differ only
+/// in ways that a delayed message covers as well.
+fn repairs(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
     if world.held() > 0 {
         actions.push(Action::Release);
@@ -206,12 +222,13 @@
     actions
 }
 
-fn on_messages(world: &World) -> Vec<Action> {
-    let letters = network::letters(world.envelopes());
+fn message_deviations(world: &World) -> Vec<Action> {
+    let message_refs = network::message_refs(world.envelopes());
     let mut actions: Vec<Action> =
-        letters.iter().skip(1).map(|letter| Action::Deliver(*letter)).collect();
-    // The oldest is the one that arrives next: each message is that at some time.
-    if let Some(oldest) = letters.first() {
+        message_refs.iter().skip(1).map(|message| Action::Deliver(*message)).collect();
+    // Only the oldest message is lost, duplicated or held: every message is the oldest one at some
+    // time.
+    if let Some(oldest) = message_refs.first() {
         actions.push(Action::Lose(*oldest));
         actions.push(Action::Double(*oldest));
         actions.push(Action::Hold(*oldest));
@@ -219,7 +236,7 @@
     actions
 }
 
-fn troubles(world: &World) -> Vec<Action> {
+fn faults(world: &World) -> Vec<Action> {
     let nodes = world.nodes();
     let mut actions = Vec::new();
     for (number, node) in nodes.iter().enumerate().filter(|(_, node)| node.machine.is_some()) {
@@ -232,7 +249,7 @@
         let others = (0..nodes.len()).filter(|other| *other != number);
         actions.extend(others.map(|other| Action::Cut(number, other)));
     }
-    // Each machine keeps none of its unsynced writes or all of them.
+    // Each machine keeps either none or all of its unsynced writes.
     let unsynced = |number: usize| nodes[number].disk.unsynced.len();
     let has_unsynced: Vec<usize> = (0..nodes.len()).filter(|n| unsynced(*n) > 0).collect();
     for choice in 0_u32..1 << has_unsynced.len() {
@@ -245,19 +262,19 @@
     actions
 }
 
-fn askings(world: &World) -> Vec<Action> {
+fn operator_calls(world: &World) -> Vec<Action> {
     let mut actions = Vec::new();
-    // An operator turns to another node after silence, not in the middle of things.
+    // Operators only send calls when no event is pending: they try another node after silence.
     if !world.is_quiet() {
         return actions;
     }
     for operator in 0..OPERATORS {
         for node in 0..world.nodes().len() {
-            let again = match &world.operators()[operator].open {
+            let order = match &world.operators()[operator].open_order {
                 Some(_) => Action::Resend { operator, node },
                 None => Action::Order { operator, node, skip: 0 },
             };
-            actions.extend([again, Action::Read { operator, node }]);
+            actions.extend([order, Action::Read { operator, node }]);
         }
     }
     actions
--- a/fleet-simulator/src/plan/core.rs
+++ b/fleet-simulator/src/plan/core.rs
@@ -1,52 +1,53 @@
-//! Control under its worst days: cut off, raced at, struck again at once, left behind.
+//! Faults of control nodes: they are cut off, get racing orders, are lost right after another loss,
+//! or are absent for long.
 
-use super::{Draft, named, numbered};
-use crate::faults::{Fault, Way, Whom};
+use super::{PlanBuilder, all_of_kind, named};
+use crate::faults::{Direction, Fault, FaultTarget};
 use rand::Rng as _;
 
-/// How long a machine that is back counts as lost.
+/// How long a machine that is back still counts as lost.
 const CATCH_UP_MS: u64 = 5_000;
-/// For how long control nodes are cut off.
+/// How long control nodes are cut off.
 const CUT_OFF_MS: u64 = 20_000;
-/// For how long a member is left behind.
+/// How long a control node is absent.
 const ABSENT_MS: u64 = 20_000;
 
-impl Draft<'_> {
-    /// Members of the core, as many as may be lost at once, each another one.
-    fn core_members(&mut self) -> Vec<Whom> {
+impl PlanBuilder<'_> {
+    /// Draws different control nodes, as many as may be lost at once.
+    fn core_members(&mut self) -> Vec<FaultTarget> {
         let mut roles = vec![
-            Whom::ControlPrimary,
-            Whom::ControlBackup,
-            Whom::ControlSpare,
+            FaultTarget::ControlPrimary,
+            FaultTarget::ControlBackup,
+            FaultTarget::ControlSpare,
             named("control", self.rng.random_range(1..=3)),
         ];
-        let many = usize::from(self.deployment.lost_machines);
-        if many > 1 {
-            // A seed may be any of the others.
+        let count = usize::from(self.deployment.lost_machines);
+        if count > 1 {
+            // The named control node could be the same node as one of the other three.
             roles.truncate(3);
         }
-        (0..many).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
+        (0..count).map(|_| roles.swap_remove(self.rng.random_range(0..roles.len()))).collect()
     }
 
-    fn way(&mut self) -> Way {
-        [Way::Both, Way::Outward, Way::Inward][self.rng.random_range(0..3)]
+    fn direction(&mut self) -> Direction {
+        [Direction::Both, Direction::Outward, Direction::Inward][self.rng.random_range(0..3)]
     }
 
     pub(super) fn cut_off_control(&mut self) {
         self.add(0, Fault::LoseAnswers(10));
         for _ in 0..3 {
-            let way = self.way();
+            let direction = self.direction();
             let only_core = self.rng.random_range(0..2) == 0;
-            for whom in self.core_members() {
+            for target in self.core_members() {
                 let fault = match only_core {
-                    true => Fault::CutOffFromCore(whom, way),
-                    false => Fault::CutOff(whom, way),
+                    true => Fault::CutOffFromCore(target, direction),
+                    false => Fault::CutOff(target, direction),
                 };
                 self.add(0, fault);
             }
             self.add(CUT_OFF_MS, Fault::Mend);
-            // The next one in turn, sometimes as soon as the last one counts no more.
-            self.at += CUT_OFF_MS + CATCH_UP_MS + self.rng.random_range(0..3_000);
+            // The next loss, sometimes as soon as the last one no longer counts.
+            self.at_ms += CUT_OFF_MS + CATCH_UP_MS + self.rng.random_range(0..3_000);
         }
         self.add(0, Fault::LoseAnswers(0));
     }
@@ -59,18 +60,18 @@
             self.add(0, Fault::Untidy(share));
             self.add(4_000, Fault::Untidy(0));
             self.add(4_000, Fault::LoseAnswers(20));
-            let strikes = self.rng.random_range(500..6_000);
-            for whom in self.core_members() {
+            let strike_after_ms = self.rng.random_range(500..6_000);
+            for target in self.core_members() {
                 let fault = match self.rng.random_range(0..3) {
-                    0 => Fault::Freeze(whom, 1_500),
-                    1 => Fault::LosePower(whom),
-                    _ => Fault::Kill(whom),
+                    0 => Fault::Freeze(target, 1_500),
+                    1 => Fault::LosePower(target),
+                    _ => Fault::Kill(target),
                 };
-                self.add(strikes, fault);
+                self.add(strike_after_ms, fault);
             }
-            self.add(strikes + 1_500, Fault::StartAll);
-            self.add(strikes + 1_500, Fault::LoseAnswers(50));
-            self.at += strikes + 1_500 + CATCH_UP_MS;
+            self.add(strike_after_ms + 1_500, Fault::StartAll);
+            self.add(strike_after_ms + 1_500, Fault::LoseAnswers(50));
+            self.at_ms += strike_after_ms + 1_500 + CATCH_UP_MS;
         }
         self.add(0, Fault::LoseAnswers(0));
     }
@@ -78,56 +79,57 @@
     pub(super) fn second_loss(&mut self) {
         let storages = self.count_storages();
         for round in 0..7 {
-            // A clean leave beside a loss, and a retirement beside a wipe.
+            // Once, a storage node retires right before a loss. Planned replacements, below, add
+            // clean leaves between losses.
             if round == 3 {
                 let node = named("storage", self.rng.random_range(1..=storages));
                 self.add(0, Fault::AddStorage);
                 self.add(6_000, Fault::Retire(node));
-                self.at += 6_500;
+                self.at_ms += 6_500;
             }
-            let down = self.rng.random_range(200..2_500);
+            let down_ms = self.rng.random_range(200..2_500);
             let members = self.worst_members();
             let kind = self.rng.random_range(0..5);
             if kind == 4 {
-                // The new one has had its time when the old one leaves, so that the next loss may
-                // come at once.
+                // The new node has had time to catch up when the old one leaves, so the next loss
+                // may come at once.
                 self.planned_replacement();
                 continue;
             }
-            for whom in members {
+            for target in members {
                 let fault = match kind {
-                    0 => Fault::LoseDisk(whom),
-                    1 => Fault::Replace(whom),
-                    2 => Fault::LosePower(whom),
-                    _ => Fault::Kill(whom),
+                    0 => Fault::LoseDisk(target),
+                    1 => Fault::Replace(target),
+                    2 => Fault::LosePower(target),
+                    _ => Fault::Kill(target),
                 };
                 self.add(0, fault);
             }
-            self.add(down, Fault::StartAll);
-            self.at += down + CATCH_UP_MS + self.rng.random_range(0..40);
+            self.add(down_ms, Fault::StartAll);
+            self.at_ms += down_ms + CATCH_UP_MS + self.rng.random_range(0..40);
         }
     }
 
     fn planned_replacement(&mut self) {
         let number = self.rng.random_range(1..=self.count_controls());
         let name = named("control", number);
-        let old = Whom::Named(format!("control-{number} (replaced)"));
+        let old = FaultTarget::Named(format!("control-{number} (replaced)"));
         self.add(0, Fault::Succeed(name));
-        self.at += CATCH_UP_MS + self.rng.random_range(0..40);
+        self.at_ms += CATCH_UP_MS + self.rng.random_range(0..40);
         self.add(0, Fault::Leave(old.clone()));
         self.add(200, Fault::Remove(old));
-        self.at += 210;
+        self.at_ms += 210;
     }
 
-    /// Machines whose loss at this moment hurts most, as many as may be lost at once.
-    fn worst_members(&mut self) -> Vec<Whom> {
+    /// Draws the processes whose loss has the greatest impact, as many as may be lost at once.
+    fn worst_members(&mut self) -> Vec<FaultTarget> {
         let shard = self.rng.random_range(0..5);
         let all = [
-            vec![Whom::ControlPrimary, Whom::ControlBackup],
-            vec![Whom::ControlBackup, Whom::ControlSpare],
-            vec![Whom::ControlSpare, Whom::ControlPrimary],
-            vec![Whom::ShardPrimary(shard), Whom::ControlPrimary],
-            vec![Whom::ShardHolder(shard), Whom::ShardPrimary(shard)],
+            vec![FaultTarget::ControlPrimary, FaultTarget::ControlBackup],
+            vec![FaultTarget::ControlBackup, FaultTarget::ControlSpare],
+            vec![FaultTarget::ControlSpare, FaultTarget::ControlPrimary],
+            vec![FaultTarget::ShardPrimary(shard), FaultTarget::ControlPrimary],
+            vec![FaultTarget::ShardHolder(shard), FaultTarget::ShardPrimary(shard)],
         ];
         let mut members = all[self.rng.random_range(0..all.len())].clone();
         members.truncate(usize::from(self.deployment.lost_machines));
@@ -140,12 +142,12 @@
             let members = self.core_members();
             let edge = [named("agent", 1), named("relay", 2)];
             let kind = self.rng.random_range(0..4);
-            for whom in members.into_iter().chain(edge) {
+            for target in members.into_iter().chain(edge) {
                 let fault = match kind {
-                    0 => Fault::Kill(whom),
-                    1 => Fault::LosePower(whom),
-                    2 => Fault::Freeze(whom, ABSENT_MS),
-                    _ => Fault::CutOff(whom, Way::Both),
+                    0 => Fault::Kill(target),
+                    1 => Fault::LosePower(target),
+                    2 => Fault::Freeze(target, ABSENT_MS),
+                    _ => Fault::CutOff(target, Direction::Both),
                 };
                 self.add(0, fault);
             }
@@ -153,15 +155,15 @@
             self.add(ABSENT_MS, Fault::StartAll);
             self.add(ABSENT_MS, Fault::Mend);
             self.add(ABSENT_MS + 1_000, Fault::OrdersEvery(300));
-            self.at += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
-            // One after the other leads and goes, so that the one that was away must lead.
+            self.at_ms += ABSENT_MS + CATCH_UP_MS + self.rng.random_range(0..40);
+            // One primary after another is killed, so that the node that was absent must take over.
             for _ in 0..2 {
-                self.add(0, Fault::Kill(Whom::ControlPrimary));
-                if self.two() {
-                    self.add(0, Fault::Kill(Whom::ControlBackup));
+                self.add(0, Fault::Kill(FaultTarget::ControlPrimary));
+                if self.may_lose_two() {
+                    self.add(0, Fault::Kill(FaultTarget::ControlBackup));
                 }
                 self.add(1_500, Fault::StartAll);
-                self.at += 1_500 + CATCH_UP_MS;
+                self.at_ms += 1_500 + CATCH_UP_MS;
             }
         }
         self.add(0, Fault::LoseAnswers(0));
@@ -179,50 +181,51 @@
                     self.add(0, Fault::Replace(seed));
                 }
                 4 => {
-                    let way = [Way::Outward, Way::Inward][self.rng.random_range(0..2)];
+                    let direction =
+                        [Direction::Outward, Direction::Inward][self.rng.random_range(0..2)];
                     let ms = self.rng.random_range(500..8_000);
-                    for whom in self.core_members() {
-                        self.add(0, Fault::CutOff(whom, way));
+                    for target in self.core_members() {
+                        self.add(0, Fault::CutOff(target, direction));
                     }
                     self.add(ms, Fault::Mend);
-                    self.at += ms;
+                    self.at_ms += ms;
                 }
-                _ => self.claim_on_slow_disks(),
+                _ => self.takeover_on_slow_disks(),
             }
-            self.at += CATCH_UP_MS + self.rng.random_range(0..1_000);
+            self.at_ms += CATCH_UP_MS + self.rng.random_range(0..1_000);
         }
         self.add(0, Fault::LoseAnswers(0));
     }
 
     fn core_without_power(&mut self) {
-        for whom in numbered("control", self.count_controls()) {
-            let starts = self.rng.random_range(200..1_400);
-            self.add(0, Fault::LosePower(whom.clone()));
-            self.add(starts, Fault::Start(whom));
+        for target in all_of_kind("control", self.count_controls()) {
+            let start_ms = self.rng.random_range(200..1_400);
+            self.add(0, Fault::LosePower(target.clone()));
+            self.add(start_ms, Fault::Start(target));
         }
-        self.at += 1_400;
+        self.at_ms += 1_400;
     }
 
     fn all_without_power(&mut self) {
-        let all = numbered("control", self.count_controls())
-            .chain(numbered("storage", self.count_storages()))
-            .chain(numbered("agent", self.count_relays()))
-            .chain(numbered("relay", self.count_relays()));
-        for whom in all {
-            self.add(0, Fault::LosePower(whom));
+        let all = all_of_kind("control", self.count_controls())
+            .chain(all_of_kind("storage", self.count_storages()))
+            .chain(all_of_kind("agent", self.count_relays()))
+            .chain(all_of_kind("relay", self.count_relays()));
+        for target in all {
+            self.add(0, Fault::LosePower(target));
         }
         self.add(1_400, Fault::StartAll);
-        self.at += 1_400 + CATCH_UP_MS;
+        self.at_ms += 1_400 + CATCH_UP_MS;
     }
 
-    /// The primary goes while whoever takes over has a slow or stalled disk.
-    fn claim_on_slow_disks(&mut self) {
+    /// The primary is killed while the nodes that may take over have a slow or stalled disk.
+    fn takeover_on_slow_disks(&mut self) {
         let ms = [50, 400, 3_000, 20_000][self.rng.random_range(0..4)];
-        self.add(0, Fault::SlowDisk(Whom::ControlBackup, ms));
-        self.add(0, Fault::SlowDisk(Whom::ControlSpare, ms / 2));
-        self.add(300, Fault::Kill(Whom::ControlPrimary));
+        self.add(0, Fault::SlowDisk(FaultTarget::ControlBackup, ms));
+        self.add(0, Fault::SlowDisk(FaultTarget::ControlSpare, ms / 2));
+        self.add(300, Fault::Kill(FaultTarget::ControlPrimary));
         self.add(3_000, Fault::FastDisks);
         self.add(3_500, Fault::StartAll);
-        self.at += 3_500;
+        self.at_ms += 3_500;
     }
 }
--- a/fleet-simulator/src/run.rs
+++ b/fleet-simulator/src/run.rs
@@ -2,23 +2,23 @@
 
 use crate::Scenario;
 use crate::check::{Bounds, Figures, Violation};
-use crate::plan::FAULTS_MS;
+use crate::plan::FIRST_FAULT_MS;
 use crate::workload::{Activity, WorkloadSettings};
 use crate::world::{Event, InjectedBug, NodeIndex, NodeKind, World};
 
-/// When load begins.
-const LOAD_MS: u64 = 7_000;
+/// When clients start to send load.
+const LOAD_START_MS: u64 = 7_000;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The lines that were crossed.
+    /// Violations that the checker found.
     pub violations: Vec<Violation>,
-    /// Figures.
+    /// Figures measured in the run.
     pub figures: Figures,
-    /// What was done, for the trace.
+    /// The faults that were caused, for the trace.
     pub faults: Vec<String>,
-    /// What the processes noted in their logs.
+    /// Log lines of all processes.
     pub notes: Vec<String>,
     /// A digest of the whole history: the same for the same seed.
     pub digest: topazyard_types::Digest,
@@ -28,7 +28,7 @@
     pub simulated_ms: u64,
 }
 
-/// Builds a fleet whose processes all start at once.
+/// Builds a fleet and starts all its processes at once.
 pub fn build(deployment: &crate::Deployment, seed: u64) -> World {
     let mut world = World::new(seed, deployment.zones);
     world.bounds.lost_machines = deployment.lost_machines;
@@ -68,7 +68,7 @@
     world
 }
 
-/// What people do in a scenario, unless told otherwise.
+/// The default workload of a scenario.
 pub fn workload_settings(deployment: &crate::Deployment, scenario: Scenario) -> WorkloadSettings {
     let cost = deployment.words + deployment.new_tokens;
     let usual = WorkloadSettings {
@@ -77,7 +77,7 @@
         new_tokens: deployment.new_tokens,
         items_per_batch: deployment.items_per_batch,
         batch_interval_s: deployment.batch_interval_s,
-        // In a crowd the budget is what must hold.
+        // The scenario with load spikes tests the budget, so its limit is low enough to be reached.
         limit_tokens: if scenario == Scenario::Crowds { 25 * cost } else { 40_000 },
         rollout_interval_s: if scenario == Scenario::Operators { 2 } else { 6 },
         ..WorkloadSettings::default()
@@ -85,7 +85,7 @@
     if !scenario.has_orders() {
         return usual;
     }
-    // What is watched here is control; a lighter load makes room for longer runs.
+    // These scenarios test control; a lighter load allows longer runs.
     WorkloadSettings {
         prompts_per_s: 12,
         items_per_batch: 10,
@@ -105,18 +105,18 @@
     run_with(deployment, scenario, seed, injected_bug, workload_settings(deployment, scenario))
 }
 
-/// Runs a scenario from a seed with habits other than the usual ones.
+/// Runs a scenario from a seed with a workload other than the default.
 pub fn run_with(
     deployment: &crate::Deployment,
     scenario: Scenario,
     seed: u64,
     injected_bug: Option<InjectedBug>,
-    habits: WorkloadSettings,
+    settings: WorkloadSettings,
 ) -> Report {
     let violated_before = topazyard_wire::invariants::thread_counts();
     let mut world = build(deployment, seed);
     world.injected_bug = injected_bug;
-    world.workload.settings = WorkloadSettings { is_active: false, ..habits };
+    world.workload.settings = WorkloadSettings { is_active: false, ..settings };
     if world.has_orders() {
         world.first_order();
     } else {
@@ -125,28 +125,28 @@
     world.list_engines();
     let usual = [
         Activity::NextPrompt,
-        Activity::AskReady,
+        Activity::CheckReady,
         Activity::NextBatch,
-        Activity::NextSpec,
-        Activity::ReadSpec,
+        Activity::NextRollout,
+        Activity::ReadConfiguration,
     ];
-    for doing in usual {
-        world.at(0, Event::Activity(doing));
+    for activity in usual {
+        world.schedule_at(0, Event::Activity(activity));
     }
     if matches!(scenario, Scenario::Crowds | Scenario::Ceiling) {
-        world.at(0, Event::Activity(Activity::WeighWaiting));
+        world.schedule_at(0, Event::Activity(Activity::MeasureWaiting));
     }
-    world.run_until(LOAD_MS * 1_000);
+    world.run_until(LOAD_START_MS * 1_000);
     world.workload.settings.is_active = true;
     let plan = crate::plan::plan(deployment, scenario, seed);
     for (at_ms, fault) in &plan.faults {
         world.schedule_fault(*at_ms, fault.clone());
     }
-    let closed = plan.closed_ms * 1_000;
-    world.run_until(closed + 18_000_000);
+    let faults_end = plan.end_ms * 1_000;
+    world.run_until(faults_end + 18_000_000);
     world.workload.settings.is_active = false;
-    world.run_until(closed + 30_000_000);
-    // Until nothing runs any more and every batch is done, within reason.
+    world.run_until(faults_end + 30_000_000);
+    // Waits until nothing runs any more and every batch is done, at most 150 s.
     for _ in 0..30 {
         if world.is_idle() {
             break;
@@ -157,14 +157,14 @@
     world.history.holds_at_rest = world.counter_holds();
     let bounds = Bounds {
         limit_tokens: world.workload.settings.limit_tokens,
-        before: ((LOAD_MS + 2_000) * 1_000, FAULTS_MS * 1_000),
-        closed: Some(closed).filter(|_| !plan.faults.is_empty()),
+        before: ((LOAD_START_MS + 2_000) * 1_000, FIRST_FAULT_MS * 1_000),
+        closed: Some(faults_end).filter(|_| !plan.faults.is_empty()),
         lost_machines: deployment.lost_machines,
         drained: scenario == Scenario::Drains,
     };
     let (mut violations, figures) = crate::check::check(&world.history, &bounds);
     violations.extend(crate::check::invariants::violated_since(&violated_before));
-    let told = format!("{:?}", world.history);
+    let history_text = format!("{:?}", world.history);
     Report {
         violations,
         figures,
@@ -175,7 +175,7 @@
             .map(|fault| format!("{:>6} ms {}", fault.at / 1_000, fault.text))
             .collect(),
         notes: world.notes.clone(),
-        digest: topazyard_types::Digest::of(&[told.as_bytes()]),
+        digest: topazyard_types::Digest::of(&[history_text.as_bytes()]),
         sent: world.sent.clone(),
         simulated_ms: world.time / 1_000,
     }
