--- a/fleet-simulator/src/model/fingerprint.rs
+++ b/fleet-simulator/src/model/fingerprint.rs
@@ -1,31 +1,31 @@
-//! A hash of a world's state: moments count by how long ago they were, so that two worlds in which
-//! the same may happen from now on are equal.
+//! Hashes the state of a world. Instants count by their age, so that two worlds with the same
+//! possible futures get the same hash.
 
 use std::hash::Hasher as _;
 use topazyard_types::MonotonicMs;
 
-/// Moments that are longer ago than every timeout are all alike.
-const LONG_AGO_MS: u64 = 10_000;
-const MOMENT: &str = "MonotonicMs";
+/// Instants older than this count as equal: it exceeds every timeout.
+const MAX_AGE_MS: u64 = 10_000;
+const INSTANT_TYPE: &str = "MonotonicMs";
 
-/// Takes the text of a state and hashes it.
+/// Hashes the debug text of a state as it is written.
 struct HashedText {
     hasher: std::collections::hash_map::DefaultHasher,
     now: MonotonicMs,
-    in_moment: bool,
+    in_instant: bool,
 }
 
 impl std::fmt::Write for HashedText {
     fn write_str(&mut self, text: &str) -> std::fmt::Result {
-        if text == MOMENT {
-            self.in_moment = true;
-        } else if self.in_moment
+        if text == INSTANT_TYPE {
+            self.in_instant = true;
+        } else if self.in_instant
             && let Ok(at) = text.parse::<u64>()
         {
-            self.in_moment = false;
-            // What never was is told apart from what was long ago.
-            let ago = if at == 0 { u64::MAX } else { self.now.0.saturating_sub(at) };
-            self.hasher.write_u64(ago.min(LONG_AGO_MS));
+            self.in_instant = false;
+            // Zero stands for "never" and counts like the oldest instants.
+            let age = if at == 0 { u64::MAX } else { self.now.0.saturating_sub(at) };
+            self.hasher.write_u64(age.min(MAX_AGE_MS));
             return Ok(());
         }
         self.hasher.write(text.as_bytes());
@@ -33,13 +33,13 @@
     }
 }
 
-/// Hashes anything that can be told as text.
+/// Hashes the debug texts of states.
 pub fn hash_of(now: MonotonicMs, states: &[&dyn std::fmt::Debug]) -> u64 {
     use std::fmt::Write as _;
     let hasher = std::collections::hash_map::DefaultHasher::new();
-    let mut text = HashedText { hasher, now, in_moment: false };
+    let mut text = HashedText { hasher, now, in_instant: false };
     for state in states {
-        // Taking text never fails.
+        // Writing to the hasher never fails.
         let _ = write!(text, "{state:?}|");
     }
     text.hasher.finish()
--- a/fleet-simulator/src/model/network.rs
+++ b/fleet-simulator/src/model/network.rs
@@ -1,6 +1,6 @@
-//! Messages under way, in the order in which they were sent.
+//! Messages in flight, in the order in which they were sent.
 
-use super::{Letter, Party};
+use super::{MessageRef, Party};
 use topazyard_types::NodeId;
 use topazyard_wire::Message;
 use topazyard_wire::message::control::CoreMessage;
@@ -8,62 +8,62 @@
 use topazyard_wire::message::operate::{OperatorMessage, OperatorOutcome, OperatorRequest};
 use topazyard_wire::message::replica::ReplicaBody;
 
-/// What is under way.
+/// The content of a message in flight.
 #[derive(Debug, Clone)]
 pub enum Payload {
     /// A frame between processes.
     Frame {
-        /// The id of the sender.
+        /// The node id of the sender.
         sender: NodeId,
-        /// Its address.
+        /// The sender's address.
         from: std::net::SocketAddr,
-        /// The address it goes to.
+        /// The receiver's address.
         to: std::net::SocketAddr,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// An operator's call.
     Call {
-        /// Which asking.
-        asking: usize,
-        /// What is asked.
+        /// Index of the call.
+        call_index: usize,
+        /// The request.
         request: OperatorRequest,
     },
-    /// The return of one.
-    Answer {
-        /// Which asking.
-        asking: usize,
-        /// What came of it.
+    /// The response to an operator's call.
+    Response {
+        /// Index of the call.
+        call_index: usize,
+        /// The outcome.
         outcome: OperatorOutcome,
     },
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 pub struct Envelope {
-    /// When it was sent, among all events.
-    pub number: u64,
-    /// Who sent it.
+    /// Number of the event in which it was sent.
+    pub event_number: u64,
+    /// The sender.
     pub from: Party,
-    /// Who is to take it.
+    /// The receiver.
     pub to: Party,
-    /// What it is.
+    /// The content.
     pub payload: Payload,
 }
 
 impl Envelope {
-    /// Whether the letter names a message of this kind between these two.
-    pub fn is_like(&self, letter: &Letter) -> bool {
-        self.from == letter.from && self.to == letter.to && self.label() == letter.label
+    /// Whether the reference names a message of this kind between these two.
+    pub fn matches(&self, message: &MessageRef) -> bool {
+        self.from == message.from && self.to == message.to && self.label() == message.label
     }
 
-    /// What kind of message it is.
+    /// The kind of message.
     pub fn label(&self) -> &'static str {
         match &self.payload {
             Payload::Frame { message, .. } => label_of(message),
             Payload::Call { request: OperatorRequest::Command(_), .. } => "Order",
             Payload::Call { request: OperatorRequest::Query(_), .. } => "Read",
-            Payload::Answer { .. } => "Answer",
+            Payload::Response { .. } => "Answer",
         }
     }
 }
@@ -100,21 +100,21 @@
     }
 }
 
-/// The names of all messages under way, the oldest first.
-pub fn letters(envelopes: &[Envelope]) -> Vec<Letter> {
-    let mut seen: std::collections::BTreeMap<(Party, Party, &'static str), usize> =
+/// References to all messages in flight, oldest first.
+pub fn message_refs(envelopes: &[Envelope]) -> Vec<MessageRef> {
+    let mut counts: std::collections::BTreeMap<(Party, Party, &'static str), usize> =
         std::collections::BTreeMap::new();
-    let named = envelopes.iter().map(|envelope| {
+    let message_refs = envelopes.iter().map(|envelope| {
         let (from, to, label) = (envelope.from, envelope.to, envelope.label());
-        let count = seen.entry((from, to, label)).or_default();
+        let count = counts.entry((from, to, label)).or_default();
         *count += 1;
-        Letter { from, to, label, nth: *count - 1 }
+        MessageRef { from, to, label, nth: *count - 1 }
     });
-    named.collect()
+    message_refs.collect()
 }
 
-/// Where the message that a letter names stands.
-pub fn find(envelopes: &[Envelope], letter: &Letter) -> Option<usize> {
-    let like = envelopes.iter().enumerate().filter(|(_, envelope)| envelope.is_like(letter));
-    like.map(|(at, _)| at).nth(letter.nth)
+/// Index of the message that a reference names.
+pub fn find(envelopes: &[Envelope], message: &MessageRef) -> Option<usize> {
+    let matching = envelopes.iter().enumerate().filter(|(_, envelope)| envelope.matches(message));
+    matching.map(|(at, _)| at).nth(message.nth)
 }
--- a/fleet-simulator/src/workload/mod.rs
+++ b/fleet-simulator/src/workload/mod.rs
@@ -1,4 +1,5 @@
-//! Clients, operators and the platform, as they act on the fleet from outside.
+//! The simulated workload: clients, operators and the platform, which act on the fleet from
+//! outside.
 
 mod batches;
 mod orders;
@@ -10,81 +11,82 @@
 use crate::world::{NodeIndex, World};
 pub(crate) use orders::fingerprint;
 
-/// Something that somebody outside does.
+/// An activity of a client, an operator or the platform.
 #[derive(Debug, Clone)]
 pub enum Activity {
-    /// Send the next prompt, and so on.
+    /// A client sends the next prompt; repeats.
     NextPrompt,
     /// A prompt arrives at its relay.
     PromptArrives(usize, NodeIndex),
-    /// Ask every relay whether it is ready, and so on.
-    AskReady,
-    /// A relay was asked whether it is ready.
-    Ready(NodeIndex),
-    /// Hand in the next batch, and so on.
+    /// The platform checks every relay for readiness; repeats.
+    CheckReady,
+    /// The readiness check of a relay.
+    CheckReadyDone(NodeIndex),
+    /// A client submits the next batch; repeats.
     NextBatch,
-    /// Look after a batch.
-    Batch(usize),
-    /// A batch's call, by its serial number.
-    BatchCall(usize, u64, batches::Asked),
-    /// Look after a spec.
-    Spec(usize),
-    /// A spec's step, by its serial number.
-    SpecCall(usize, u64, rollouts::Step),
-    /// Begin the next spec, and so on.
-    NextSpec,
-    /// Send the newest engine list until it is taken.
+    /// A client makes the next request about its batch; repeats.
+    ContinueBatch(usize),
+    /// A client's request about its batch, with a serial number.
+    BatchCallDone(usize, u64, batches::BatchRequest),
+    /// An operator takes the next step of a rollout; repeats.
+    ContinueRollout(usize),
+    /// A step of a rollout, with a serial number.
+    RolloutCallDone(usize, u64, rollouts::Step),
+    /// An operator starts the next rollout; repeats.
+    NextRollout,
+    /// The platform sends the newest engine list until it is acknowledged.
     PutEngines,
-    /// The engine list was sent.
-    EnginesSent(usize),
-    /// Ask for a storage node to be retired, until that is acknowledged.
+    /// A sent engine list.
+    PutEnginesDone(usize),
+    /// An operator requests the retirement of a storage node, until that is acknowledged.
     Retire(NodeIndex),
-    /// That was answered.
-    RetireAnswered(NodeIndex),
-    /// Ask whether a storage node is retired, until it is.
-    AskRetired(NodeIndex),
-    /// That was answered.
-    RetiredAnswered(NodeIndex),
-    /// Weigh the waiting batch work, and so on.
-    WeighWaiting,
-    /// Something about numbered configurations.
-    Configuration(orders::OrderActivity),
-    /// Read the spec in force, and so on.
-    ReadSpec,
-    /// The spec in force was asked for.
-    SpecAsked(crate::history::Us),
+    /// The request for the retirement of a storage node.
+    RetireDone(NodeIndex),
+    /// An operator queries whether a storage node is retired, until it is.
+    CheckRetired(NodeIndex),
+    /// The query whether a storage node is retired.
+    CheckRetiredDone(NodeIndex),
+    /// The simulator measures the waiting batch work; repeats.
+    MeasureWaiting,
+    /// An activity about numbered configurations.
+    Order(orders::OrderActivity),
+    /// An operator reads the configuration in force; repeats.
+    ReadConfiguration,
+    /// A read of the configuration in force, with the time of the request.
+    ReadConfigurationDone(crate::history::Micros),
 }
 
-/// How much people do.
+/// The settings of the workload.
 #[derive(Debug, Clone)]
 pub struct WorkloadSettings {
     /// Prompts a second.
     pub prompts_per_s: u64,
-    /// Words of a prompt.
+    /// Words per prompt.
     pub words: u64,
-    /// New tokens of a prompt.
+    /// New tokens per prompt.
     pub new_tokens: u64,
-    /// Items of a batch.
+    /// Items per batch.
     pub items_per_batch: u64,
     /// Seconds between batches; 0 for none.
     pub batch_interval_s: u64,
-    /// Seconds between specs; 0 for none.
+    /// Seconds between rollouts; 0 for none.
     pub rollout_interval_s: u64,
-    /// Milliseconds between numbered configurations; 0 for specs that are signed off instead.
+    /// Milliseconds between numbered configurations; 0 for configurations that are signed off and
+    /// rolled out instead.
     pub order_interval_ms: u64,
-    /// The most orders of numbered configurations under way at once.
+    /// The maximum number of open orders of numbered configurations.
     pub max_open_orders: usize,
-    /// Of a hundred answers to operators so many are lost.
+    /// The percentage of responses to operators that are lost.
     pub lost_responses_percent: u64,
-    /// Lanes that specs have besides the usual ones.
+    /// Model routes of each configuration besides the usual ones.
     pub extra_model_routes: u64,
     /// The budget of in-flight tokens.
     pub limit_tokens: u64,
     /// The ceiling on waiting batch work.
     pub waiting_ceiling: u64,
-    /// Floor, start and ceiling of the live share, in percent.
+    /// Floor, start value and ceiling of the live share, in percent.
     pub live_percents: (u8, u8, u8),
-    /// Whether anybody still begins something.
+    /// Whether clients and operators start anything new.
     pub is_active: bool,
 }
 
@@ -109,36 +111,36 @@
     }
 }
 
-/// Everybody outside.
+/// The state of all clients, operators and the platform.
 #[derive(Debug, Default)]
 pub struct Workload {
-    /// How much they do.
+    /// The settings of the workload.
     pub settings: WorkloadSettings,
     works: std::collections::BTreeMap<bytes::Bytes, usize>,
     ready: std::collections::BTreeSet<NodeIndex>,
     batches: Vec<batches::BatchClient>,
-    specs: Vec<rollouts::SpecOperator>,
+    rollouts: Vec<rollouts::RolloutOperator>,
     orders: orders::Orders,
     /// Storage nodes whose retirement was acknowledged.
     retiring: std::collections::BTreeSet<NodeIndex>,
-    /// Engines that the platform wants listed as ready.
+    /// Engines that the platform lists as ready.
     pub listed_ready: std::collections::BTreeSet<String>,
 }
 
 impl Workload {
-    /// Which work a body is, if anybody handed it in.
+    /// The work that a request body belongs to, if a client submitted it.
     pub(crate) fn work_of(&self, body: &bytes::Bytes) -> Option<usize> {
         self.works.get(body).copied()
     }
 }
 
 impl World {
-    /// Whether operators order numbered configurations.
+    /// Whether operators submit numbered configurations.
     pub(crate) fn has_orders(&self) -> bool {
         self.workload.settings.order_interval_ms > 0
     }
 
-    /// Hands in a kind of work with a body of its own.
+    /// Creates work with a unique request body.
     pub(crate) fn new_work(
         &mut self,
         model: &str,
@@ -167,87 +169,96 @@
         work
     }
 
-    /// A process of a kind that runs and is not frozen, drawn by chance.
+    /// Draws a running process of a kind that is not frozen.
     pub(crate) fn draw_node(&mut self, kind: crate::world::NodeKind) -> Option<NodeIndex> {
         let time = self.time;
         let nodes: Vec<NodeIndex> = (0..self.nodes.len())
-            .filter(|at| {
-                let node = &self.nodes[*at];
-                let awake = node.frozen_until.is_none_or(|until| until <= time);
-                node.kind == kind && node.is_running() && awake
+            .filter(|index| {
+                let node = &self.nodes[*index];
+                let is_awake = node.frozen_until.is_none_or(|until| until <= time);
+                node.kind == kind && node.is_running() && is_awake
             })
             .map(NodeIndex)
             .collect();
         if nodes.is_empty() {
             return None;
         }
-        let at = self.draw(0..nodes.len() as u64) as usize;
-        Some(nodes[at])
+        let index = self.draw(0..nodes.len() as u64) as usize;
+        Some(nodes[index])
     }
 
-    /// The relay that the platform hands a client to: a ready one, or any if none is.
+    /// Draws the relay that the platform sends a client to: a ready one, or any if none is ready.
     fn draw_relay(&mut self) -> Option<NodeIndex> {
         let ready: Vec<NodeIndex> = self.workload.ready.iter().copied().collect();
         if ready.is_empty() {
             return self.draw_node(crate::world::NodeKind::Relay);
         }
-        let at = self.draw(0..ready.len() as u64) as usize;
-        Some(ready[at])
+        let index = self.draw(0..ready.len() as u64) as usize;
+        Some(ready[index])
     }
 
-    pub(crate) fn person_does(&mut self, doing: Activity) {
-        match doing {
+    pub(crate) fn perform(&mut self, activity: Activity) {
+        match activity {
             Activity::NextPrompt => self.next_prompt(),
             Activity::PromptArrives(prompt, relay) => self.prompt_arrives(prompt, relay),
-            Activity::AskReady => self.ask_ready(),
+            Activity::CheckReady => self.check_ready(),
             Activity::NextBatch => self.next_batch(),
-            Activity::Batch(batch) => self.look_after_batch(batch),
-            Activity::NextSpec => self.next_spec(),
-            Activity::Spec(spec) => self.look_after_spec(spec),
+            Activity::ContinueBatch(batch) => self.continue_batch(batch),
+            Activity::NextRollout => self.next_rollout(),
+            Activity::ContinueRollout(rollout) => self.continue_rollout(rollout),
             Activity::PutEngines => self.put_engines(),
-            Activity::Configuration(doing) => self.order_doing(doing),
-            Activity::ReadSpec => self.read_spec(),
-            Activity::WeighWaiting => {
-                self.after(250_000, crate::world::Event::Activity(Activity::WeighWaiting));
+            Activity::Order(activity) => self.perform_order(activity),
+            Activity::ReadConfiguration => self.read_configuration(),
+            Activity::MeasureWaiting => {
+                self.schedule_after(
+                    250_000,
+                    crate::world::Event::Activity(Activity::MeasureWaiting),
+                );
                 let waiting = self.waiting_work();
                 self.history.waiting.push((self.time, waiting));
             }
             Activity::Retire(node) => self.retire(node),
-            Activity::AskRetired(node) => self.ask_retired(node),
-            Activity::Ready(_)
-            | Activity::RetireAnswered(_)
-            | Activity::RetiredAnswered(_)
-            | Activity::BatchCall(..)
-            | Activity::SpecCall(..)
-            | Activity::EnginesSent(_)
-            | Activity::SpecAsked(_) => {}
+            Activity::CheckRetired(node) => self.check_retired(node),
+            Activity::CheckReadyDone(_)
+            | Activity::RetireDone(_)
+            | Activity::CheckRetiredDone(_)
+            | Activity::BatchCallDone(..)
+            | Activity::RolloutCallDone(..)
+            | Activity::PutEnginesDone(_)
+            | Activity::ReadConfigurationDone(_) => {}
         }
     }
 
-    /// A relay returned a call that somebody outside made.
-    pub(crate) fn relay_told(&mut self, doing: Activity, value: topazyard_relay::RelayResponse) {
-        match doing {
-            Activity::Ready(relay) => self.ready_told(relay, &value),
-            Activity::BatchCall(batch, serial, asked) => {
-                self.batch_told(batch, serial, &asked, value);
+    /// Handles the response of a relay to a call from outside.
+    pub(crate) fn relay_response(
+        &mut self,
+        activity: Activity,
+        value: topazyard_relay::RelayResponse,
+    ) {
+        match activity {
+            Activity::CheckReadyDone(relay) => self.ready_response(relay, &value),
+            Activity::BatchCallDone(batch, serial, request) => {
+                self.batch_response(batch, serial, &request, value);
             }
             _ => {}
         }
     }
 
-    /// A control node returned a call that somebody outside made.
-    pub(crate) fn control_told(
+    /// Handles the response of a control node to a call from outside.
+    pub(crate) fn control_response(
         &mut self,
-        doing: Activity,
+        activity: Activity,
         outcome: topazyard_wire::message::operate::OperatorOutcome,
     ) {
-        match doing {
-            Activity::SpecCall(spec, serial, step) => self.spec_told(spec, serial, step, &outcome),
-            Activity::RetireAnswered(node) => self.retire_told(node, &outcome),
-            Activity::RetiredAnswered(node) => self.retired_told(node, &outcome),
-            Activity::EnginesSent(list) => self.engines_told(list, &outcome),
-            Activity::SpecAsked(asked) => self.spec_read(asked, &outcome),
-            Activity::Configuration(doing) => self.order_told(doing, outcome),
+        match activity {
+            Activity::RolloutCallDone(rollout, serial, step) => {
+                self.rollout_response(rollout, serial, step, &outcome)
+            }
+            Activity::RetireDone(node) => self.retire_response(node, &outcome),
+            Activity::CheckRetiredDone(node) => self.retirement_response(node, &outcome),
+            Activity::PutEnginesDone(list) => self.put_engines_response(list, &outcome),
+            Activity::ReadConfigurationDone(asked) => self.configuration_read(asked, &outcome),
+            Activity::Order(activity) => self.order_response(activity, outcome),
             _ => {}
         }
     }
--- a/fleet-simulator/src/workload/platform.rs
+++ b/fleet-simulator/src/workload/platform.rs
@@ -1,30 +1,34 @@
-//! The platform: which engines there are, and which relays are ready.
+//! The platform: it lists the engines and checks which relays are ready.
 
 use super::Activity;
-use crate::history::EngineListSeen;
+use crate::history::EngineListRecord;
 use crate::world::{Caller, Event, NodeIndex, NodeKind, World};
 use topazyard_relay::{RelayCall, RelayResponse};
 use topazyard_wire::message::operate::{Command, OperatorOutcome, OperatorRequest};
 
 impl World {
-    pub(super) fn ask_ready(&mut self) {
-        self.after(500_000, Event::Activity(Activity::AskReady));
-        for at in 0..self.nodes.len() {
-            let relay = NodeIndex(at);
-            let node = &self.nodes[at];
+    pub(super) fn check_ready(&mut self) {
+        self.schedule_after(500_000, Event::Activity(Activity::CheckReady));
+        for index in 0..self.nodes.len() {
+            let relay = NodeIndex(index);
+            let node = &self.nodes[index];
             if node.kind != NodeKind::Relay {
                 continue;
             }
-            let awake = node.frozen_until.is_none_or(|until| until <= self.time);
-            if node.is_running() && awake {
-                self.call_relay(relay, RelayCall::Ready, Caller::Activity(Activity::Ready(relay)));
+            let is_awake = node.frozen_until.is_none_or(|until| until <= self.time);
+            if node.is_running() && is_awake {
+                self.call_relay(
+                    relay,
+                    RelayCall::Ready,
+                    Caller::Activity(Activity::CheckReadyDone(relay)),
+                );
             } else {
                 self.workload.ready.remove(&relay);
             }
         }
     }
 
-    pub(super) fn ready_told(&mut self, relay: NodeIndex, value: &RelayResponse) {
+    pub(super) fn ready_response(&mut self, relay: NodeIndex, value: &RelayResponse) {
         if matches!(value, RelayResponse::Done) {
             self.workload.ready.insert(relay);
         } else {
@@ -32,12 +36,12 @@
         }
     }
 
-    /// Lists the engines anew, with these ready and all others leaving.
+    /// Sends a new engine list, with `listed_ready` as ready and all other engines as leaving.
     pub fn list_engines(&mut self) {
         let ready = self.workload.listed_ready.clone();
-        let seen = EngineListSeen { sent: self.time, acknowledged: None, ready };
-        self.history.engine_lists.push(seen);
-        self.after(0, Event::Activity(Activity::PutEngines));
+        let record = EngineListRecord { sent: self.time, acknowledged: None, ready };
+        self.history.engine_lists.push(record);
+        self.schedule_after(0, Event::Activity(Activity::PutEngines));
     }
 
     pub(super) fn put_engines(&mut self) {
@@ -45,7 +49,7 @@
         if self.history.engine_lists[list].acknowledged.is_some() {
             return;
         }
-        self.after(1_000_000, Event::Activity(Activity::PutEngines));
+        self.schedule_after(1_000_000, Event::Activity(Activity::PutEngines));
         let Some(control) = self.draw_node(NodeKind::Control) else { return };
         let ready = &self.history.engine_lists[list].ready;
         let models: Vec<String> = (0..200).map(|n| format!("only-{n}")).collect();
@@ -64,10 +68,10 @@
             .collect();
         let text = serde_json::json!({ "engines": engines }).to_string();
         let request = OperatorRequest::Command(Command::PutEngines { text });
-        self.call_control(control, request, Caller::Activity(Activity::EnginesSent(list)));
+        self.call_control(control, request, Caller::Activity(Activity::PutEnginesDone(list)));
     }
 
-    pub(super) fn engines_told(&mut self, list: usize, outcome: &OperatorOutcome) {
+    pub(super) fn put_engines_response(&mut self, list: usize, outcome: &OperatorOutcome) {
         if matches!(outcome, OperatorOutcome::Done(_)) {
             let time = self.time;
             self.history.engine_lists[list].acknowledged.get_or_insert(time);
